--- a/src/api.rs
+++ b/src/api.rs
@@ -8,7 +8,7 @@
 /// A time or a span on the router's clock, in microseconds.
 pub type Micros = u64;
 /// A server's id. It tells nothing of zone, kind or age.
-pub type ServerId = u32;
+pub type HostId = u32;
 /// A request's id, never used twice at one router.
 pub type RequestId = u32;
 /// A group of servers that hold the same data.
@@ -16,15 +16,15 @@
 
 /// How recent the data of an answer must be, and whether the class writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Need {
+pub enum Access {
     /// Any member's data will do.
-    Any,
+    AnyRead,
     /// Data no older than this when the attempt is sent.
-    Bounded(Micros),
+    BoundedRead(Micros),
     /// Every write of the request's session.
-    Session,
+    SessionRead,
     /// Every commit before the request's arrival.
-    Fresh,
+    StrongRead,
     /// A write: only the primary takes it.
     Write,
 }
@@ -42,24 +42,24 @@
 
 /// What a second run of a request would do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Safe to repeat and to refuse at any time.
-    Safe,
+    Idempotent,
     /// Repeats are dropped inside the scope, for the window after the first send that may have run.
     Keyed(DedupScope, Micros),
     /// Must never run twice.
-    Unsafe,
+    NotIdempotent,
 }
 
 /// One class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// How recent its data must be.
-    pub need: Need,
+    pub access: Access,
     /// What a repeat would do.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// An answer within this span earns the full worth.
-    pub aim: Micros,
+    pub latency_target: Micros,
     /// The client's whole wait, over all its tries.
     pub deadline: Micros,
     /// The worth of one request.
@@ -67,7 +67,7 @@
     /// The share of the worth that an answer after the aim still earns.
     pub late_worth: f64,
     /// The aim grows by this multiple of the request's own work; 0 where it does not.
-    pub aim_stretch: f64,
+    pub latency_target_stretch: f64,
 }
 
 impl Class {
@@ -75,22 +75,23 @@
     /// too old: as it says itself or, where it tells no position, as far as is known of the replica. It has run, and only
     /// where that does no harm does it count as turned away.
     pub fn stale_outcome(
-        &self, note: &Report, known: Option<Micros>, token: Micros, sent: Micros,
+        &self, note: &HostReport, known: Option<Micros>, token: Micros, sent: Micros,
     ) -> Option<Outcome> {
         let position = note.position.or(known).unwrap_or(0);
-        let stale = match self.need {
-            Need::Bounded(bound) => position.saturating_add(bound) < sent,
-            Need::Session => position < token,
-            Need::Any | Need::Fresh | Need::Write => false,
+        let stale = match self.access {
+            Access::BoundedRead(bound) => position.saturating_add(bound) < sent,
+            Access::SessionRead => position < token,
+            Access::AnyRead | Access::StrongRead | Access::Write => false,
         };
-        let outcome = if self.effect == Effect::Safe { Outcome::Miss } else { Outcome::Error };
+        let outcome =
+            if self.idempotency == Idempotency::Idempotent { Outcome::Unsuitable } else { Outcome::Error };
         (stale && note.role == Some(Role::Replica)).then_some(outcome)
     }
 
     /// How old its data may be, where that is bounded.
     pub fn bound(&self) -> Option<Micros> {
-        match self.need {
-            Need::Bounded(bound) => Some(bound),
+        match self.access {
+            Access::BoundedRead(bound) => Some(bound),
             _ => None,
         }
     }
@@ -102,29 +103,29 @@
     /// It answers from what it has: the router alone keeps reads current.
     Unchecked,
     /// It turns the read away at once.
-    Refuse,
+    Reject,
     /// It waits up to this long, then turns the read away.
     Wait(Micros),
 }
 
 /// How a session's own writes are known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Tokens {
+pub enum SessionTokens {
     /// Each session read carries the age of the session's last write.
-    Carried,
+    FromClient,
     /// The router remembers the writes it has seen succeed.
-    Remembered,
+    TrackedByProxy,
 }
 
 /// How the list tells roles.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListRole {
     /// It follows the role some seconds late.
-    Late,
+    Delayed,
     /// It tells the roles of the day's start.
-    Start,
+    AtStartup,
     /// It does not tell roles.
-    Silent,
+    Absent,
 }
 
 /// How the server list reaches the router.
@@ -150,7 +151,7 @@
     /// The longest wait a client heeds.
     pub max_retry_after: Micros,
     /// A request may have two attempts outstanding.
-    pub second_copies: bool,
+    pub hedging: bool,
     /// Attempts a request may have.
     pub max_attempts: usize,
 }
@@ -165,20 +166,20 @@
     /// A server starts at this share of its capacity or more.
     pub start_capacity: f64,
     /// It is warm no later than this after its start.
-    pub cold: Micros,
+    pub cold_duration: Micros,
     /// Work over this multiple of its present capacity ...
-    pub tip_multiple: f64,
+    pub overload_multiple: f64,
     /// ... for this long tips a cold server over.
-    pub overload_for: Micros,
+    pub overload_duration: Micros,
     /// Without a subscription the router must ask at least this often.
-    pub ask_within: Micros,
+    pub max_list_age: Micros,
 }
 
 /// Everything the module is told at its start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Routers in the tier.
-    pub routers: u32,
+    pub proxy_count: u32,
     /// This router's number among them.
     pub ordinal: u32,
     /// This router's zone.
@@ -192,7 +193,7 @@
     /// What lagging replicas do.
     pub lag_check: LagCheck,
     /// How session writes are known.
-    pub tokens: Tokens,
+    pub tokens: SessionTokens,
     /// Whether attempts to other zones have a price.
     pub crossings_cost: bool,
     /// Whether every answer carries a position.
@@ -209,21 +210,21 @@
 
 /// A server's state in the list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Listed {
+pub enum HostStatus {
     /// Takes work.
     #[default]
     Ready,
     /// Finishes its work; nothing new may be sent.
     Draining,
     /// Removed.
-    Gone,
+    Removed,
 }
 
 /// One line of the list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Entry {
+pub struct HostEntry {
     /// The server.
-    pub server: ServerId,
+    pub host: HostId,
     /// Its zone.
     pub zone: u8,
     /// Its machine type.
@@ -231,7 +232,7 @@
     /// Its group.
     pub group: GroupId,
     /// Its state.
-    pub state: Listed,
+    pub state: HostStatus,
     /// Listed size.
     pub weight: f64,
     /// Whether the list holds it to be the primary.
@@ -242,7 +243,7 @@
 
 /// What a list event carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListKind {
+pub enum ListUpdate {
     /// Changed entries only.
     Delta,
     /// The whole list.
@@ -264,7 +265,7 @@
 
 /// What a server says of itself: in an answer at once, in a report somewhat dated.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Report {
+pub struct HostReport {
     /// Position, where told.
     pub position: Option<Micros>,
     /// Role, where told.
@@ -281,7 +282,7 @@
     /// The server answered with an error; it may have run.
     Error,
     /// Turned away unseen: full or draining. Never ran.
-    Full,
+    Overloaded,
     /// No answer in time; may have run.
     Timeout,
     /// No connection in time. Never ran.
@@ -291,21 +292,21 @@
     /// Withdrawn; may have run.
     Cancelled,
     /// Not transmitted. Never ran.
-    Moot,
+    NotSent,
     /// Turned away untouched: not the primary, or lagging too far. Never ran.
-    Miss,
+    Unsuitable,
 }
 
 impl Outcome {
     /// Whether this outcome proves that the attempt had no effect.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot | Outcome::Miss)
+        matches!(self, Outcome::Overloaded | Outcome::ConnectFailed | Outcome::NotSent | Outcome::Unsuitable)
     }
 }
 
 /// A client's request; the router now owes one final answer.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Arrival {
+pub struct RequestInfo {
     /// Its id.
     pub id: RequestId,
     /// Its class, an index into the settings.
@@ -319,24 +320,24 @@
     /// Age of the session's last write in ms, where carried; 0 for none.
     pub token_ms: f32,
     /// The client has asked for it before, and says so.
-    pub again: bool,
+    pub client_retry: bool,
     /// Servers know nothing of its terms: they drop no repeat of it, and do not check its bound.
     pub plain: bool,
     /// What an attempt at it is expected to take; 0 where only its class tells.
-    pub expected: Micros,
+    pub expected_duration: Micros,
     /// Whose it is, an index into the quotas, where known.
     pub tenant: Option<u16>,
 }
 
 /// The end of an attempt.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Returned {
+pub struct AttemptResult {
     /// Its request.
     pub id: RequestId,
     /// Its number, from 0 in the order of sending.
     pub attempt: u8,
     /// The server it went to.
-    pub server: ServerId,
+    pub host: HostId,
     /// How it ended.
     pub outcome: Outcome,
     /// Time since it was sent.
@@ -344,14 +345,14 @@
     /// Whether the request is concluded.
     pub finished: bool,
     /// What the answer says of the server.
-    pub note: Report,
+    pub note: HostReport,
     /// The server's own report, somewhat dated.
-    pub report: Report,
+    pub report: HostReport,
 }
 
 /// What sessions write beside the attempts that the module knows to be out.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum SessionNews {
+pub enum SessionEvent {
     /// This process begins: what one before it has answered binds.
     Started,
     /// Whether another process answers requests of the same sessions. What it has answered up to now binds.
@@ -367,21 +368,21 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// A request came in.
-    Request(Arrival),
+    Request(RequestInfo),
     /// A request came in whose last bytes are still to come, and take as long as its client does.
-    Coming(Arrival),
+    RequestHead(RequestInfo),
     /// The last byte of such a request came; the client gives it up at this time.
-    Whole(RequestId, Micros),
+    RequestComplete(RequestId, Micros),
     /// An attempt ended.
-    Outcome(Returned),
+    Outcome(AttemptResult),
     /// The client left; the request is closed.
     ClientGone(RequestId),
     /// An answer that is not whole yet has told this of its server.
-    Noted {
+    PartialAnswer {
         /// The server.
-        server: ServerId,
+        host: HostId,
         /// What it has told.
-        note: Report,
+        note: HostReport,
     },
     /// A streamed answer began; the attempt is the client's now.
     Streaming(RequestId, u8),
@@ -390,18 +391,18 @@
     /// A probe returned.
     Probed {
         /// The server probed.
-        server: ServerId,
+        host: HostId,
         /// Whether it answered.
         ok: bool,
         /// Its report.
-        report: Report,
+        report: HostReport,
     },
     /// News of what sessions write, beside attempts and their ends.
-    Sessions(SessionNews),
+    Sessions(SessionEvent),
     /// Operators leave a server out, or use it again, as of this time.
-    ByHand {
+    HostOverride {
         /// The server.
-        server: ServerId,
+        host: HostId,
         /// Whether it is out from then on.
         out: bool,
         /// Since when; the server started at that time at the latest where it is used again.
@@ -412,31 +413,31 @@
         /// The sender's number.
         from: u16,
         /// What it says.
-        news: Vec<News>,
+        news: Vec<PeerUpdate>,
     },
     /// News of the list.
     List {
         /// What is carried.
-        kind: ListKind,
+        kind: ListUpdate,
         /// Entries, empty for `Failed`.
-        entries: Arc<[Entry]>,
+        entries: Arc<[HostEntry]>,
     },
 }
 
 /// What routers tell each other.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum News {
+pub enum PeerUpdate {
     /// How far a server had applied the log when it last said so, and whether it was the primary.
-    Stands {
+    HostPosition {
         /// The server.
-        server: ServerId,
+        host: HostId,
         /// Its position.
         position: Micros,
         /// Whether it called itself the primary.
         primary: bool,
     },
     /// What a tenant asks the sender for.
-    Asked {
+    TenantRate {
         /// The tenant, an index into the quotas.
         tenant: u16,
         /// Requests in a second.
@@ -452,7 +453,7 @@
         /// The request.
         id: RequestId,
         /// Where to.
-        server: ServerId,
+        host: HostId,
         /// Its time-out; 0 means until the client gives up.
         timeout: Micros,
     },
@@ -475,11 +476,11 @@
         mark: u64,
     },
     /// Probe a server.
-    Probe(ServerId),
+    Probe(HostId),
     /// Close the idle connections to a server.
-    CloseIdle(ServerId),
+    CloseIdle(HostId),
     /// Message every other router: as much of this as a message holds.
-    TellAll(Vec<News>),
+    Broadcast(Vec<PeerUpdate>),
     /// Subscribe to list changes.
     Subscribe,
     /// A line for whoever is on call.
--- a/src/bin/sillfold-benchlink/main.rs
+++ b/src/bin/sillfold-benchlink/main.rs
@@ -5,7 +5,10 @@
 
 use sillfold::settings::{self, Dialect};
 use sillfold::talk;
-use sillfold::{Action, Arrival, Entry, Event, ListKind, Listed, Outcome, Report, Returned, Role, Router};
+use sillfold::{
+    Action, AttemptResult, Event, HostEntry, HostReport, HostStatus, ListUpdate, Outcome, RequestInfo, Role,
+    Router,
+};
 use sillfold_talk::{Datagram, Item, Message, Sender};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{self, Write};
@@ -22,7 +25,7 @@
 #[derive(Default)]
 struct Host {
     instances: BTreeMap<u32, Instance>,
-    tables: BTreeMap<u16, Arc<[Entry]>>,
+    tables: BTreeMap<u16, Arc<[HostEntry]>>,
     actions: Vec<Action>,
     /// Instances with events in this batch.
     busy: BTreeSet<u32>,
@@ -113,44 +116,44 @@
     }
 }
 
-fn read_table(c: &mut Cursor) -> Result<Arc<[Entry]>> {
+fn read_table(c: &mut Cursor) -> Result<Arc<[HostEntry]>> {
     let n = c.u32("TABLE entry count")?;
     let mut entries = Vec::new();
     for _ in 0..n {
-        let server = c.u32("entry.host")?;
+        let host = c.u32("entry.host")?;
         let zone = c.u8("entry.failureDomain")?;
         let kind = c.u8("entry.type")?;
         let group = u32::from(c.u16("entry.group")?);
         let state = match c.u8("entry.stageState")? {
-            0 => Listed::Draining,
-            1 => Listed::Ready,
-            2 => Listed::Gone,
+            0 => HostStatus::Draining,
+            1 => HostStatus::Ready,
+            2 => HostStatus::Removed,
             other => return Err(WireError(format!("entry.stageState: unknown value {other}"))),
         };
         let weight = f64::from(c.f32("entry.nominal")?);
         let primary = c.f32("entry.leader")? == 1.0;
         let started = c.u64("entry.launchedUs")?;
-        entries.push(Entry { server, zone, kind, group, state, weight, primary, started });
+        entries.push(HostEntry { host, zone, kind, group, state, weight, primary, started });
     }
     Ok(entries.into())
 }
 
 fn read_event(
-    c: &mut Cursor, code: u8, dialect: &Dialect, tables: &BTreeMap<u16, Arc<[Entry]>>,
+    c: &mut Cursor, code: u8, dialect: &Dialect, tables: &BTreeMap<u16, Arc<[HostEntry]>>,
 ) -> Result<Event> {
     Ok(match code {
         2 => {
             let kind = match c.u8("DISCOVERY.form")? {
-                0 => ListKind::Delta,
-                1 => ListKind::Full,
-                2 => ListKind::Cached,
-                3 => ListKind::Failed,
+                0 => ListUpdate::Delta,
+                1 => ListUpdate::Full,
+                2 => ListUpdate::Cached,
+                3 => ListUpdate::Failed,
                 other => return Err(WireError(format!("DISCOVERY.form: unknown value {other}"))),
             };
             c.u32("DISCOVERY.epoch")?;
             let id = c.u16("DISCOVERY.setId")?;
             let entries = match (kind, tables.get(&id)) {
-                (ListKind::Failed, _) => Arc::from([]),
+                (ListUpdate::Failed, _) => Arc::from([]),
                 (_, Some(table)) => table.clone(),
                 (_, None) => return Err(WireError(format!("DISCOVERY.setId: no table {id}"))),
             };
@@ -168,17 +171,17 @@
                 return Err(WireError(format!("WORK_ITEM.groupNo: {group} is no group")));
             }
             let token_ms = c.f32("WORK_ITEM.tokenMs")?;
-            let again = c.u8("WORK_ITEM.flags")? & 2 != 0;
-            Event::Request(Arrival {
+            let client_retry = c.u8("WORK_ITEM.flags")? & 2 != 0;
+            Event::Request(RequestInfo {
                 id,
                 class,
                 session,
                 give_up_at,
                 group: group as u32,
                 token_ms,
-                again,
+                client_retry,
                 tenant,
-                ..Arrival::default()
+                ..RequestInfo::default()
             })
         }
         4 => {
@@ -189,21 +192,21 @@
         5 => {
             let id = c.u32("RETURNED.ticket")?;
             let attempt = c.u8("RETURNED.n")?;
-            let server = c.u32("RETURNED.host")?;
+            let host = c.u32("RETURNED.host")?;
             let outcome = read_outcome(c.u8("RETURNED.stateCode")?)?;
             let latency = u64::from(c.u32("RETURNED.latencyUs")?);
             let finished = c.u8("RETURNED.complete")? != 0;
             let note = read_note(c.u32("RETURNED.mark")?, dialect);
             let report = read_report(c, dialect)?;
-            Event::Outcome(Returned { id, attempt, server, outcome, latency, finished, note, report })
+            Event::Outcome(AttemptResult { id, attempt, host, outcome, latency, finished, note, report })
         }
         6 => Event::ClientGone(c.u32("CANCELLED_BY_CLIENT.ticket")?),
         7 => Event::Timer(c.u64("WAKEUP.mark")?),
         8 => {
-            let server = c.u32("PONG.host")?;
+            let host = c.u32("PONG.host")?;
             let ok = read_outcome(c.u8("PONG.stateCode")?)? == Outcome::Ok;
             c.u32("PONG.latencyUs")?;
-            Event::Probed { server, ok, report: read_report(c, dialect)? }
+            Event::Probed { host, ok, report: read_report(c, dialect)? }
         }
         9 => {
             let from = c.u16("HEARD.neighbour")?;
@@ -221,21 +224,21 @@
 fn read_outcome(code: u8) -> Result<Outcome> {
     Ok(match code {
         0 => Outcome::Ok,
-        2 => Outcome::Miss,
+        2 => Outcome::Unsuitable,
         5 => Outcome::Error,
-        11 => Outcome::Full,
+        11 => Outcome::Overloaded,
         104 => Outcome::Reset,
         110 => Outcome::Timeout,
         111 => Outcome::ConnectFailed,
-        114 => Outcome::Moot,
+        114 => Outcome::NotSent,
         125 => Outcome::Cancelled,
         other => return Err(WireError(format!("unknown outcome code {other}"))),
     })
 }
 
-fn read_note(mark: u32, dialect: &Dialect) -> Report {
+fn read_note(mark: u32, dialect: &Dialect) -> HostReport {
     let position = u64::from(mark >> 2);
-    Report {
+    HostReport {
         position: (position > 0).then(|| dialect.zero_us.saturating_add(position * 1000)),
         role: match mark & 3 {
             1 => Some(Role::Primary),
@@ -246,7 +249,7 @@
     }
 }
 
-fn read_report(c: &mut Cursor, dialect: &Dialect) -> Result<Report> {
+fn read_report(c: &mut Cursor, dialect: &Dialect) -> Result<HostReport> {
     let n = usize::from(c.u8("report count")?);
     let mut values = Vec::with_capacity(n);
     for _ in 0..n {
@@ -254,7 +257,7 @@
     }
     let get =
         |i: Option<usize>| i.and_then(|i| values.get(i)).copied().filter(|v| v.is_finite() && *v >= 0.0);
-    Ok(Report {
+    Ok(HostReport {
         position: get(dialect.position).map(|s| dialect.zero_us.saturating_add((s * 1e6).floor() as u64)),
         role: get(dialect.role).map(|r| if r > 0.5 { Role::Primary } else { Role::Replica }),
         in_flight: get(dialect.in_flight),
@@ -264,9 +267,9 @@
 fn write_action(reply: &mut Reply, who: u32, action: Action) {
     match action {
         // The simulator's wire has no word for when an attempt must have begun.
-        Action::Send { id, server, timeout } => {
+        Action::Send { id, host, timeout } => {
             let timeout = u32::try_from(timeout).unwrap_or(u32::MAX);
-            reply.record(1, who).u32(id).u32(server).u32(timeout);
+            reply.record(1, who).u32(id).u32(host).u32(timeout);
         }
         Action::Refuse { id, retry_in } => {
             reply.record(2, who).u32(id).u32(u32::try_from(retry_in).unwrap_or(u32::MAX));
@@ -280,13 +283,13 @@
         Action::Timer { at, mark } => {
             reply.record(5, who).u64(at).u64(mark);
         }
-        Action::Probe(server) => {
-            reply.record(6, who).u32(server);
+        Action::Probe(host) => {
+            reply.record(6, who).u32(host);
         }
-        Action::CloseIdle(server) => {
-            reply.record(7, who).u32(server);
+        Action::CloseIdle(host) => {
+            reply.record(7, who).u32(host);
         }
-        Action::TellAll(news) => {
+        Action::Broadcast(news) => {
             // Here all instances have the same numbers for hosts.
             let items: Vec<Item> = news.into_iter().filter_map(|n| talk::item(n, Some)).collect();
             let (datagram, _) = Datagram::pack(Sender { ordinal: 0, incarnation: 0, number: 0 }, &items);
--- a/src/config.rs
+++ b/src/config.rs
@@ -160,7 +160,7 @@
         if dialect.classes.iter().any(String::is_empty) {
             return Err("settings: classes: every class needs a name".into());
         }
-        if settings.limits.second_copies {
+        if settings.limits.hedging {
             return Err("settings: ceilings.secondCopies: this proxy sends no second copies".into());
         }
         let sockets = file.limits.as_ref().and_then(|l| l.sockets).unwrap_or(1024);
--- a/src/invariants.rs
+++ b/src/invariants.rs
@@ -3,7 +3,7 @@
 //! afterwards, from facts taken anew, whether it was done all the same (`Violation`). Pure: spans and flags in, a verdict
 //! out. It must never choose a host, read a clock or keep anything of a request.
 
-use crate::api::{DedupScope, Effect, Micros};
+use crate::api::{DedupScope, Idempotency, Micros};
 use crate::mutants;
 use serde::Serialize;
 
@@ -31,26 +31,26 @@
     first + window.saturating_sub(drift + HOLD_UP + WAY)
 }
 
-impl Effect {
+impl Idempotency {
     /// Until when a request may be sent once more, as its first send that may have run tells; `plain` ones bring no key.
     pub fn repeatable_until(&self, first: Option<Micros>, plain: bool) -> Micros {
         match (*self, first) {
-            (_, None) | (Effect::Safe, _) => Micros::MAX,
+            (_, None) | (Idempotency::Idempotent, _) => Micros::MAX,
             // A zone need not be that of the next server, and without a key nobody drops a repeat.
-            (Effect::Unsafe | Effect::Keyed(DedupScope::Zone, _), _) => 0,
-            (Effect::Keyed(..), _) if plain => 0,
-            (Effect::Keyed(_, window), Some(first)) => repeatable_until(first, window),
+            (Idempotency::NotIdempotent | Idempotency::Keyed(DedupScope::Zone, _), _) => 0,
+            (Idempotency::Keyed(..), _) if plain => 0,
+            (Idempotency::Keyed(_, window), Some(first)) => repeatable_until(first, window),
         }
     }
 
     /// When servers forget a request, as its first send that may have run tells: 0 where a repeat is recognised nowhere.
     pub fn forgotten_at(&self, first: Option<Micros>, plain: bool) -> Micros {
         match (*self, first) {
-            (_, None) | (Effect::Safe, _) => Micros::MAX,
-            (Effect::Keyed(DedupScope::All | DedupScope::Group, window), Some(first)) if !plain => {
+            (_, None) | (Idempotency::Idempotent, _) => Micros::MAX,
+            (Idempotency::Keyed(DedupScope::All | DedupScope::Group, window), Some(first)) if !plain => {
                 first + window
             }
-            (Effect::Unsafe | Effect::Keyed(..), _) => 0,
+            (Idempotency::NotIdempotent | Idempotency::Keyed(..), _) => 0,
         }
     }
 }
@@ -192,9 +192,9 @@
 }
 
 /// Whether a request may be refused: whether its client may be told that a further try is harmless.
-pub fn may_refuse(effect: Effect, may_have_run: bool, plain: bool) -> bool {
-    let recognised = matches!(effect, Effect::Keyed(DedupScope::All, _)) && !plain;
-    !may_have_run || effect == Effect::Safe || recognised
+pub fn may_refuse(idempotency: Idempotency, may_have_run: bool, plain: bool) -> bool {
+    let recognised = matches!(idempotency, Idempotency::Keyed(DedupScope::All, _)) && !plain;
+    !may_have_run || idempotency == Idempotency::Idempotent || recognised
 }
 
 /// Why a client's connection is closed.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -8,37 +8,38 @@
 //! use sillfold::*;
 //!
 //! let settings = Settings {
-//!     routers: 1, ordinal: 0, zone: 0,
+//!     proxy_count: 1, ordinal: 0, zone: 0,
 //!     classes: vec![Class {
-//!         need: Need::Any, effect: Effect::Safe, aim: 200_000, deadline: 1_000_000,
-//!         worth: 1.0, late_worth: 0.0, aim_stretch: 0.0,
+//!         access: Access::AnyRead, idempotency: Idempotency::Idempotent, latency_target: 200_000, deadline: 1_000_000,
+//!         worth: 1.0, late_worth: 0.0, latency_target_stretch: 0.0,
 //!     }],
-//!     list_mode: ListMode::Pushed, list_role: ListRole::Silent,
-//!     lag_check: LagCheck::Refuse, tokens: Tokens::Carried, crossings_cost: false, positions: true,
+//!     list_mode: ListMode::Pushed, list_role: ListRole::Absent,
+//!     lag_check: LagCheck::Reject, tokens: SessionTokens::FromClient, crossings_cost: false, positions: true,
 //!     limits: Limits {
 //!         cancel: true, probes: false, peers: false, retry_after: true,
-//!         max_retry_after: 1_000_000, second_copies: false, max_attempts: 4,
+//!         max_retry_after: 1_000_000, hedging: false, max_attempts: 4,
 //!     },
 //!     safety: Safety {
 //!         drain_grace: 1_000_000, only_draining_binds: false, start_capacity: 0.2,
-//!         cold: 10_000_000, tip_multiple: 3.0, overload_for: 2_000_000, ask_within: 10_000_000,
+//!         cold_duration: 10_000_000, overload_multiple: 3.0, overload_duration: 2_000_000,
+//!         max_list_age: 10_000_000,
 //!     },
 //!     quotas: vec![],
 //!     over_quota_worth: 1.0,
 //! };
 //! let mut router = Router::new(settings, 7);
-//! let entry = Entry {
-//!     server: 41, zone: 0, kind: 0, group: 0, state: Listed::Ready, weight: 1.0,
+//! let entry = HostEntry {
+//!     host: 41, zone: 0, kind: 0, group: 0, state: HostStatus::Ready, weight: 1.0,
 //!     primary: false, started: 0,
 //! };
 //! let mut actions = Vec::new();
-//! let list = Event::List { kind: ListKind::Full, entries: Arc::from([entry]) };
-//! let read = Event::Request(Arrival {
+//! let list = Event::List { kind: ListUpdate::Full, entries: Arc::from([entry]) };
+//! let read = Event::Request(RequestInfo {
 //!     id: 1, class: 0, session: 0, give_up_at: 2_000_000, group: 0,
-//!     ..Arrival::default()
+//!     ..RequestInfo::default()
 //! });
 //! router.handle(1_000_000, &[list, read], &mut actions);
-//! assert!(actions.iter().any(|a| matches!(a, Action::Send { id: 1, server: 41, .. })));
+//! assert!(actions.iter().any(|a| matches!(a, Action::Send { id: 1, host: 41, .. })));
 //! ```
 #![forbid(unsafe_code)]
 
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -130,8 +130,8 @@
     now: Micros,
     out: Vec<Action>,
     rng: Rand64,
-    index: BTreeMap<ServerId, usize>,
-    servers: Vec<Server>,
+    index: BTreeMap<HostId, usize>,
+    hosts: Vec<HostState>,
     groups: BTreeMap<GroupId, Group>,
     classes: Vec<ClassState>,
     requests: BTreeMap<RequestId, Request>,
@@ -140,7 +140,7 @@
     /// The tightest bound of any class.
     tightest: Micros,
     /// Servers that operators leave out, and since when; no news of the list touches it.
-    out_by_hand: BTreeMap<ServerId, Micros>,
+    out_by_hand: BTreeMap<HostId, Micros>,
     budgets: Budgets,
     seen: Observed,
     due: Due,
@@ -149,18 +149,18 @@
 impl Router {
     /// A router that knows nothing but its settings.
     pub fn new(settings: Settings, seed: u64) -> Router {
-        let class = |c: &Class| ClassState::expecting(c.aim as f64 / 4.0);
+        let class = |c: &Class| ClassState::expecting(c.latency_target as f64 / 4.0);
         Router {
             classes: settings.classes.iter().map(class).collect(),
             rng: Rand64::new(u128::from(seed)),
             now: 0,
             out: Vec::new(),
             index: BTreeMap::new(),
-            servers: Vec::new(),
+            hosts: Vec::new(),
             groups: BTreeMap::new(),
             requests: BTreeMap::new(),
             sessions: Sessions::default(),
-            shares: Shares::new(&settings.quotas, settings.routers),
+            shares: Shares::new(&settings.quotas, settings.proxy_count),
             tightest: settings.classes.iter().filter_map(Class::bound).min().unwrap_or(Micros::MAX),
             out_by_hand: BTreeMap::new(),
             budgets: Budgets::new(),
@@ -175,7 +175,7 @@
         self.now = self.now.max(now);
         // After an idle spell nothing is counted any more.
         if self.now > self.due.tick + TICK {
-            self.servers.iter_mut().for_each(|s| s.q = f64::from(s.in_flight) + 1.0);
+            self.hosts.iter_mut().for_each(|s| s.q = f64::from(s.in_flight) + 1.0);
         }
         if self.due.tick == 0 && self.set.list_mode == ListMode::OnRequest {
             self.due.ask = Some(self.now + self.rng.rand_range(0..200_000));
@@ -183,27 +183,29 @@
         for event in events {
             match event {
                 Event::Request(a) => self.arrive(a, false),
-                Event::Coming(a) => self.arrive(a, true),
-                Event::Whole(id, at) => whole(&mut self.servers, &mut self.requests, *id, *at, self.now),
+                Event::RequestHead(a) => self.arrive(a, true),
+                Event::RequestComplete(id, at) => {
+                    whole(&mut self.hosts, &mut self.requests, *id, *at, self.now)
+                }
                 Event::Outcome(r) => {
                     self.returned(r);
-                    self.report(r.server, r.report, false);
+                    self.report(r.host, r.report, false);
                 }
                 Event::ClientGone(id) => self.close(*id),
                 Event::Streaming(id, attempt) => {
                     self.requests.entry(*id).and_modify(|r| r.streaming = Some(usize::from(*attempt)));
                 }
-                Event::Probed { server, ok, report } => {
-                    self.index.get(server).copied().into_iter().for_each(|i| self.answered(i, *ok));
-                    self.report(*server, if *ok { *report } else { Report::default() }, false);
+                Event::Probed { host, ok, report } => {
+                    self.index.get(host).copied().into_iter().for_each(|i| self.answered(i, *ok));
+                    self.report(*host, if *ok { *report } else { HostReport::default() }, false);
                 }
-                Event::Noted { server, note } => self.report(*server, *note, true),
+                Event::PartialAnswer { host, note } => self.report(*host, *note, true),
                 Event::Sessions(news) => self.sessions.hear(*news, self.now),
                 Event::Timer(_) => {}
-                Event::ByHand { server, out, since } => self.by_hand(*server, *out, *since),
+                Event::HostOverride { host, out, since } => self.by_hand(*host, *out, *since),
                 Event::Peer { from, news } => {
-                    let (servers, groups, index) = (&mut self.servers, &mut self.groups, &self.index);
-                    take_news(servers, groups, index, &mut self.shares, (*from, news), self.now, PROBE_GAP);
+                    let (hosts, groups, index) = (&mut self.hosts, &mut self.groups, &self.index);
+                    take_news(hosts, groups, index, &mut self.shares, (*from, news), self.now, PROBE_GAP);
                 }
                 Event::List { kind, entries } => self.list(*kind, entries),
             }
@@ -223,6 +225,6 @@
 
     /// How much of what the servers do a router does not see: nothing where few routers are, else most.
     fn blur(&self) -> f64 {
-        (1.0 - FEW / f64::from(self.set.routers.max(1))).max(0.0)
+        (1.0 - FEW / f64::from(self.set.proxy_count.max(1))).max(0.0)
     }
 }
--- a/src/logic/freshness.rs
+++ b/src/logic/freshness.rs
@@ -5,9 +5,9 @@
 
 impl Router {
     /// The position that a request brings with it, which its reads must see.
-    pub(super) fn brought(&self, a: &Arrival) -> Micros {
-        let carried = self.set.tokens == Tokens::Carried;
-        let session = carried && self.set.classes[usize::from(a.class)].need == Need::Session;
+    pub(super) fn brought(&self, a: &RequestInfo) -> Micros {
+        let carried = self.set.tokens == SessionTokens::FromClient;
+        let session = carried && self.set.classes[usize::from(a.class)].access == Access::SessionRead;
         match a.token_ms {
             // Rounded up by a millisecond. Of a plain statement the proxy itself saw the write: a bounded
             // read is to see it too.
@@ -21,9 +21,9 @@
     /// The position that a read must see if its attempt begins now. Nothing else answers this question: it is
     /// asked at each choice of a server, and again as the attempt's first byte is about to go.
     pub(super) fn must_see(&self, r: &Request) -> Micros {
-        let session = self.set.classes[r.class].need == Need::Session && !r.plain;
+        let session = self.set.classes[r.class].access == Access::SessionRead && !r.plain;
         let asked_before = r.held || !r.attempts.is_empty();
-        match session && self.set.tokens == Tokens::Remembered {
+        match session && self.set.tokens == SessionTokens::TrackedByProxy {
             false => r.token,
             true if asked_before && mutants::on("sessions are read at arrival") => r.token,
             // The answer to a write that is out may be lost, and its commit be known to its server alone.
@@ -38,7 +38,7 @@
     /// and known positions alone would send every bounded read to the primary. One unheard for long may try,
     /// but not one that started lately: it goes on from an old copy, and a probe will tell.
     pub(super) fn reached(&self, i: usize, plain: bool) -> Micros {
-        let s = &self.servers[i];
+        let s = &self.hosts[i];
         let known = s.position.unwrap_or(0);
         let lately = s.started.is_some_and(|at| at + LIST_AGE > self.now);
         // Of a plain read no server turns one away: only what is known counts.
@@ -57,13 +57,13 @@
     /// Whether what a member is known to have applied is recent enough for a request.
     pub(super) fn current_enough(&self, i: usize, r: &Request) -> bool {
         let reached = || self.reached(i, r.plain);
-        match self.set.classes[r.class].need {
-            Need::Any | Need::Write => true,
-            Need::Bounded(bound) => {
+        match self.set.classes[r.class].access {
+            Access::AnyRead | Access::Write => true,
+            Access::BoundedRead(bound) => {
                 reached().saturating_add(bound) >= self.now && (!r.plain || reached() >= r.token)
             }
-            Need::Session => reached() >= r.token,
-            Need::Fresh => false,
+            Access::SessionRead => reached() >= r.token,
+            Access::StrongRead => false,
         }
     }
 
@@ -83,16 +83,16 @@
         self.requests.entry(id).and_modify(|r| r.token = token);
         let r = &self.requests[&id];
         let Some((latest, before)) = r.attempts.split_last().filter(|_| !r.closed) else { return OVER };
-        let primary = self.groups.get(&r.group).and_then(|g| g.primary) == Some(latest.server);
-        let current = primary || self.checked(r) || self.current_enough(latest.server, r);
-        let effect = self.set.classes[r.class].effect;
+        let primary = self.groups.get(&r.group).and_then(|g| g.primary) == Some(latest.host);
+        let current = primary || self.checked(r) || self.current_enough(latest.host, r);
+        let idempotency = self.set.classes[r.class].idempotency;
         let first = Attempt::may_have_run(before).map(|a| a.sent);
-        let repeatable_until = effect.repeatable_until(first, r.plain);
+        let repeatable_until = idempotency.repeatable_until(first, r.plain);
         RequestStart {
             open: true,
             current,
             repeatable_until,
-            forgotten_at: effect.forgotten_at(first, r.plain),
+            forgotten_at: idempotency.forgotten_at(first, r.plain),
         }
     }
 
@@ -106,10 +106,10 @@
     /// What an answer to what was sent at this time amounts to where it says itself that it is older than the
     /// read may be. Guards against a primary that handed over and has not said so yet.
     pub fn stale_outcome(
-        &self, id: RequestId, from: ServerId, note: &Report, sent: Micros,
+        &self, id: RequestId, from: HostId, note: &HostReport, sent: Micros,
     ) -> Option<Outcome> {
         let r = self.requests.get(&id).filter(|r| !self.checked(r))?;
-        let known = self.index.get(&from).and_then(|&i| self.servers[i].position);
+        let known = self.index.get(&from).and_then(|&i| self.hosts[i].position);
         self.set.classes[r.class].stale_outcome(note, known, r.token, sent)
     }
 }
--- a/src/logic/lifecycle.rs
+++ b/src/logic/lifecycle.rs
@@ -15,17 +15,17 @@
     /// Until when another attempt may begin behind these.
     pub(super) fn repeatable_until(&self, r: &Request, before: &[Attempt]) -> Micros {
         let first = Attempt::may_have_run(before).map(|a| a.sent);
-        self.set.classes[r.class].effect.repeatable_until(first, r.plain)
+        self.set.classes[r.class].idempotency.repeatable_until(first, r.plain)
     }
 
     pub(super) fn may_refuse(&self, r: &Request) -> bool {
         let may_have_run = Attempt::may_have_run(&r.attempts).is_some();
-        let refusable = invariants::may_refuse(self.set.classes[r.class].effect, may_have_run, r.plain);
+        let refusable = invariants::may_refuse(self.set.classes[r.class].idempotency, may_have_run, r.plain);
         refusable || mutants::on("refusals promise anything")
     }
 
-    pub(super) fn arrive(&mut self, a: &Arrival, coming: bool) {
-        self.budgets.request(self.set.routers);
+    pub(super) fn arrive(&mut self, a: &RequestInfo, coming: bool) {
+        self.budgets.request(self.set.proxy_count);
         if self.set.classes.len() <= usize::from(a.class) {
             return self.out.push(Action::Refuse { id: a.id, retry_in: 0 });
         }
@@ -37,7 +37,7 @@
         if self.requests.insert(a.id, r).is_some() {
             return;
         }
-        if self.rng.rand_float() < self.jammed(a.group, class, a.again) {
+        if self.rng.rand_float() < self.jammed(a.group, class, a.client_retry) {
             self.finish(a.id);
         } else {
             self.dispatch(a.id);
@@ -46,7 +46,7 @@
 
     /// What an attempt at a request usually takes: as told, else as its class shows.
     pub(super) fn usual(&self, r: &Request) -> f64 {
-        if r.expected > 0 { r.expected as f64 } else { self.classes[r.class].p50 }
+        if r.expected_duration > 0 { r.expected_duration as f64 } else { self.classes[r.class].p50 }
     }
 
     pub(super) fn dispatch(&mut self, id: RequestId) {
@@ -78,15 +78,17 @@
         let until = r.useful_until(&self.set.classes[r.class]);
         let timeout = if until < r.give_up_at { until.saturating_sub(self.now).max(1) } else { 0 };
         r.held = false;
-        r.attempts.push(Attempt { server: i, sent: self.now, outcome: None });
-        let s = &mut self.servers[i];
+        r.attempts.push(Attempt { host: i, sent: self.now, outcome: None });
+        let s = &mut self.hosts[i];
         s.in_flight += u32::from(!r.coming);
         s.count(Q_OLD);
-        self.out.push(Action::Send { id, server: s.id, timeout });
+        self.out.push(Action::Send { id, host: s.id, timeout });
         if mutants::on("attempts are ordered twice") {
-            self.out.push(Action::Send { id, server: s.id, timeout });
+            self.out.push(Action::Send { id, host: s.id, timeout });
         }
-        if self.set.classes[r.class].need == Need::Write && self.set.tokens == Tokens::Remembered {
+        if self.set.classes[r.class].access == Access::Write
+            && self.set.tokens == SessionTokens::TrackedByProxy
+        {
             self.sessions.begins(r.session);
         }
     }
@@ -99,7 +101,8 @@
             // A try after the aim earns little: send those away for long, the others for a while.
             let most = if self.set.limits.retry_after { self.set.limits.max_retry_after } else { 0 };
             let soon = most / 4 + self.rng.rand_range(0..(most / 4).max(1));
-            let retry_in = if self.now - r.arrived + soon >= c.aim { most } else { soon.min(most) };
+            let retry_in =
+                if self.now - r.arrived + soon >= c.latency_target { most } else { soon.min(most) };
             self.out.push(Action::Refuse { id, retry_in });
         } else {
             self.out.push(Action::Fail(id));
@@ -119,32 +122,33 @@
         }
     }
 
-    pub(super) fn returned(&mut self, e: &Returned) {
+    pub(super) fn returned(&mut self, e: &AttemptResult) {
         let (id, outcome) = (e.id, e.outcome);
         let Some(r) = self.requests.get_mut(&id) else { return };
         let Some(a) = r.attempts.get_mut(usize::from(e.attempt)) else { return };
-        if a.outcome.is_some() || self.index.get(&e.server) != Some(&a.server) {
+        if a.outcome.is_some() || self.index.get(&e.host) != Some(&a.host) {
             return;
         }
         a.outcome = Some(outcome);
-        let i = a.server;
-        let (class, session, group, coming, expected) = (r.class, r.session, r.group, r.coming, r.expected);
+        let i = a.host;
+        let (class, session, group, coming, expected_duration) =
+            (r.class, r.session, r.group, r.coming, r.expected_duration);
         r.closed |= e.finished;
         let closed = r.closed;
-        let need = self.set.classes[class].need;
-        let s = &mut self.servers[i];
+        let access = self.set.classes[class].access;
+        let s = &mut self.hosts[i];
         s.in_flight = s.in_flight.saturating_sub(u32::from(!coming));
         s.count(Q_OLD);
         self.connections(i, outcome, e.latency);
-        self.evidence(i, class, outcome, e.latency, expected);
+        self.evidence(i, class, outcome, e.latency, expected_duration);
         // A member that hands its role over still calls itself primary while it turns writes away: taken for
         // one each time, a held write would spend all its attempts on it within a moment.
-        let untrue = outcome == Outcome::Miss && matches!(need, Need::Write | Need::Fresh);
-        self.report(e.server, Report { role: e.note.role.filter(|_| !untrue), ..e.note }, true);
+        let untrue = outcome == Outcome::Unsuitable && matches!(access, Access::Write | Access::StrongRead);
+        self.report(e.host, HostReport { role: e.note.role.filter(|_| !untrue), ..e.note }, true);
         if untrue {
             self.role(i, Role::Replica, self.now, true);
         }
-        if (need, self.set.tokens) == (Need::Write, Tokens::Remembered) {
+        if (access, self.set.tokens) == (Access::Write, SessionTokens::TrackedByProxy) {
             self.sessions.ends(session, committed_by(e, self.now), self.now);
         }
         let dirty = self.groups.get_mut(&group).is_some_and(|g| {
@@ -172,7 +176,7 @@
                 return self.finish(id);
             }
             self.budgets.retries -= cost;
-        } else if r.attempts.len() >= 3 && outcome == Outcome::Miss {
+        } else if r.attempts.len() >= 3 && outcome == Outcome::Unsuitable {
             // Turned away all round: the next look is with the tick, not at once.
             return self.hold(id);
         }
--- a/src/logic/primary.rs
+++ b/src/logic/primary.rs
@@ -3,9 +3,9 @@
 use super::*;
 
 impl Router {
-    pub(super) fn report(&mut self, server: ServerId, r: Report, direct: bool) {
-        let Some(&i) = self.index.get(&server) else { return };
-        let s = &mut self.servers[i];
+    pub(super) fn report(&mut self, host: HostId, r: HostReport, direct: bool) {
+        let Some(&i) = self.index.get(&host) else { return };
+        let s = &mut self.hosts[i];
         // A position ahead of the clock is no position.
         let position = r.position.filter(|&p| p <= self.now);
         // A report is some time old.
@@ -18,7 +18,7 @@
 
     /// `at` orders claims: an answer is the newest word of its server, a report as old as its position.
     pub(super) fn role(&mut self, i: usize, role: Role, at: Micros, direct: bool) {
-        let s = &mut self.servers[i];
+        let s = &mut self.hosts[i];
         if !direct && at <= s.role_at {
             return;
         }
@@ -31,9 +31,9 @@
                 g.primary = Some(i);
                 g.primary_at = at;
                 g.found_at = self.now;
-                self.servers[i].told_peers = 0;
+                self.hosts[i].told_peers = 0;
                 // What was held meanwhile must not arrive as a flood.
-                self.servers[i].limit = self.servers[i].limit.min(LIMIT);
+                self.hosts[i].limit = self.hosts[i].limit.min(LIMIT);
                 self.out.push(Action::Log(format!("server {id} is primary")));
             }
             Role::Replica if g.primary == Some(i) => {
@@ -55,9 +55,9 @@
         }
         let fits = |id: &&RequestId| {
             let Some(r) = self.requests.get(id) else { return false };
-            let need = self.set.classes[r.class].need;
-            let checked = need == Need::Fresh && self.set.lag_check != LagCheck::Unchecked;
-            (need == Need::Write || checked)
+            let access = self.set.classes[r.class].access;
+            let checked = access == Access::StrongRead && self.set.lag_check != LagCheck::Unchecked;
+            (access == Access::Write || checked)
                 && self.may_send(r)
                 && r.attempts.len() + 1 < self.set.limits.max_attempts
         };
--- a/src/logic/routing.rs
+++ b/src/logic/routing.rs
@@ -6,24 +6,24 @@
     /// Where to send a request now; `None` where it has to wait.
     pub(super) fn route(&mut self, r: &Request) -> Option<usize> {
         let group = self.groups.get(&r.group)?;
-        let need = self.set.classes[r.class].need;
+        let access = self.set.classes[r.class].access;
         let primary = group.primary;
-        if matches!(need, Need::Write | Need::Fresh) {
+        if matches!(access, Access::Write | Access::StrongRead) {
             let i = primary?;
             let open = self.sendable(i, true) && self.healthy(i);
-            return (open && self.servers[i].has_room(self.now) && self.lets_in(i, r, true)).then_some(i);
+            return (open && self.hosts[i].has_room(self.now) && self.lets_in(i, r, true)).then_some(i);
         }
         // One sample says little: a host passes for fast or slow only as far as this router has seen it so.
         let (blur, usual) = (self.blur(), (self.seen.mean, LEAN * self.blur()));
-        let lowest = group.members.iter().filter_map(|&i| self.servers[i].weighed(usual));
+        let lowest = group.members.iter().filter_map(|&i| self.hosts[i].weighed(usual));
         let lowest = lowest.min_by(f64::total_cmp).unwrap_or(DEFAULT_LATENCY_US);
-        let long = need == Need::Any && self.is_long(r.class);
-        let short = need == Need::Any && group.short_at + SHORT_FOR > self.now && !r.plain;
+        let long = access == Access::AnyRead && self.is_long(r.class);
+        let short = access == Access::AnyRead && group.short_at + SHORT_FOR > self.now && !r.plain;
         let mut rank = 0;
         // (tier, score): the lowest tier that has a member decides.
         let mut options: Vec<(u32, f64, usize, bool)> = Vec::new();
         for &i in &group.members {
-            let s = &self.servers[i];
+            let s = &self.hosts[i];
             if !self.sendable(i, false) || !self.lets_in(i, r, false) {
                 continue;
             }
@@ -57,8 +57,8 @@
                 tier = 2;
             }
             tier += if self.healthy(i) { 0 } else { 3 };
-            tier += if r.attempts.iter().any(|a| a.server == i) { 6 } else { 0 };
-            options.push((tier, points, i, self.servers[i].has_room(self.now)));
+            tier += if r.attempts.iter().any(|a| a.host == i) { 6 } else { 0 };
+            options.push((tier, points, i, self.hosts[i].has_room(self.now)));
         }
         let tier = options.iter().map(|o| o.0).min()?;
         // A full tier is waited for: the next one would only turn the read away.
@@ -71,8 +71,8 @@
 
     /// Whether a class is long beside the others: by its work, before any was seen by its aim.
     pub(super) fn is_long(&self, class: usize) -> bool {
-        let (c, aim) = (&self.classes[class], self.set.classes[class].aim as f64);
-        let least = self.set.classes.iter().map(|c| c.aim).min().unwrap_or(0) as f64;
-        if c.mean > 0.0 { self.scale(class, 0) < LONG } else { least < aim * LONG / 2.0 }
+        let (c, latency_target) = (&self.classes[class], self.set.classes[class].latency_target as f64);
+        let least = self.set.classes.iter().map(|c| c.latency_target).min().unwrap_or(0) as f64;
+        if c.mean > 0.0 { self.scale(class, 0) < LONG } else { least < latency_target * LONG / 2.0 }
     }
 }
--- a/src/net/core.rs
+++ b/src/net/core.rs
@@ -12,8 +12,8 @@
 use crate::settings::Dialect;
 use crate::talk;
 use crate::{
-    Action, Arrival, Effect, Entry, Event, GroupId, ListKind, Listed, Micros, Need, Outcome, Report,
-    RequestId, Returned, Role, Router, ServerId, SessionNews, Settings,
+    Access, Action, AttemptResult, Event, GroupId, HostEntry, HostId, HostReport, HostStatus, Idempotency,
+    ListUpdate, Micros, Outcome, RequestId, RequestInfo, Role, Router, SessionEvent, Settings,
 };
 use async_channel::{Receiver, Sender, TryRecvError, unbounded};
 use futures_lite::future;
@@ -83,9 +83,9 @@
 
 /// What a request's task is told to do next.
 #[derive(Debug)]
-pub enum Order {
+pub enum Directive {
     /// Start an attempt, and stop waiting for it at `until`.
-    Attempt { server: ServerId, number: u8, until: Micros },
+    Attempt { host: HostId, number: u8, until: Micros },
     /// Withdraw the attempt that is out.
     Withdraw,
     /// Final: refused, with advice when to come again.
@@ -97,8 +97,8 @@
 /// What the hosts' owner is told to do.
 #[derive(Debug)]
 pub enum Chore {
-    Probe(ServerId),
-    CloseIdle(ServerId),
+    Probe(HostId),
+    CloseIdle(HostId),
 }
 
 /// A request as the core knows it, whatever protocol brought it.
@@ -121,11 +121,11 @@
 
 /// How one attempt ended, with what the answer told of its server.
 pub struct Ending {
-    pub server: ServerId,
+    pub host: HostId,
     pub number: u8,
     pub outcome: Outcome,
     pub latency: Duration,
-    pub note: Report,
+    pub note: HostReport,
 }
 
 /// What is counted of a class since the start, whatever protocol brought its requests.
@@ -154,7 +154,7 @@
 }
 
 struct Open {
-    orders: Sender<Order>,
+    orders: Sender<Directive>,
     give_up_at: Micros,
     attempts: u8,
     /// Its last bytes are still to come: it is not taken yet.
@@ -167,12 +167,12 @@
     open: BTreeMap<RequestId, Open>,
     last_id: RequestId,
     timers: BinaryHeap<Reverse<(Micros, u64)>>,
-    names: BTreeMap<ServerId, String>,
-    ids: BTreeMap<String, ServerId>,
+    names: BTreeMap<HostId, String>,
+    ids: BTreeMap<String, HostId>,
     /// Servers by what all proxies call them; none where two are called so.
-    shared: BTreeMap<u32, Option<ServerId>>,
+    shared: BTreeMap<u32, Option<HostId>>,
     /// Those that have left the list, and when.
-    left: BTreeMap<ServerId, Micros>,
+    left: BTreeMap<HostId, Micros>,
     groups: BTreeSet<GroupId>,
     calls: Vec<Calls>,
 }
@@ -187,7 +187,7 @@
     /// Closes, refusals, repeats and broken invariants.
     pub events: Rc<Events>,
     /// What a second run of each class's requests does.
-    effects: Vec<Effect>,
+    effects: Vec<Idempotency>,
     kept: Micros,
     /// For how long discovery may be silent before the list of before will have to do.
     silent: Duration,
@@ -215,10 +215,10 @@
         let (chores, todo) = unbounded();
         let limits = &settings.limits;
         let retry_in = if limits.retry_after { limits.max_retry_after / 4 } else { 0 };
-        let silent = if backoff::takes_turns(settings.routers) { Duration::ZERO } else { SILENT };
-        let kept = settings.safety.cold.saturating_mul(KEPT_COLD);
-        let effects = settings.classes.iter().map(|c| c.effect).collect();
-        let worth = |c: &crate::Class| HeadroomClass { worth: c.worth, writes: c.need == Need::Write };
+        let silent = if backoff::takes_turns(settings.proxy_count) { Duration::ZERO } else { SILENT };
+        let kept = settings.safety.cold_duration.saturating_mul(KEPT_COLD);
+        let effects = settings.classes.iter().map(|c| c.idempotency).collect();
+        let worth = |c: &crate::Class| HeadroomClass { worth: c.worth, writes: c.access == Access::Write };
         let worths = settings.classes.iter().map(worth).collect();
         let inner = Inner {
             router: Router::new(settings.clone(), seed),
@@ -330,11 +330,11 @@
 
     /// Whether repeats of a class's requests are dropped by a key.
     pub fn is_keyed(&self, class: u8) -> bool {
-        matches!(self.effect(class), Some(Effect::Keyed(..)))
+        matches!(self.idempotency(class), Some(Idempotency::Keyed(..)))
     }
 
     /// What a second run of a class's requests does.
-    pub fn effect(&self, class: u8) -> Option<Effect> {
+    pub fn idempotency(&self, class: u8) -> Option<Idempotency> {
         self.effects.get(usize::from(class)).copied()
     }
 
@@ -366,8 +366,8 @@
     /// Operators leave a database host out, or use it again. A name that no list holds yet is kept for
     /// when one does.
     pub fn by_hand(&self, name: &str, out: bool, since: Micros) {
-        let server = self.inner.borrow_mut().number(name);
-        self.feed(Event::ByHand { server, out, since });
+        let host = self.inner.borrow_mut().number(name);
+        self.feed(Event::HostOverride { host, out, since });
     }
 
     /// Whether operators leave a database host out.
@@ -377,8 +377,8 @@
     }
 
     /// Since when operators leave a database host out, if they do.
-    pub fn out_since(&self, server: ServerId) -> Option<Micros> {
-        self.inner.borrow().router.out_since(server)
+    pub fn out_since(&self, host: HostId) -> Option<Micros> {
+        self.inner.borrow().router.out_since(host)
     }
 
     /// A request came in: the ticket through which its task hears of it. Where its last bytes are still
@@ -395,19 +395,19 @@
         let now = self.clock.now();
         // 0 stands for no token, so a commit of this very moment counts as a little older.
         let age = call.after.map_or(0.0, |at| (now.saturating_sub(at) as f32 / 1e3).max(0.001));
-        let arrival = Arrival {
+        let arrival = RequestInfo {
             id,
             class: call.class,
             session: call.session,
             give_up_at: call.give_up_at,
             group: call.group,
             token_ms: age,
-            again: call.again,
+            client_retry: call.again,
             tenant: call.tenant,
             plain: call.plain,
-            expected: call.expected,
+            expected_duration: call.expected,
         };
-        self.feed(if coming { Event::Coming(arrival) } else { Event::Request(arrival) });
+        self.feed(if coming { Event::RequestHead(arrival) } else { Event::Request(arrival) });
         Ticket { core: self, id, mailbox, answered: Cell::new(false), of: (call.class, call.group) }
     }
 
@@ -428,7 +428,7 @@
 
     /// Whether another process serves the same clients: what it answers binds the reads of this one's sessions.
     pub fn other_process(&self, runs: bool) {
-        self.feed(Event::Sessions(SessionNews::OtherProcess(runs)));
+        self.feed(Event::Sessions(SessionEvent::OtherProcess(runs)));
     }
 
     /// The answer to a request has begun and is passed on in pieces: where it is a write, what keeps its session's
@@ -437,29 +437,29 @@
         if !self.worths.get(usize::from(call.class))?.writes {
             return None;
         }
-        self.feed(Event::Sessions(SessionNews::StreamBegins(call.session)));
+        self.feed(Event::Sessions(SessionEvent::StreamBegins(call.session)));
         Some(StreamedWrite { core: self.clone(), session: call.session, commit: None })
     }
 
     /// An answer that is not whole yet has told this of its server.
-    pub fn noted(&self, server: ServerId, note: Report) {
+    pub fn noted(&self, host: HostId, note: HostReport) {
         if !mutants::on("notes wait for the answer's end") {
-            self.feed(Event::Noted { server, note });
+            self.feed(Event::PartialAnswer { host, note });
         }
     }
 
     /// A probe returned.
-    pub fn probed(&self, server: ServerId, report: Option<Report>) {
+    pub fn probed(&self, host: HostId, report: Option<HostReport>) {
         let ok = report.is_some();
-        self.feed(Event::Probed { server, ok, report: report.unwrap_or_default() });
+        self.feed(Event::Probed { host, ok, report: report.unwrap_or_default() });
     }
 
     /// News of the list, in the module's numbers. Returns the number of every entry.
-    pub fn list(&self, listing: &Listing, cached: bool) -> Vec<ServerId> {
+    pub fn list(&self, listing: &Listing, cached: bool) -> Vec<HostId> {
         let kind = match (cached, listing.full) {
-            (true, _) => ListKind::Cached,
-            (false, true) => ListKind::Full,
-            (false, false) => ListKind::Delta,
+            (true, _) => ListUpdate::Cached,
+            (false, true) => ListUpdate::Full,
+            (false, false) => ListUpdate::Delta,
         };
         let place = |names: &[String], name: &str| {
             let found = names.iter().position(|n| n == name);
@@ -467,24 +467,24 @@
         };
         let mut entries = Vec::new();
         for e in &listing.entries {
-            let server = self.inner.borrow_mut().number(&e.name);
+            let host = self.inner.borrow_mut().number(&e.name);
             self.inner.borrow_mut().groups.insert(e.group);
-            entries.push(Entry {
-                server,
+            entries.push(HostEntry {
+                host,
                 zone: place(&self.dialect.zones, &e.zone),
                 kind: place(&self.dialect.kinds, &e.kind),
                 group: e.group,
                 state: match e.status {
-                    Status::Serving => Listed::Ready,
-                    Status::Draining => Listed::Draining,
-                    Status::Deleted => Listed::Gone,
+                    Status::Serving => HostStatus::Ready,
+                    Status::Draining => HostStatus::Draining,
+                    Status::Deleted => HostStatus::Removed,
                 },
                 weight: e.weight,
                 primary: e.writer,
                 started: if mutants::on("cold is warm") { 0 } else { Clock::from_unix_ms(e.since_ms) },
             });
         }
-        let ids: Vec<ServerId> = entries.iter().map(|e| e.server).collect();
+        let ids: Vec<HostId> = entries.iter().map(|e| e.host).collect();
         self.inner.borrow_mut().note_leavers(&entries, listing.full, self.clock.now());
         if !cached {
             self.listed.0.close();
@@ -494,18 +494,18 @@
             self.feed(list);
         } else {
             // Together: what comes before the first list would put off the first probes.
-            self.feed_all(&[Event::Sessions(SessionNews::Started), list]);
+            self.feed_all(&[Event::Sessions(SessionEvent::Started), list]);
         }
         ids
     }
 
     /// Lets go of the names that left the list long ago, and returns their numbers. Guards against a
     /// day on which servers are replaced by new ones without end.
-    pub fn forget(&self) -> Vec<ServerId> {
+    pub fn forget(&self) -> Vec<HostId> {
         let now = self.clock.now();
         let mut inner = self.inner.borrow_mut();
         let Inner { left, names, ids, router, shared, .. } = &mut *inner;
-        let gone: Vec<ServerId> = left
+        let gone: Vec<HostId> = left
             .iter()
             .filter(|(id, at)| **at + self.kept < now && router.out_since(**id).is_none())
             .map(|(id, _)| *id)
@@ -534,38 +534,38 @@
         inner.router.handle(self.clock.now(), events, &mut actions);
         for action in actions.drain(..) {
             match action {
-                Action::Send { id, server, timeout } => {
+                Action::Send { id, host, timeout } => {
                     let Some(open) = inner.open.get_mut(&id) else { continue };
                     let until = match timeout {
                         0 => open.give_up_at,
                         span => open.give_up_at.min(self.clock.now().saturating_add(span)),
                     };
-                    let order = Order::Attempt { server, number: open.attempts, until };
+                    let order = Directive::Attempt { host, number: open.attempts, until };
                     open.attempts = open.attempts.saturating_add(1);
                     tell(open, order);
                 }
                 Action::Refuse { .. } | Action::Fail(_) if mutants::on("no final answer") => {}
                 Action::Refuse { id, retry_in } => {
-                    inner.open.get(&id).into_iter().for_each(|o| tell(o, Order::Refuse { retry_in }));
+                    inner.open.get(&id).into_iter().for_each(|o| tell(o, Directive::Refuse { retry_in }));
                 }
-                Action::Fail(id) => inner.open.get(&id).into_iter().for_each(|o| tell(o, Order::Fail)),
+                Action::Fail(id) => inner.open.get(&id).into_iter().for_each(|o| tell(o, Directive::Fail)),
                 Action::Cancel(id, _) => {
-                    inner.open.get(&id).into_iter().for_each(|o| tell(o, Order::Withdraw));
+                    inner.open.get(&id).into_iter().for_each(|o| tell(o, Directive::Withdraw));
                 }
                 Action::Timer { at, mark } => inner.timers.push(Reverse((at, mark))),
-                Action::Probe(server) => drop(self.chores.try_send(Chore::Probe(server))),
-                Action::CloseIdle(server) => drop(self.chores.try_send(Chore::CloseIdle(server))),
+                Action::Probe(host) => drop(self.chores.try_send(Chore::Probe(host))),
+                Action::CloseIdle(host) => drop(self.chores.try_send(Chore::CloseIdle(host))),
                 Action::Log(text) => {
                     // Operators know names, the module numbers.
                     let number = text.split(' ').nth(1).unwrap_or("");
-                    match number.parse().ok().and_then(|id: ServerId| inner.names.get(&id)) {
+                    match number.parse().ok().and_then(|id: HostId| inner.names.get(&id)) {
                         Some(name) => {
                             info!(target: "module", host = %name, "{}", text.replacen(number, name, 1))
                         }
                         None => info!(target: "module", "{text}"),
                     }
                 }
-                Action::TellAll(news) => {
+                Action::Broadcast(news) => {
                     if let Some(says) = self.says.borrow().as_ref() {
                         let shared = |id| inner.names.get(&id).map(|name| shared_name(name));
                         let items = news.into_iter().filter_map(|n| talk::item(n, shared)).collect();
@@ -608,25 +608,25 @@
 }
 
 impl Inner {
-    fn note_leavers(&mut self, entries: &[Entry], full: bool, now: Micros) {
-        let named: BTreeSet<ServerId> = entries.iter().map(|e| e.server).collect();
+    fn note_leavers(&mut self, entries: &[HostEntry], full: bool, now: Micros) {
+        let named: BTreeSet<HostId> = entries.iter().map(|e| e.host).collect();
         let missing = self.names.keys().filter(|id| full && !named.contains(id));
-        let deleted = entries.iter().filter(|e| e.state == Listed::Gone).map(|e| &e.server);
+        let deleted = entries.iter().filter(|e| e.state == HostStatus::Removed).map(|e| &e.host);
         for id in missing.chain(deleted) {
             self.left.entry(*id).or_insert(now);
         }
-        for e in entries.iter().filter(|e| e.state != Listed::Gone) {
-            self.left.remove(&e.server);
+        for e in entries.iter().filter(|e| e.state != HostStatus::Removed) {
+            self.left.remove(&e.host);
         }
     }
 
     /// A server's number: drawn from its name, so that all proxies agree on the order of servers.
-    fn number(&mut self, name: &str) -> ServerId {
+    fn number(&mut self, name: &str) -> HostId {
         if let Some(&id) = self.ids.get(name) {
             return id;
         }
         let shared = shared_name(name);
-        let mut id: ServerId = shared;
+        let mut id: HostId = shared;
         while self.names.contains_key(&id) {
             id = id.wrapping_add(1);
         }
@@ -638,7 +638,7 @@
     }
 }
 
-fn tell(open: &Open, order: Order) {
+fn tell(open: &Open, order: Directive) {
     // The mailbox is unbounded, and closed only when its request is over.
     let _ = open.orders.try_send(order);
 }
@@ -653,7 +653,7 @@
 
 impl Drop for StreamedWrite {
     fn drop(&mut self) {
-        self.core.feed(Event::Sessions(SessionNews::StreamEnds(self.session, self.commit)));
+        self.core.feed(Event::Sessions(SessionEvent::StreamEnds(self.session, self.commit)));
     }
 }
 
@@ -661,7 +661,7 @@
 pub struct Ticket<'a> {
     core: &'a Core,
     id: RequestId,
-    mailbox: Receiver<Order>,
+    mailbox: Receiver<Directive>,
     answered: Cell<bool>,
     /// Its class and group.
     of: (u8, GroupId),
@@ -669,11 +669,11 @@
 
 impl Ticket<'_> {
     /// The module's next order for this request.
-    pub async fn order(&self) -> Order {
+    pub async fn order(&self) -> Directive {
         match self.mailbox.recv().await {
             Ok(order) => order,
             // The core outlives every ticket.
-            Err(_) => Order::Fail,
+            Err(_) => Directive::Fail,
         }
     }
 
@@ -683,9 +683,9 @@
     }
 
     /// What this answer to what was sent at that time amounts to, where the module holds it to be too old.
-    pub fn stale_outcome(&self, server: ServerId, note: &Report, sent: Micros) -> Option<Outcome> {
+    pub fn stale_outcome(&self, host: HostId, note: &HostReport, sent: Micros) -> Option<Outcome> {
         let inner = self.core.inner.borrow();
-        let outcome = inner.router.stale_outcome(self.id, server, note, sent);
+        let outcome = inner.router.stale_outcome(self.id, host, note, sent);
         outcome.filter(|_| !mutants::on("stale answers pass"))
     }
 
@@ -694,7 +694,7 @@
         if let Some(open) = self.core.inner.borrow_mut().open.get_mut(&self.id) {
             (open.coming, open.give_up_at) = (false, give_up_at);
         }
-        self.core.feed(Event::Whole(self.id, give_up_at));
+        self.core.feed(Event::RequestComplete(self.id, give_up_at));
     }
 
     /// An attempt of this request ended; its connection is given back or closed by now.
@@ -703,31 +703,31 @@
         self.answered.set(finished);
         let how = match e.outcome {
             Outcome::Ok => Tried::Served(e.latency.as_micros() as u64),
-            Outcome::Miss => Tried::Missed,
+            Outcome::Unsuitable => Tried::Missed,
             _ => Tried::Else,
         };
         self.core.note(|r| r.tried(self.of.0, self.of.1, how));
         if let Some(headroom) = self.core.headroom.borrow_mut().as_mut() {
             let ended = match e.outcome {
                 Outcome::Ok => Ended::Served(e.latency.as_micros() as u64),
-                Outcome::Full | Outcome::Timeout => Ended::Full,
+                Outcome::Overloaded | Outcome::Timeout => Ended::Full,
                 _ => Ended::Else,
             };
             let now = self.core.clock.now();
-            headroom.tried(self.of.0, self.of.1, e.server, ended, now);
+            headroom.tried(self.of.0, self.of.1, e.host, ended, now);
             if let (Some(Role::Replica), Some(at)) = (e.note.role, e.note.position) {
                 headroom.behind(self.of.1, now.saturating_sub(at), now);
             }
         }
-        self.core.feed(Event::Outcome(Returned {
+        self.core.feed(Event::Outcome(AttemptResult {
             id: self.id,
             attempt: e.number,
-            server: e.server,
+            host: e.host,
             outcome: e.outcome,
             latency: e.latency.as_micros() as Micros,
             finished,
             note: e.note,
-            report: Report::default(),
+            report: HostReport::default(),
         }));
     }
 
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -31,7 +31,7 @@
     core: &Core, hosts: &Hosts,
 ) {
     let mut index = known;
-    let (mut news, answer) = (News::default(), backoff.answer);
+    let (mut news, answer) = (PeerUpdate::default(), backoff.answer);
     let mut wait = if known.is_some() { backoff.soon() } else { Duration::ZERO };
     if mutants::on("starts late") {
         wait = Duration::from_secs(12);
@@ -74,7 +74,7 @@
 /// One connection: the whole list where none is known, then a watch until it ends.
 async fn session(
     agent: SocketAddr, answer: Duration, index: &mut Option<u64>, accepted: &mut Option<Instant>,
-    news: &mut News, core: &Core, hosts: &Hosts,
+    news: &mut PeerUpdate, core: &Core, hosts: &Hosts,
 ) -> Result<(), String> {
     let path = match *index {
         None => PATH.to_string(),
@@ -133,7 +133,7 @@
 
 /// The messages of a watch, put together from their lines: a list may come indented, over many of them.
 #[derive(Default)]
-struct News {
+struct PeerUpdate {
     /// Lines of a message that is not whole yet, and how far into it they lead.
     text: Vec<u8>,
     depth: usize,
@@ -144,7 +144,7 @@
     spoilt: bool,
 }
 
-impl News {
+impl PeerUpdate {
     /// What was begun is over, whatever it was; whether there was something.
     fn drop_begun(&mut self) -> bool {
         (self.depth, self.quoted, self.escaped) = Default::default();
--- a/src/net/events.rs
+++ b/src/net/events.rs
@@ -53,13 +53,13 @@
         Some(match outcome {
             Outcome::Ok => return None,
             Outcome::Error => RepeatReason::Error,
-            Outcome::Full => RepeatReason::Full,
+            Outcome::Overloaded => RepeatReason::Full,
             Outcome::Timeout => RepeatReason::Timeout,
             Outcome::ConnectFailed => RepeatReason::ConnectFailed,
             Outcome::Reset => RepeatReason::Reset,
             Outcome::Cancelled => RepeatReason::Cancelled,
-            Outcome::Moot => RepeatReason::NotStarted,
-            Outcome::Miss => RepeatReason::Miss,
+            Outcome::NotSent => RepeatReason::NotStarted,
+            Outcome::Unsuitable => RepeatReason::Miss,
         })
     }
 }
--- a/src/net/hosts.rs
+++ b/src/net/hosts.rs
@@ -12,7 +12,7 @@
 use crate::invariants::{self, Denial, RequestStart, Start, Started};
 use crate::mutants;
 use crate::pg::{self, Backend, Column, ErrorFields, Passed, Passing, PlainError, Statement};
-use crate::{Micros, Outcome, Report, Role, ServerId};
+use crate::{HostId, HostReport, Micros, Outcome, Role};
 use async_channel::Receiver;
 pub use connection::Attempted;
 use connection::{AFTERMATH, Answered, Broken, Connection, Slot, note_from};
@@ -55,7 +55,7 @@
 
 /// A connection on which one attempt may be written.
 pub struct Opened {
-    server: ServerId,
+    host_id: HostId,
     connection: Connection,
 }
 
@@ -120,7 +120,7 @@
     opened: Opened,
     passing: Passing,
     /// What the answer tells of its server, so far.
-    pub note: Report,
+    pub note: HostReport,
     /// What has come and is for the client.
     pub beginning: Vec<u8>,
     /// Its session is not as it was.
@@ -183,7 +183,7 @@
 /// Owner of all connections to database hosts.
 pub struct Hosts {
     core: Rc<Core>,
-    hosts: RefCell<BTreeMap<ServerId, Host>>,
+    hosts: RefCell<BTreeMap<HostId, Host>>,
     open: Rc<Cell<usize>>,
     most: Budget,
     dial_timeout: Duration,
@@ -226,7 +226,7 @@
     }
 
     /// News of the list; `ids` are the numbers of its entries.
-    pub fn listed(&self, ids: &[ServerId], listing: &Listing) {
+    pub fn listed(&self, ids: &[HostId], listing: &Listing) {
         let mut hosts = self.hosts.borrow_mut();
         for gone in self.core.forget() {
             hosts.remove(&gone);
@@ -271,11 +271,11 @@
     /// so far.
     #[allow(clippy::too_many_arguments, reason = "all that an attempt depends on")]
     pub async fn attempt(
-        &self, server: ServerId, statement: &Statement, writes: bool, until: Micros,
-        asks: impl Fn(Micros) -> Asking, written: impl FnOnce(), heard: &Cell<Report>,
+        &self, host_id: HostId, statement: &Statement, writes: bool, until: Micros,
+        asks: impl Fn(Micros) -> Asking, written: impl FnOnce(), heard: &Cell<HostReport>,
     ) -> Attempted {
         let deadline = self.core.clock.instant(until);
-        let (opened, start) = match self.open(server, &statement.id, until, asks).await {
+        let (opened, start) = match self.open(host_id, &statement.id, until, asks).await {
             Ok(opened) => opened,
             Err(outcome) => return Attempted::without_answer(outcome),
         };
@@ -354,12 +354,12 @@
                     self.give_back_plain(answer);
                 }
                 let outcome = match pg::plain_error(&e.code, writes) {
-                    PlainError::Miss => Outcome::Miss,
-                    PlainError::Full => Outcome::Full,
+                    PlainError::Miss => Outcome::Unsuitable,
+                    PlainError::Full => Outcome::Overloaded,
                     PlainError::Failed => Outcome::Error,
                     PlainError::Answer => {
                         let rejected = Some(e);
-                        return Attempted { note, rejected, ..Attempted::without_answer(Outcome::Moot) };
+                        return Attempted { note, rejected, ..Attempted::without_answer(Outcome::NotSent) };
                     }
                 };
                 Attempted { note, ..Attempted::without_answer(outcome) }
@@ -378,59 +378,59 @@
     pub fn give_back_plain(&self, answer: PlainAnswer) {
         // Guards against a setting, or an open transaction, that the next client's statement would meet.
         if !answer.changed && answer.opened.connection.inbox.is_empty() {
-            self.give_back(answer.opened.server, answer.opened.connection);
+            self.give_back(answer.opened.host_id, answer.opened.connection);
         }
     }
 
     /// A connection on which an attempt may be written, or the outcome that its lack amounts to. `asks` is called once it
     /// is up, however late: what the choice of the server rested on may be true no longer.
     pub async fn open(
-        &self, server: ServerId, id: &str, until: Micros, asks: impl Fn(Micros) -> Asking,
+        &self, host_id: HostId, id: &str, until: Micros, asks: impl Fn(Micros) -> Asking,
     ) -> Result<(Opened, CheckedStart), Outcome> {
         let deadline = self.core.clock.instant(until);
         let begun = world::now();
         let dialled = (begun + self.dial_timeout).min(deadline);
         let shortage = Cell::new(false);
-        let connection = match by(dialled, self.connection(server, &shortage)).await {
+        let connection = match by(dialled, self.connection(host_id, &shortage)).await {
             Some(connection) => connection?,
             // What this machine lacks says nothing of the host.
-            None if shortage.get() => return Err(Outcome::Moot),
+            None if shortage.get() => return Err(Outcome::NotSent),
             // Nothing was written, so it is no time-out. Guards against a lost host passing for a slow
             // one: a class whose time is shorter than the dial's would never show that it is out of
             // reach. A dial that was given too little time to tell proves nothing of the host.
-            None if world::since(begun) < TELLS.min(self.dial_timeout / 2) => return Err(Outcome::Moot),
+            None if world::since(begun) < TELLS.min(self.dial_timeout / 2) => return Err(Outcome::NotSent),
             None => return Err(Outcome::ConnectFailed),
         };
         let at = self.core.clock.now();
         let Asking { client_left, request } = asks(at);
-        let (off_for, drain_grace) = (self.off_for(server), self.drain_grace);
+        let (off_for, drain_grace) = (self.off_for(host_id), self.drain_grace);
         let start = Start { off_for, drain_grace, client_left, request };
         if let Err(denial) = invariants::may_start(&start, at) {
             self.core.events.denied(id, denial);
             if denial != Denial::HostOff {
-                self.give_back(server, connection);
+                self.give_back(host_id, connection);
             }
-            return Err(Outcome::Moot);
+            return Err(Outcome::NotSent);
         }
-        Ok((Opened { server, connection }, CheckedStart { start, at }))
+        Ok((Opened { host_id, connection }, CheckedStart { start, at }))
     }
 
     /// The answer to what was written, by this time at the latest. What it has told of the server counts, also where it
     /// does not end in time: guards against a primary that says it is none and is read from as one.
-    pub async fn answer(&self, mut opened: Opened, until: Micros, heard: &Cell<Report>) -> Attempted {
+    pub async fn answer(&self, mut opened: Opened, until: Micros, heard: &Cell<HostReport>) -> Attempted {
         let soon = if mutants::on("an attempt is left behind") { 50_000 } else { Micros::MAX };
         let until = until.min(self.core.clock.now().saturating_add(soon));
-        let (server, told) = (opened.server, Cell::new(false));
+        let (host_id, told) = (opened.host_id, Cell::new(false));
         // What binds is told at once, though the rest of the answer may never come.
         let waits = || {
             if heard.get().role == Some(Role::Replica) && !told.replace(true) {
-                self.core.noted(server, heard.get());
+                self.core.noted(host_id, heard.get());
             }
         };
         match by(self.core.clock.instant(until), opened.connection.answer(heard, waits)).await {
             Some(Answered::Whole(attempted, reusable)) => {
                 if reusable {
-                    self.give_back(opened.server, opened.connection);
+                    self.give_back(opened.host_id, opened.connection);
                 }
                 attempted
             }
@@ -442,7 +442,7 @@
             }
             // Guards against a host that answers late, into the next request's connection.
             None if mutants::on("late answers stay") => {
-                self.give_back(opened.server, opened.connection);
+                self.give_back(opened.host_id, opened.connection);
                 Attempted::without_answer(Outcome::Timeout)
             }
             None if mutants::on("an attempt is left behind") => {
@@ -455,8 +455,8 @@
 
     /// What comes behind the value of a long answer: the command's tag, if it ends as it should.
     pub async fn finish(&self, long: Box<LongAnswer>) -> Option<String> {
-        let LongAnswer { opened: Opened { server, mut connection }, write, .. } = *long;
-        let mut note = Report::default();
+        let LongAnswer { opened: Opened { host_id, mut connection }, write, .. } = *long;
+        let mut note = HostReport::default();
         let Backend::CommandComplete(tag) = by(world::now() + STALLED, connection.next(&mut note)).await??
         else {
             return None;
@@ -468,20 +468,20 @@
         }
         if note.role == Some(Role::Replica) {
             // The value was read long before: where it stood then says nothing of how far it is behind.
-            self.core.noted(server, Report { position: None, ..note });
+            self.core.noted(host_id, HostReport { position: None, ..note });
         }
         if ready == Some(Backend::ReadyForQuery) && connection.inbox.is_empty() {
-            self.give_back(server, connection);
+            self.give_back(host_id, connection);
         }
         Some(tag)
     }
 
     /// Asks a host for its report.
-    async fn probe(&self, server: ServerId) {
+    async fn probe(&self, host_id: HostId) {
         let by_when = world::now() + self.dial_timeout;
         let report = by(by_when, async {
-            let mut connection = self.connection(server, &Cell::default()).await.ok()?;
-            if !invariants::takes_new(self.off_for(server), self.drain_grace) {
+            let mut connection = self.connection(host_id, &Cell::default()).await.ok()?;
+            if !invariants::takes_new(self.off_for(host_id), self.drain_grace) {
                 return None;
             }
             let mut query = Vec::new();
@@ -492,24 +492,24 @@
                 return None;
             };
             if reusable {
-                self.give_back(server, connection);
+                self.give_back(host_id, connection);
             }
             let value = attempted.row?.value?;
             Some(self.report(std::str::from_utf8(&value).ok()?))
         });
         let report = report.await.flatten();
-        self.core.probed(server, report);
+        self.core.probed(host_id, report);
     }
 
     /// Reads `x0=1767225600.123,x1=1,util=0.61`.
-    fn report(&self, text: &str) -> Report {
+    fn report(&self, text: &str) -> HostReport {
         let d = &self.core.dialect;
         let get = |index: Option<usize>| {
             let name = d.fields.get(index?)?;
             let value = text.split(',').filter_map(|p| p.split_once('=')).find(|p| p.0.trim() == name)?.1;
             value.trim().parse::<f64>().ok().filter(|v| v.is_finite() && *v >= 0.0)
         };
-        Report {
+        HostReport {
             position: get(d.position).map(Clock::from_unix_s),
             role: get(d.role).map(|r| if r > 0.5 { Role::Primary } else { Role::Replica }),
             in_flight: get(d.in_flight),
@@ -517,20 +517,20 @@
     }
 
     /// For how long the host has been known to drain, to be gone or to be left out, if it is.
-    fn off_for(&self, server: ServerId) -> Option<Micros> {
-        let told = self.hosts.borrow().get(&server).and_then(|h| h.off_since);
+    fn off_for(&self, host_id: HostId) -> Option<Micros> {
+        let told = self.hosts.borrow().get(&host_id).and_then(|h| h.off_since);
         let told = told.map(|at| world::since(at).as_micros() as Micros);
-        let since = self.core.out_since(server);
+        let since = self.core.out_since(host_id);
         let by_hand = since.map(|at| self.core.clock.now().saturating_sub(at));
         told.max(by_hand)
     }
 
     /// An idle connection that still stands, or a new one; or the outcome that its lack amounts to.
     /// `shortage` tells whether one could not be dialled for want of something on this machine.
-    async fn connection(&self, server: ServerId, shortage: &Cell<bool>) -> Result<Connection, Outcome> {
+    async fn connection(&self, host_id: HostId, shortage: &Cell<bool>) -> Result<Connection, Outcome> {
         let address = {
             let mut hosts = self.hosts.borrow_mut();
-            let host = hosts.get_mut(&server).ok_or(Outcome::ConnectFailed)?;
+            let host = hosts.get_mut(&host_id).ok_or(Outcome::ConnectFailed)?;
             while let Some(connection) = host.idle.pop() {
                 if connection.usable(self.fresh) {
                     return Ok(connection);
@@ -539,7 +539,7 @@
             host.address
         };
         // Our own want of a descriptor says nothing of the host's health.
-        let slot = self.slot().ok_or(Outcome::Moot)?;
+        let slot = self.slot().ok_or(Outcome::NotSent)?;
         Connection::dial(address, slot, &self.startup, shortage).await
     }
 
@@ -555,12 +555,12 @@
         Some(Slot(self.open.clone()))
     }
 
-    fn give_back(&self, server: ServerId, mut connection: Connection) {
-        if self.off_for(server).is_some() {
+    fn give_back(&self, host_id: HostId, mut connection: Connection) {
+        if self.off_for(host_id).is_some() {
             return;
         }
         let mut hosts = self.hosts.borrow_mut();
-        let Some(host) = hosts.get_mut(&server) else { return };
+        let Some(host) = hosts.get_mut(&host_id) else { return };
         connection.idle_since = world::now();
         // Guards against keeping a connection to where the host no longer is.
         if connection.address == host.address {
@@ -568,8 +568,8 @@
         }
     }
 
-    fn close_idle(&self, server: ServerId) {
-        self.hosts.borrow_mut().get_mut(&server).into_iter().for_each(|h| h.idle.clear());
+    fn close_idle(&self, host_id: HostId) {
+        self.hosts.borrow_mut().get_mut(&host_id).into_iter().for_each(|h| h.idle.clear());
     }
 
     /// Closes idle connections that ended or grew old, for as long as the program runs.
@@ -586,10 +586,10 @@
     pub async fn run_chores(self: Rc<Hosts>, todo: Receiver<Chore>, executor: Spawner) {
         while let Ok(chore) = todo.recv().await {
             match chore {
-                Chore::CloseIdle(server) => self.close_idle(server),
-                Chore::Probe(server) => {
+                Chore::CloseIdle(host_id) => self.close_idle(host_id),
+                Chore::Probe(host_id) => {
                     let hosts = self.clone();
-                    executor.spawn(async move { hosts.probe(server).await });
+                    executor.spawn(async move { hosts.probe(host_id).await });
                 }
             }
         }
--- a/src/net/hosts/connection.rs
+++ b/src/net/hosts/connection.rs
@@ -7,7 +7,7 @@
 use crate::net::world::{self, Stream};
 use crate::net::{by, complain, read};
 use crate::pg::{self, Backend, Column, ErrorFields, Inbox, Row, code};
-use crate::{Outcome, Report, Role};
+use crate::{HostReport, Outcome, Role};
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -52,7 +52,7 @@
 /// What came of an attempt.
 pub struct Attempted {
     pub outcome: Outcome,
-    pub note: Report,
+    pub note: HostReport,
     pub row: Option<Row>,
     /// What the host holds against the statement itself, as any other host would.
     pub rejected: Option<ErrorFields>,
@@ -73,7 +73,7 @@
 
 /// Takes in a note of a host's; false if it is none of those that answers carry, but says that a setting of the
 /// session has changed.
-pub(super) fn note_from(note: &mut Report, name: &str, value: &str) -> bool {
+pub(super) fn note_from(note: &mut HostReport, name: &str, value: &str) -> bool {
     match (name, value) {
         ("server_role", "writer") => note.role = Some(Role::Primary),
         ("server_role", "reader") => note.role = Some(Role::Replica),
@@ -92,7 +92,7 @@
     /// With whether the connection may serve another.
     Whole(Attempted, bool),
     Long {
-        note: Report,
+        note: HostReport,
         column: Column,
         value: usize,
     },
@@ -124,7 +124,9 @@
         loop {
             match connection.message().await {
                 Ok(Backend::ReadyForQuery) => return Ok(connection),
-                Ok(Backend::Error(e)) if e.code == code::TOO_MANY_CONNECTIONS => return Err(Outcome::Full),
+                Ok(Backend::Error(e)) if e.code == code::TOO_MANY_CONNECTIONS => {
+                    return Err(Outcome::Overloaded);
+                }
                 Ok(Backend::AuthenticationOk | Backend::ParameterStatus { .. } | Backend::Skipped) => {}
                 Ok(other) => {
                     complain(|| format!("hosts: {address}: {other:?} at a session's start"));
@@ -170,7 +172,7 @@
     }
 
     /// The next message that is more than a note; notes are taken in.
-    pub(super) async fn next(&mut self, note: &mut Report) -> Option<Backend> {
+    pub(super) async fn next(&mut self, note: &mut HostReport) -> Option<Backend> {
         loop {
             match self.message().await.ok()? {
                 Backend::ParameterStatus { name, value } => drop(note_from(note, &name, &value)),
@@ -183,8 +185,8 @@
     /// Reads the answer to the query that is out: what it amounts to, and whether the connection may serve another.
     /// `waits` is called before each wait for more of it. Once it is complete but for the word that the host is ready
     /// again, that is waited for only as long as it makes no difference.
-    pub(super) async fn answer(&mut self, heard: &Cell<Report>, waits: impl Fn()) -> Answered {
-        let (mut note, mut rejected) = (Report::default(), None);
+    pub(super) async fn answer(&mut self, heard: &Cell<HostReport>, waits: impl Fn()) -> Answered {
+        let (mut note, mut rejected) = (HostReport::default(), None);
         let (mut column, mut value, mut row, mut refused) = (None, None, None, None);
         let mut complete_since = None;
         let ended = loop {
@@ -196,7 +198,7 @@
                 Ok(Backend::ParameterStatus { name, value }) => {
                     note_from(&mut note, &name, &value);
                     // Heard at the end of an attempt that waits out its time, a claim to be the primary is an old one.
-                    heard.set(Report { role: note.role.filter(|role| *role == Role::Replica), ..note });
+                    heard.set(HostReport { role: note.role.filter(|role| *role == Role::Replica), ..note });
                 }
                 Ok(Backend::RowDescription(mut columns)) if columns.len() == 1 => column = columns.pop(),
                 Ok(Backend::DataRow(mut values)) if values.len() == 1 && value.is_none() => {
@@ -222,13 +224,13 @@
         }
         let outcome = match (&refused, &row, &ended) {
             (Some(e), ..) => match e.code.as_str() {
-                code::READ_ONLY | code::SNAPSHOT_TOO_OLD => Outcome::Miss,
-                code::TOO_MANY_CONNECTIONS => Outcome::Full,
+                code::READ_ONLY | code::SNAPSHOT_TOO_OLD => Outcome::Unsuitable,
+                code::TOO_MANY_CONNECTIONS => Outcome::Overloaded,
                 // Guards against a statement that makes no sense being tried at one host after the
                 // other, and being held against each of them.
                 other if code::blames_statement(other) => {
                     rejected = refused.take();
-                    Outcome::Moot
+                    Outcome::NotSent
                 }
                 _ => Outcome::Error,
             },
--- a/src/net/life.rs
+++ b/src/net/life.rs
@@ -3,7 +3,7 @@
 //! a host or judge an outcome: at each point of choice it asks the core.
 
 use super::admission::Admission;
-use super::core::{Call, Core, Ending, Order, Ticket};
+use super::core::{Call, Core, Directive, Ending, Ticket};
 use super::events::RefusalReason;
 use super::hosts::{Asking, Attempted, CheckedStart, Hosts, LongAnswer, Opened, PlainAnswer};
 use super::line::{Abandoned, Came, Line};
@@ -12,7 +12,7 @@
 use crate::invariants::{self, Violation};
 use crate::mutants;
 use crate::pg::{self, ErrorFields, Row, Statement};
-use crate::{Micros, Outcome, Report, ServerId};
+use crate::{HostId, HostReport, Micros, Outcome};
 use futures_lite::future;
 use std::cell::Cell;
 use std::future::poll_fn;
@@ -184,7 +184,7 @@
 
 /// One attempt, as the module orders it.
 struct Attempt {
-    server: ServerId,
+    host: HostId,
     number: u8,
     until: Micros,
     /// When it began, for what the module hears of its host.
@@ -195,7 +195,7 @@
 /// What ended an attempt.
 enum Happened {
     Ended(Attempted),
-    Ordered(Order),
+    Ordered(Directive),
     Uploaded(Result<Opened, Upload>),
     Abandoned(Abandoned),
 }
@@ -216,7 +216,7 @@
     /// The end of the request.
     Done(Option<Answer>),
     /// The module's next order, where it has come already.
-    Order(Option<Order>),
+    Order(Option<Directive>),
 }
 
 impl Life<'_, '_> {
@@ -257,15 +257,15 @@
                     return self.last_answer(why, &statement.id, sent_on.get());
                 }
             };
-            let (server, number, until) = match next {
-                Order::Attempt { server, number, until } => (server, number, until),
-                Order::Refuse { retry_in } => {
+            let (host, number, until) = match next {
+                Directive::Attempt { host, number, until } => (host, number, until),
+                Directive::Refuse { retry_in } => {
                     self.check_refusal(call, &statement.id, may_have_run);
                     return self.refuse(&statement.id, RefusalReason::Module, retry_in);
                 }
-                Order::Fail => return whole(Verdict::Failed),
+                Directive::Fail => return whole(Verdict::Failed),
                 // The attempt ended on its own just before.
-                Order::Withdraw => continue,
+                Directive::Withdraw => continue,
             };
             if let Some(outcome) = before.take() {
                 core.events.repeated(&statement.id, outcome);
@@ -273,14 +273,14 @@
             let heard = Cell::default();
             let begun = world::now();
             let begun_at = core.clock.micros(begun);
-            let mut attempt = Attempt { server, number, until, begun, begun_at };
+            let mut attempt = Attempt { host, number, until, begun, begun_at };
             let coming = self.client.left();
             // Whichever comes first; the others are dropped here, and with an attempt its connection:
             // it is closed before the module hears of it, so that no second copy can be out.
             let mut happened = if coming > 0 {
                 self.upload(&attempt, &ticket, statement).await
             } else {
-                let attempt = pin!(hosts.attempt(server, statement, writes, until, asks, written, &heard));
+                let attempt = pin!(hosts.attempt(host, statement, writes, until, asks, written, &heard));
                 self.beside(attempt, &ticket).await
             };
             // What was passed on in pieces is not here any more for another attempt.
@@ -308,12 +308,12 @@
                     if once {
                         ticket.answered();
                     }
-                    attempt.ended(&ticket, outcome, Report::default());
+                    attempt.ended(&ticket, outcome, HostReport::default());
                     let refused = || self.refuse(&statement.id, RefusalReason::NoConnection, core.retry_in);
                     if once { Next::Done(refused()) } else { Next::Order(None) }
                 }
                 Happened::Ordered(other) => {
-                    if matches!(other, Order::Attempt { .. }) {
+                    if matches!(other, Directive::Attempt { .. }) {
                         let about = format_args!("id {:?}", statement.id);
                         core.events.violated(Violation::SecondAttempt, &about);
                     }
@@ -322,7 +322,7 @@
                 }
                 Happened::Uploaded(_) => {
                     ticket.abandoned();
-                    attempt.ended(&ticket, Outcome::Cancelled, Report::default());
+                    attempt.ended(&ticket, Outcome::Cancelled, HostReport::default());
                     Next::Done(None)
                 }
                 Happened::Abandoned(why) => {
@@ -340,7 +340,9 @@
     }
 
     /// The module's next order, or why none is followed any more.
-    async fn next_order(&mut self, ticket: &Ticket<'_>, had: Option<Order>) -> Result<Order, Abandoned> {
+    async fn next_order(
+        &mut self, ticket: &Ticket<'_>, had: Option<Directive>,
+    ) -> Result<Directive, Abandoned> {
         let abandoned = async { Err(self.client.abandoned().await) };
         let ordered = async {
             match had {
@@ -368,8 +370,8 @@
 
     /// Tells where a request is refused that must not run again, and may have run.
     fn check_refusal(&self, call: &Call, id: &str, may_have_run: bool) {
-        let Some(effect) = self.core.effect(call.class) else { return };
-        if !invariants::may_refuse(effect, may_have_run, call.plain) {
+        let Some(idempotency) = self.core.idempotency(call.class) else { return };
+        if !invariants::may_refuse(idempotency, may_have_run, call.plain) {
             self.core.events.violated(Violation::RefusedAfterRun, &format_args!("id {id:?}"));
         }
     }
@@ -402,7 +404,7 @@
             attempt.ended(ticket, outcome, note);
             return Next::Done(whole(Verdict::Plain(bytes)));
         }
-        let stale = || ticket.stale_outcome(attempt.server, &note, attempt.begun_at);
+        let stale = || ticket.stale_outcome(attempt.host, &note, attempt.begun_at);
         if let Some(stale) = row.as_ref().filter(|_| !once).and_then(|_| stale()) {
             (outcome, row) = (stale, None);
         }
@@ -438,7 +440,7 @@
         let upload = async {
             let client = &self.client;
             let asks = |now| Asking { client_left: client.has_left(), request: ticket.starts(now) };
-            let opened = hosts.open(attempt.server, &statement.id, attempt.until, asks).await;
+            let opened = hosts.open(attempt.host, &statement.id, attempt.until, asks).await;
             let (opened, start) = opened.map_err(Upload::NoConnection)?;
             match &mut self.client {
                 Client::Reading { line, left } => {
@@ -467,9 +469,9 @@
 
 impl Attempt {
     /// It has ended: the module hears how.
-    fn ended(&self, ticket: &Ticket<'_>, outcome: Outcome, note: Report) {
+    fn ended(&self, ticket: &Ticket<'_>, outcome: Outcome, note: HostReport) {
         let latency = world::since(self.begun);
-        ticket.ended(Ending { server: self.server, number: self.number, outcome, latency, note });
+        ticket.ended(Ending { host: self.host, number: self.number, outcome, latency, note });
     }
 }
 
--- a/src/net/line.rs
+++ b/src/net/line.rs
@@ -82,7 +82,7 @@
 }
 
 /// Bytes that came behind a request that is open.
-struct Arrival {
+struct RequestInfo {
     /// The number of bytes that had come by then.
     upto: u64,
     at: Instant,
@@ -99,7 +99,7 @@
     /// How many bytes have come.
     received: u64,
     /// When those came that were read behind an open request.
-    arrivals: VecDeque<Arrival>,
+    arrivals: VecDeque<RequestInfo>,
     /// The memory of requests that were taken and not answered yet.
     pub taken_bytes: usize,
     share: Share,
@@ -418,13 +418,13 @@
     /// Keeps when these bytes came, which were read behind an open request.
     fn arrived(&mut self, count: usize) {
         if self.arrivals.is_empty() && self.inbox.len() > count {
-            self.arrivals.push_back(Arrival { upto: self.received, at: self.heard });
+            self.arrivals.push_back(RequestInfo { upto: self.received, at: self.heard });
         }
         self.received += count as u64;
         let many = self.arrivals.len() >= MAX_ARRIVALS;
         match self.arrivals.back_mut() {
             Some(last) if many => last.upto = self.received,
-            _ => self.arrivals.push_back(Arrival { upto: self.received, at: world::now() }),
+            _ => self.arrivals.push_back(RequestInfo { upto: self.received, at: world::now() }),
         }
     }
 
--- a/src/net/proxy.rs
+++ b/src/net/proxy.rs
@@ -97,8 +97,10 @@
         }
         executor.spawn(capture::run(core.clone(), file.capture.clone(), config.name.clone()));
         let (moves, moved) = async_channel::unbounded();
-        let (discovery, backoff) =
-            (config.discovery, Backoff::new(config.settings.list_mode, config.settings.routers, config.seed));
+        let (discovery, backoff) = (
+            config.discovery,
+            Backoff::new(config.settings.list_mode, config.settings.proxy_count, config.seed),
+        );
         let watch = {
             let (core, hosts) = (core.clone(), hosts.clone());
             async move { discovery::run(discovery, moved, known, backoff, &core, &hosts).await }
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -2,7 +2,7 @@
 //! and their checks; every message names the key and its place in the file. Everything in it is off where it is
 //! not written. It must never be read piece by piece: it is taken whole or not at all.
 
-use crate::{Need, Settings};
+use crate::{Access, Settings};
 use garde::Validate;
 use schemars::JsonSchema;
 use serde::Deserialize;
@@ -325,7 +325,7 @@
 
 /// The classes of the platform's settings, and whether each takes writes.
 pub fn classes(settings: &Settings, names: &[String]) -> Classes {
-    let writes = settings.classes.iter().map(|c| c.need == Need::Write);
+    let writes = settings.classes.iter().map(|c| c.access == Access::Write);
     names.iter().cloned().zip(writes).collect()
 }
 
--- a/src/sessions.rs
+++ b/src/sessions.rs
@@ -4,7 +4,7 @@
 //! way, at any moment of that, so the write may be committed without this proxy having heard of it. Once the attempt
 //! has ended, the commit lies at the position its answer told, or at the moment of the end at the latest.
 
-use crate::api::{Micros, Outcome, Returned, SessionNews};
+use crate::api::{AttemptResult, Micros, Outcome, SessionEvent};
 use crate::mutants;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -38,15 +38,15 @@
 
 impl Sessions {
     /// Takes in what sessions write beside attempts.
-    pub fn hear(&mut self, news: SessionNews, now: Micros) {
+    pub fn hear(&mut self, news: SessionEvent, now: Micros) {
         match news {
-            SessionNews::Started => self.raise_floor(now),
-            SessionNews::OtherProcess(runs) => {
+            SessionEvent::Started => self.raise_floor(now),
+            SessionEvent::OtherProcess(runs) => {
                 self.written_elsewhere = runs;
                 self.raise_floor(now);
             }
-            SessionNews::StreamBegins(session) => self.begins(session),
-            SessionNews::StreamEnds(session, commit) => {
+            SessionEvent::StreamBegins(session) => self.begins(session),
+            SessionEvent::StreamEnds(session, commit) => {
                 self.ends(session, Some(commit.unwrap_or(now)), now);
             }
         }
@@ -107,7 +107,7 @@
 
 /// Where a write attempt may have run, the position that it was committed at, at the latest. What ended without its
 /// answer counts as committed at its end: the answer may be on its way, or unread.
-pub(crate) fn committed_by(ended: &Returned, now: Micros) -> Option<Micros> {
+pub(crate) fn committed_by(ended: &AttemptResult, now: Micros) -> Option<Micros> {
     match (ended.outcome, ended.note.position) {
         (Outcome::Ok, Some(position)) => Some(position),
         (Outcome::Ok, None) => Some(now),
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -5,7 +5,8 @@
 //! and returns values; it must never read a file or the environment, nor decide anything.
 
 use crate::api::{
-    Class, DedupScope, Effect, LagCheck, Limits, ListMode, ListRole, Need, Safety, Settings, Tokens,
+    Access, Class, DedupScope, Idempotency, LagCheck, Limits, ListMode, ListRole, Safety, SessionTokens,
+    Settings,
 };
 use serde::Deserialize;
 use std::fmt;
@@ -194,20 +195,20 @@
     }
     let mut classes = Vec::with_capacity(conf.classes.len());
     for (i, c) in conf.classes.iter().enumerate() {
-        let need = match family.class_read[i].as_str() {
-            "eventual" => Need::Any,
+        let access = match family.class_read[i].as_str() {
+            "eventual" => Access::AnyRead,
             "lag_bound" => match family.staleness_bound_us.get(i) {
-                Some(bound) => Need::Bounded(*bound as u64),
+                Some(bound) => Access::BoundedRead(*bound as u64),
                 None => return Err(SettingsError(format!("settings: no stalenessBoundUs[{i}]"))),
             },
-            "causal" => Need::Session,
-            "strong" => Need::Fresh,
-            "mutate" => Need::Write,
+            "causal" => Access::SessionRead,
+            "strong" => Access::StrongRead,
+            "mutate" => Access::Write,
             other => return bad("classRead", other),
         };
-        let effect = match c.effect.as_str() {
-            "retryable" => Effect::Safe,
-            "fragile" => Effect::Unsafe,
+        let idempotency = match c.effect.as_str() {
+            "retryable" => Idempotency::Idempotent,
+            "fragile" => Idempotency::NotIdempotent,
             "dedup" => {
                 let scope = match c.dedup_scope.as_str() {
                     "all" => DedupScope::All,
@@ -216,18 +217,18 @@
                     other => return bad("dedupScope", other),
                 };
                 let kept = if crate::mutants::on("keys are kept longer") { 3 } else { 1 };
-                Effect::Keyed(scope, c.dedup_window_us as u64 * kept)
+                Idempotency::Keyed(scope, c.dedup_window_us as u64 * kept)
             }
             other => return bad("effect", other),
         };
         classes.push(Class {
-            need,
-            effect,
-            aim: c.slo_us as u64,
+            access,
+            idempotency,
+            latency_target: c.slo_us as u64,
             deadline: c.deadline_us as u64,
             worth: c.worth,
             late_worth: c.late_worth,
-            aim_stretch: c.aim_stretch,
+            latency_target_stretch: c.aim_stretch,
         });
     }
     if let Some(t) = conf.tenants.iter().find(|t| !(0.0..1e12).contains(&t.quota_rps)) {
@@ -254,7 +255,7 @@
     };
     let settings = Settings {
         // One that is not counted is there all the same.
-        routers: (conf.balancers as u32).max(1),
+        proxy_count: (conf.balancers as u32).max(1),
         ordinal: conf.ordinal,
         zone: conf.zone,
         classes,
@@ -264,20 +265,20 @@
             other => return bad("membershipMode", other),
         },
         list_role: match family.role_in_list.as_str() {
-            "trailing" => ListRole::Late,
-            "static" => ListRole::Start,
-            "silent" => ListRole::Silent,
+            "trailing" => ListRole::Delayed,
+            "static" => ListRole::AtStartup,
+            "silent" => ListRole::Absent,
             other => return bad("roleInList", other),
         },
         lag_check: match family.behind.as_str() {
             "silent" => LagCheck::Unchecked,
-            "bounce" => LagCheck::Refuse,
+            "bounce" => LagCheck::Reject,
             "await" => LagCheck::Wait(family.catch_up_wait_us as u64),
             other => return bad("behind", other),
         },
         tokens: match family.write_marks.as_str() {
-            "brought" => Tokens::Carried,
-            "kept" => Tokens::Remembered,
+            "brought" => SessionTokens::FromClient,
+            "kept" => SessionTokens::TrackedByProxy,
             other => return bad("writeMarks", other),
         },
         crossings_cost: conf.fees.cross_zone > 0.0,
@@ -288,7 +289,7 @@
             peers: l.peer_messages,
             retry_after: l.retry_after,
             max_retry_after: l.max_retry_after_us as u64,
-            second_copies: l.second_copies,
+            hedging: l.second_copies,
             // Attempts are told apart by a byte.
             max_attempts: l.most_tries.min(u32::from(u8::MAX)) as usize,
         },
@@ -296,10 +297,10 @@
             drain_grace: s.drain_grace_us as u64,
             only_draining_binds: s.drain_binds_alone,
             start_capacity: s.start_capacity,
-            cold: s.cold_us as u64,
-            tip_multiple: s.tip_multiple,
-            overload_for: s.overload_for_us as u64,
-            ask_within: s.ask_within_us as u64,
+            cold_duration: s.cold_us as u64,
+            overload_multiple: s.tip_multiple,
+            overload_duration: s.overload_for_us as u64,
+            max_list_age: s.ask_within_us as u64,
         },
         quotas: conf.tenants.iter().map(|t| t.quota_rps).collect(),
         over_quota_worth: conf.over_share_worth,
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,20 +1,21 @@
 //! Plain records that `logic.rs` keeps, and what they take in. Nothing is chosen here.
 
 use crate::api::{
-    Arrival, Class, Entry, GroupId, Listed, Micros, News, Outcome, RequestId, Safety, ServerId, Settings,
+    Class, GroupId, HostEntry, HostId, HostStatus, Micros, Outcome, PeerUpdate, RequestId, RequestInfo,
+    Safety, Settings,
 };
 use crate::mutants;
 use std::collections::{BTreeMap, VecDeque};
 
 /// What this router knows of one server.
 #[derive(Default)]
-pub(crate) struct Server {
-    pub id: ServerId,
+pub(crate) struct HostState {
+    pub id: HostId,
     /// No server: a place kept for the next one.
     pub vacant: bool,
     pub group: GroupId,
     pub zone: u8,
-    pub listed: Listed,
+    pub listed: HostStatus,
     /// When the list first named it; 0 if the first list did.
     pub joined: Micros,
     /// When the router was told that it drains or is gone.
@@ -67,7 +68,7 @@
 /// What a server's last latency has over the usual one halves so often in the time for which latencies count.
 const FADES: f64 = 4.0;
 
-impl Server {
+impl HostState {
     /// Adds a latency to the list, which keeps the newest `most`.
     pub fn sample(&mut self, now: Micros, latency: f64, most: usize) {
         push(&mut self.samples, (now, latency), most);
@@ -105,14 +106,15 @@
     }
 
     /// Takes in its state on the list; false if it is the same as before.
-    pub fn listed_as(&mut self, state: Listed, now: Micros) -> bool {
+    pub fn listed_as(&mut self, state: HostStatus, now: Micros) -> bool {
         if state == self.listed {
             return false;
         }
-        if self.listed == Listed::Ready {
+        if self.listed == HostStatus::Ready {
             self.told_at = now;
         }
-        self.seen_draining = state == Listed::Draining || (self.seen_draining && state == Listed::Gone);
+        self.seen_draining =
+            state == HostStatus::Draining || (self.seen_draining && state == HostStatus::Removed);
         self.listed = state;
         true
     }
@@ -153,7 +155,7 @@
     /// Its present share of its full capacity, while it is cold.
     pub fn cold_share(&self, now: Micros, safety: &Safety) -> Option<f64> {
         let age = now.saturating_sub(self.started?) as f64;
-        let rise = age / safety.cold.max(1) as f64;
+        let rise = age / safety.cold_duration.max(1) as f64;
         let start = safety.start_capacity;
         (rise < 1.0).then(|| (start + (1.0 - start) * rise).clamp(0.01, 1.0))
     }
@@ -161,16 +163,16 @@
     /// Takes in the start that the list tells; one that is `new` there with none has just started. The clock that it
     /// is told by may differ from this one: one ahead of it was just now, and so was one that is `news` and some time
     /// ago, since news of a start come within seconds.
-    pub fn started_at(&mut self, started: Micros, now: Micros, cold: Micros, new: bool, news: bool) {
+    pub fn started_at(&mut self, started: Micros, now: Micros, cold_duration: Micros, new: bool, news: bool) {
         // Another start than before, not only a later one: a clock may have been stepped back between.
         if started != self.listed_start && started > 0 {
             self.listed_start = started;
             let age = now.saturating_sub(started);
-            let too_old_for_news = news && (cold + LATEST_NEWS..MOST_SKEW).contains(&age);
+            let too_old_for_news = news && (cold_duration + LATEST_NEWS..MOST_SKEW).contains(&age);
             let is_skewed = started > now || too_old_for_news;
             let by_another_clock = is_skewed && !mutants::on("starts are believed");
             let at = if by_another_clock { now } else { started };
-            if at <= now && at.saturating_add(cold) > now {
+            if at <= now && at.saturating_add(cold_duration) > now {
                 self.restarted(at);
             }
         } else if new && started == 0 {
@@ -205,9 +207,9 @@
 }
 
 /// How many servers are listed, and how many of them drain, answer no connections, or are left out.
-pub(crate) fn count(servers: &[Server], out: impl Fn(&Server) -> bool) -> (usize, usize) {
-    let listed = || servers.iter().filter(|s| s.listed != Listed::Gone);
-    let away = |s: &&Server| s.listed == Listed::Draining || s.strikes > 0 || out(s);
+pub(crate) fn count(hosts: &[HostState], out: impl Fn(&HostState) -> bool) -> (usize, usize) {
+    let listed = || hosts.iter().filter(|s| s.listed != HostStatus::Removed);
+    let away = |s: &&HostState| s.listed == HostStatus::Draining || s.strikes > 0 || out(s);
     (listed().count(), listed().filter(away).count())
 }
 
@@ -301,8 +303,8 @@
     /// Counts one more read.
     pub fn add(&mut self, now: Micros, half: f64, outcome: Outcome, slow: bool) {
         *self = self.at(now, half);
-        self.late += f64::from(matches!(outcome, Outcome::Timeout | Outcome::Full));
-        self.missed += f64::from(outcome == Outcome::Miss);
+        self.late += f64::from(matches!(outcome, Outcome::Timeout | Outcome::Overloaded));
+        self.missed += f64::from(outcome == Outcome::Unsuitable);
         self.served += f64::from(outcome == Outcome::Ok);
         self.slow += f64::from(outcome == Outcome::Ok && slow);
         self.of += 1.0;
@@ -324,7 +326,7 @@
 /// this one is its part of what they are asked, as far as they tell each other; else all count alike.
 #[derive(Default)]
 pub(crate) struct Shares {
-    routers: f64,
+    proxy_count: f64,
     tenants: Vec<Share>,
     /// What other routers were asked last, in requests a second, and when they said so.
     others: BTreeMap<u16, (Micros, Vec<f64>)>,
@@ -352,10 +354,10 @@
 const TOLD_FOR: Micros = 3_000_000;
 
 impl Shares {
-    pub fn new(quotas: &[f64], routers: u32) -> Shares {
+    pub fn new(quotas: &[f64], proxy_count: u32) -> Shares {
         let share = |&quota: &f64| Share { quota, asked: 0.0, left: 0.0, at: 0 };
-        let routers = f64::from(routers.max(1));
-        Shares { routers, tenants: quotas.iter().map(share).collect(), ..Shares::default() }
+        let proxy_count = f64::from(proxy_count.max(1));
+        Shares { proxy_count, tenants: quotas.iter().map(share).collect(), ..Shares::default() }
     }
 
     /// Counts one more request of a tenant; whether it lies beyond the quota, of which a moment's worth may
@@ -366,7 +368,7 @@
         let fresh = self.others.values().filter(|o| o.0 + TOLD_FOR > now);
         let (heard, others) = fresh.fold((0, 0.0), |s, o| (s.0 + 1, s.1 + o.1.get(t).unwrap_or(&0.0)));
         let share = &mut self.tenants[t];
-        let part = if heard > 0 { own / (own + others).max(1e-9) } else { 1.0 / self.routers };
+        let part = if heard > 0 { own / (own + others).max(1e-9) } else { 1.0 / self.proxy_count };
         let (mine, idle) = (share.quota * part, now.saturating_sub(share.at) as f64);
         share.asked = share.asked * (-idle / ASKED_HALF).exp2() + 1.0;
         share.left = (share.left + mine * idle / 1e6).min((mine * AT_ONCE).max(1.0));
@@ -377,12 +379,15 @@
     }
 
     /// What each tenant asks this router for, where it is time to tell the others.
-    pub fn news(&mut self, now: Micros) -> Vec<News> {
+    pub fn news(&mut self, now: Micros) -> Vec<PeerUpdate> {
         if now < self.told_at + TELL_EVERY {
             return Vec::new();
         }
         self.told_at = now;
-        (0..).zip(&self.tenants).map(|(tenant, t)| News::Asked { tenant, per_s: t.rate(now) }).collect()
+        (0..)
+            .zip(&self.tenants)
+            .map(|(tenant, t)| PeerUpdate::TenantRate { tenant, per_s: t.rate(now) })
+            .collect()
     }
 
     /// Another router was asked for so much.
@@ -439,10 +444,10 @@
     }
 
     /// A request has come to one of so many routers.
-    pub fn request(&mut self, routers: u32) {
+    pub fn request(&mut self, proxy_count: u32) {
         self.retries = (self.retries + RETRY_SHARE).min(RETRY_MAX);
         self.probes = (self.probes + PROBE_SHARE).min(PROBE_MAX);
-        self.peer_bytes = (self.peer_bytes + PEER_BYTES).min(PEER_MESSAGE * f64::from(routers));
+        self.peer_bytes = (self.peer_bytes + PEER_BYTES).min(PEER_MESSAGE * f64::from(proxy_count));
     }
 }
 
@@ -534,7 +539,7 @@
 
 /// One attempt; no outcome yet while it is outstanding.
 pub(crate) struct Attempt {
-    pub server: usize,
+    pub host: usize,
     pub sent: Micros,
     pub outcome: Option<Outcome>,
 }
@@ -565,7 +570,7 @@
     /// Servers know nothing of its terms.
     pub plain: bool,
     /// What an attempt is expected to take; 0 where only the class tells.
-    pub expected: Micros,
+    pub expected_duration: Micros,
     /// The attempt whose answer has begun to stream.
     pub streaming: Option<usize>,
     pub closed: bool,
@@ -575,15 +580,15 @@
 
 impl Request {
     /// One that has arrived, as told.
-    pub fn of(a: &Arrival) -> Request {
-        let &Arrival { group, session, give_up_at, plain, expected, class, .. } = a;
+    pub fn of(a: &RequestInfo) -> Request {
+        let &RequestInfo { group, session, give_up_at, plain, expected_duration, class, .. } = a;
         Request {
             class: usize::from(class),
             group,
             session,
             give_up_at,
             plain,
-            expected,
+            expected_duration,
             ..Request::default()
         }
     }
@@ -597,8 +602,8 @@
     }
     /// Until when an answer is worth anything.
     pub fn useful_until(&self, c: &Class) -> Micros {
-        if c.aim_stretch <= 0.0 && (c.late_worth <= 0.0 || (self.held && c.late_worth < 0.5)) {
-            self.give_up_at.min(self.arrived.saturating_add(c.aim))
+        if c.latency_target_stretch <= 0.0 && (c.late_worth <= 0.0 || (self.held && c.late_worth < 0.5)) {
+            self.give_up_at.min(self.arrived.saturating_add(c.latency_target))
         } else {
             self.give_up_at
         }
@@ -617,17 +622,17 @@
 /// What there is to tell the peers, so many pieces: what tenants ask for now and then, and the positions that they have
 /// not been told for longest.
 pub(crate) fn news(
-    servers: &mut [Server], groups: &BTreeMap<GroupId, Group>, shares: &mut Shares, now: Micros, room: usize,
-) -> Vec<News> {
+    hosts: &mut [HostState], groups: &BTreeMap<GroupId, Group>, shares: &mut Shares, now: Micros, room: usize,
+) -> Vec<PeerUpdate> {
     let mut news = shares.news(now);
-    let fresh = |i: &usize| servers[*i].position > Some(servers[*i].told_peers);
-    let mut untold: Vec<usize> = (0..servers.len()).filter(fresh).collect();
-    untold.sort_by_key(|&i| servers[i].told_peers);
+    let fresh = |i: &usize| hosts[*i].position > Some(hosts[*i].told_peers);
+    let mut untold: Vec<usize> = (0..hosts.len()).filter(fresh).collect();
+    untold.sort_by_key(|&i| hosts[i].told_peers);
     for i in untold.into_iter().take(room.saturating_sub(news.len())) {
-        let s = &mut servers[i];
+        let s = &mut hosts[i];
         s.told_peers = s.position.unwrap_or(0);
         let primary = groups.get(&s.group).is_some_and(|g| g.primary == Some(i));
-        news.push(News::Stands { server: s.id, position: s.told_peers, primary });
+        news.push(PeerUpdate::HostPosition { host: s.id, position: s.told_peers, primary });
     }
     news
 }
@@ -636,14 +641,14 @@
 /// check make good where it is wrong, and never as a position known; a primary is one to ask first. The one that is
 /// held for it is dropped only where that left something unanswered since: one word ousts nobody.
 pub(crate) fn told(
-    servers: &mut [Server], groups: &mut BTreeMap<GroupId, Group>, i: usize, (at, primary): (Micros, bool),
+    hosts: &mut [HostState], groups: &mut BTreeMap<GroupId, Group>, i: usize, (at, primary): (Micros, bool),
     now: Micros, later: Micros,
 ) {
     if at > now {
         // Ahead of the clock, it is no position.
         return;
     }
-    let s = &mut servers[i];
+    let s = &mut hosts[i];
     if s.position.max(Some(s.told_peers)) < Some(at) {
         s.lag = s.lag.clamp((now - at).saturating_sub(later), now - at);
         (s.heard_at, s.unheard) = (now, false);
@@ -656,21 +661,21 @@
         && g.primary != Some(i)
     {
         g.hint = Some(i);
-        g.primary = g.primary.filter(|&p| servers[p].silent_at == 0);
+        g.primary = g.primary.filter(|&p| hosts[p].silent_at == 0);
     }
 }
 
 /// Takes in what another router says.
 pub(crate) fn take_news(
-    servers: &mut [Server], groups: &mut BTreeMap<GroupId, Group>, index: &BTreeMap<ServerId, usize>,
-    shares: &mut Shares, (from, news): (u16, &[News]), now: Micros, later: Micros,
+    hosts: &mut [HostState], groups: &mut BTreeMap<GroupId, Group>, index: &BTreeMap<HostId, usize>,
+    shares: &mut Shares, (from, news): (u16, &[PeerUpdate]), now: Micros, later: Micros,
 ) {
     for n in news {
         match *n {
-            News::Asked { tenant, per_s } => shares.told(from, tenant, per_s, now),
-            News::Stands { server, position, primary } => {
-                let Some(&i) = index.get(&server) else { continue };
-                told(servers, groups, i, (position, primary), now, later);
+            PeerUpdate::TenantRate { tenant, per_s } => shares.told(from, tenant, per_s, now),
+            PeerUpdate::HostPosition { host, position, primary } => {
+                let Some(&i) = index.get(&host) else { continue };
+                told(hosts, groups, i, (position, primary), now, later);
             }
         }
     }
@@ -679,28 +684,28 @@
 /// A request whose bytes were still coming is whole: its time begins, and its attempt is one in hand.
 /// Guards against a client that writes slowly passing for a slow server, or filling its limit.
 pub(crate) fn whole(
-    servers: &mut [Server], requests: &mut BTreeMap<RequestId, Request>, id: RequestId, give_up_at: Micros,
+    hosts: &mut [HostState], requests: &mut BTreeMap<RequestId, Request>, id: RequestId, give_up_at: Micros,
     now: Micros,
 ) {
     let Some(r) = requests.get_mut(&id).filter(|r| r.coming) else { return };
     (r.coming, r.arrived, r.give_up_at) = (false, now, give_up_at);
     for a in r.attempts.iter_mut().filter(|a| a.outcome.is_none()) {
         a.sent = now;
-        servers[a.server].in_flight += 1;
+        hosts[a.host].in_flight += 1;
     }
 }
 
 /// Takes the age of what is out at each server, in units of the mean class, and its in-flight count.
 pub(crate) fn age(
-    servers: &mut [Server], requests: &BTreeMap<RequestId, Request>, scales: &[f64], now: Micros, old: f64,
+    hosts: &mut [HostState], requests: &BTreeMap<RequestId, Request>, scales: &[f64], now: Micros, old: f64,
 ) {
-    for s in servers.iter_mut() {
+    for s in hosts.iter_mut() {
         s.pending = 0.0;
         s.count(old);
     }
     for r in requests.values().filter(|r| !r.coming) {
         for a in r.attempts.iter().filter(|a| a.outcome.is_none()) {
-            let s = &mut servers[a.server];
+            let s = &mut hosts[a.host];
             s.pending = s.pending.max((now - a.sent) as f64 * scales[r.class]);
         }
     }
@@ -709,12 +714,12 @@
 /// Lets servers go that left before this time and that no request has been to, and keeps their places
 /// for new ones. Those that only left the list without draining go only if `any` may.
 pub(crate) fn forget(
-    servers: &mut [Server], index: &mut BTreeMap<ServerId, usize>, groups: &mut BTreeMap<GroupId, Group>,
+    hosts: &mut [HostState], index: &mut BTreeMap<HostId, usize>, groups: &mut BTreeMap<GroupId, Group>,
     requests: &BTreeMap<RequestId, Request>, any: bool, before: Micros,
 ) {
-    for (i, s) in servers.iter_mut().enumerate() {
-        let gone = s.listed == Listed::Gone && (any || s.seen_draining) && s.told_at < before;
-        if s.vacant || !gone || requests.values().any(|r| r.attempts.iter().any(|a| a.server == i)) {
+    for (i, s) in hosts.iter_mut().enumerate() {
+        let gone = s.listed == HostStatus::Removed && (any || s.seen_draining) && s.told_at < before;
+        if s.vacant || !gone || requests.values().any(|r| r.attempts.iter().any(|a| a.host == i)) {
             continue;
         }
         index.remove(&s.id);
@@ -723,25 +728,25 @@
             g.primary = g.primary.filter(|&m| m != i);
             g.hint = g.hint.filter(|&m| m != i);
         }
-        *s = Server { vacant: true, listed: Listed::Gone, ..Server::default() };
+        *s = HostState { vacant: true, listed: HostStatus::Removed, ..HostState::default() };
     }
 }
 
 /// Adds a server that the list names for the first time, or anew after it was forgotten.
-pub(crate) fn add_server(
-    servers: &mut Vec<Server>, index: &mut BTreeMap<ServerId, usize>, groups: &mut BTreeMap<GroupId, Group>,
-    e: &Entry, (limit, joined): (f64, Micros),
+pub(crate) fn add_host(
+    hosts: &mut Vec<HostState>, index: &mut BTreeMap<HostId, usize>, groups: &mut BTreeMap<GroupId, Group>,
+    e: &HostEntry, (limit, joined): (f64, Micros),
 ) {
-    let i = servers.iter().position(|s| s.vacant).unwrap_or(servers.len());
-    if i == servers.len() {
-        servers.push(Server::default());
+    let i = hosts.iter().position(|s| s.vacant).unwrap_or(hosts.len());
+    if i == hosts.len() {
+        hosts.push(HostState::default());
     }
-    let (id, group, zone) = (e.server, e.group, e.zone);
-    servers[i] = Server { id, group, zone, joined, q: 1.0, limit, ..Server::default() };
-    index.insert(e.server, i);
+    let (id, group, zone) = (e.host, e.group, e.zone);
+    hosts[i] = HostState { id, group, zone, joined, q: 1.0, limit, ..HostState::default() };
+    index.insert(e.host, i);
     let members = &mut groups.entry(e.group).or_default().members;
     members.push(i);
-    members.sort_by_key(|&m| servers[m].id);
+    members.sort_by_key(|&m| hosts[m].id);
 }
 
 #[cfg(test)]
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -26,29 +26,29 @@
 const SHARE: [f64; 3] = [0.55, 0.37, 0.08];
 const HANDSHAKE: Micros = 7 * MS;
 
-fn settings(routers: u32, ordinal: u32) -> Settings {
-    let class = |need, effect, aim: Micros, deadline: Micros, worth, late_worth| Class {
-        need,
-        effect,
-        aim: aim * MS,
+fn settings(proxy_count: u32, ordinal: u32) -> Settings {
+    let class = |access, idempotency, latency_target: Micros, deadline: Micros, worth, late_worth| Class {
+        access,
+        idempotency,
+        latency_target: latency_target * MS,
         deadline: deadline * MS,
         worth,
         late_worth,
-        aim_stretch: 0.0,
+        latency_target_stretch: 0.0,
     };
     Settings {
-        routers,
+        proxy_count,
         ordinal,
         zone: (ordinal % 2) as u8,
         classes: vec![
-            class(Need::Bounded(BOUND), Effect::Safe, 200, 800, 3.0, 0.0),
-            class(Need::Any, Effect::Safe, 300, 750, 3.0, 0.2),
-            class(Need::Write, Effect::Keyed(DedupScope::Group, 1_200 * MS), 750, 2_000, 4.0, 0.5),
+            class(Access::BoundedRead(BOUND), Idempotency::Idempotent, 200, 800, 3.0, 0.0),
+            class(Access::AnyRead, Idempotency::Idempotent, 300, 750, 3.0, 0.2),
+            class(Access::Write, Idempotency::Keyed(DedupScope::Group, 1_200 * MS), 750, 2_000, 4.0, 0.5),
         ],
         list_mode: ListMode::Pushed,
-        list_role: ListRole::Late,
+        list_role: ListRole::Delayed,
         lag_check: LagCheck::Wait(CATCH_UP),
-        tokens: Tokens::Carried,
+        tokens: SessionTokens::FromClient,
         crossings_cost: true,
         positions: false,
         limits: Limits {
@@ -57,17 +57,17 @@
             peers: false,
             retry_after: true,
             max_retry_after: 1_000 * MS,
-            second_copies: false,
+            hedging: false,
             max_attempts: 10,
         },
         safety: Safety {
             drain_grace: 500 * MS,
             only_draining_binds: false,
             start_capacity: 0.2,
-            cold: 15_000 * MS,
-            tip_multiple: 3.0,
-            overload_for: 1_000 * MS,
-            ask_within: 10_000 * MS,
+            cold_duration: 15_000 * MS,
+            overload_multiple: 3.0,
+            overload_duration: 1_000 * MS,
+            max_list_age: 10_000 * MS,
         },
         quotas: Vec::new(),
         over_quota_worth: 1.0,
@@ -104,7 +104,7 @@
 }
 
 /// When an attempt times out: its router, request, number and server.
-type Limit = (Micros, usize, RequestId, u8, ServerId);
+type Limit = (Micros, usize, RequestId, u8, HostId);
 
 struct Fleet {
     now: Micros,
@@ -117,7 +117,7 @@
     wakes: BinaryHeap<Reverse<(Micros, usize)>>,
     limits: BinaryHeap<Reverse<Limit>>,
     /// Idle connections of a router to a server.
-    idle: BTreeMap<(usize, ServerId), usize>,
+    idle: BTreeMap<(usize, HostId), usize>,
     seen: Seen,
 }
 
@@ -166,19 +166,19 @@
             idle: BTreeMap::new(),
             seen: Seen { sent: vec![0; SERVERS], ..Seen::default() },
         };
-        let entry = |i: usize| Entry {
-            server: i as ServerId,
+        let entry = |i: usize| HostEntry {
+            host: i as HostId,
             zone: (i % 2) as u8,
             kind: 0,
             group: (i / MEMBERS) as GroupId,
-            state: Listed::Ready,
+            state: HostStatus::Ready,
             weight: 1.0,
             primary: i.is_multiple_of(MEMBERS),
             started: 0,
         };
-        let entries: Vec<Entry> = (0..SERVERS).map(entry).collect();
+        let entries: Vec<HostEntry> = (0..SERVERS).map(entry).collect();
         for r in 0..fleet.routers.len() {
-            fleet.feed(r, Event::List { kind: ListKind::Full, entries: entries.clone().into() });
+            fleet.feed(r, Event::List { kind: ListUpdate::Full, entries: entries.clone().into() });
         }
         fleet
     }
@@ -193,53 +193,53 @@
         self.routers[router].handle(self.now, &[event], &mut actions);
         for action in actions {
             match action {
-                Action::Send { id, server, timeout, .. } => self.sent(router, id, server, timeout),
+                Action::Send { id, host: host_id, timeout, .. } => self.sent(router, id, host_id, timeout),
                 Action::Refuse { id, .. } | Action::Fail(id) => {
                     if let Some(out) = self.out.remove(&(router, id)) {
                         self.seen.refused_unsent += u32::from(out.attempts == 0);
                     }
                 }
                 Action::Timer { at, .. } => self.wakes.push(Reverse((at, router))),
-                Action::Probe(server) => {
+                Action::Probe(host_id) => {
                     // The report is some time old.
-                    let host = &self.hosts[server as usize];
+                    let host = &self.hosts[host_id as usize];
                     let role = if host.primary { Role::Primary } else { Role::Replica };
                     let position = self.now - host.lag as Micros - 100 * MS;
-                    let report = Report { position: Some(position), role: Some(role), in_flight: None };
-                    self.feed(router, Event::Probed { server, ok: true, report });
+                    let report = HostReport { position: Some(position), role: Some(role), in_flight: None };
+                    self.feed(router, Event::Probed { host: host_id, ok: true, report });
                 }
-                Action::CloseIdle(server) => drop(self.idle.remove(&(router, server))),
-                Action::Cancel(..) | Action::TellAll(_) | Action::Subscribe | Action::Log(_) => {}
+                Action::CloseIdle(host_id) => drop(self.idle.remove(&(router, host_id))),
+                Action::Cancel(..) | Action::Broadcast(_) | Action::Subscribe | Action::Log(_) => {}
             }
         }
     }
 
-    fn sent(&mut self, router: usize, id: RequestId, server: ServerId, timeout: Micros) {
+    fn sent(&mut self, router: usize, id: RequestId, host_id: HostId, timeout: Micros) {
         let Some(out) = self.out.get_mut(&(router, id)) else { return };
         let attempt = out.attempts;
         (out.attempts, out.sent, out.open) = (attempt + 1, self.now, true);
         let class = out.class;
         let until = if timeout > 0 { self.now + timeout } else { out.came + 1_500 * MS };
-        self.limits.push(Reverse((until, router, id, attempt, server)));
-        let idle = self.idle.entry((router, server)).or_insert(0);
+        self.limits.push(Reverse((until, router, id, attempt, host_id)));
+        let idle = self.idle.entry((router, host_id)).or_insert(0);
         let dialled = *idle == 0;
         *idle = idle.saturating_sub(1);
         self.seen.handshakes += u32::from(dialled);
-        self.seen.sent[server as usize] += 1;
+        self.seen.sent[host_id as usize] += 1;
         let left = self.draw(WORK[class]) + if dialled { HANDSHAKE as f64 } else { 0.0 };
-        let host = &mut self.hosts[server as usize];
+        let host = &mut self.hosts[host_id as usize];
         if class == 2 && !host.primary {
-            return self.ended(router, id, attempt, server, Outcome::Miss);
+            return self.ended(router, id, attempt, host_id, Outcome::Unsuitable);
         }
         if host.jobs.len() >= SLOTS + QUEUE {
-            return self.ended(router, id, attempt, server, Outcome::Full);
+            return self.ended(router, id, attempt, host_id, Outcome::Overloaded);
         }
         host.jobs.push(Job { router, id, attempt, class, left, came: self.now });
     }
 
-    fn ended(&mut self, router: usize, id: RequestId, attempt: u8, server: ServerId, outcome: Outcome) {
+    fn ended(&mut self, router: usize, id: RequestId, attempt: u8, host_id: HostId, outcome: Outcome) {
         if outcome != Outcome::Timeout {
-            *self.idle.entry((router, server)).or_insert(0) += 1;
+            *self.idle.entry((router, host_id)).or_insert(0) += 1;
         }
         let Some(out) = self.out.get_mut(&(router, id)) else { return };
         if !out.open || out.attempts != attempt + 1 {
@@ -249,16 +249,16 @@
         let (latency, class, took) = (self.now - out.sent, out.class, self.now - out.came);
         let finished = outcome == Outcome::Ok;
         self.seen.timeouts += u32::from(outcome == Outcome::Timeout);
-        self.seen.misses += u32::from(outcome == Outcome::Miss);
+        self.seen.misses += u32::from(outcome == Outcome::Unsuitable);
         if finished {
-            let aim = [200, 300, 750][class] * MS;
-            self.seen.in_time[class] += u32::from(took <= aim);
+            let latency_target = [200, 300, 750][class] * MS;
+            self.seen.in_time[class] += u32::from(took <= latency_target);
             self.out.remove(&(router, id));
         }
-        let role = if self.hosts[server as usize].primary { Role::Primary } else { Role::Replica };
-        let note = Report { position: None, role: Some(role), in_flight: None };
-        let report = Report::default();
-        let end = Returned { id, attempt, server, outcome, latency, finished, note, report };
+        let role = if self.hosts[host_id as usize].primary { Role::Primary } else { Role::Replica };
+        let note = HostReport { position: None, role: Some(role), in_flight: None };
+        let report = HostReport::default();
+        let end = AttemptResult { id, attempt, host: host_id, outcome, latency, finished, note, report };
         self.feed(router, Event::Outcome(end));
     }
 
@@ -285,16 +285,16 @@
                 slot += 1;
                 let stale = job.class == 0 && !primary && slot <= SLOTS && lag > BOUND;
                 let outcome = match () {
-                    () if stale && job.came + CATCH_UP <= now => Outcome::Miss,
+                    () if stale && job.came + CATCH_UP <= now => Outcome::Unsuitable,
                     () if !stale && job.left <= 0.0 => Outcome::Ok,
                     () => return true,
                 };
-                ended.push((job.router, job.id, job.attempt, i as ServerId, outcome));
+                ended.push((job.router, job.id, job.attempt, i as HostId, outcome));
                 false
             });
         }
-        for (router, id, attempt, server, outcome) in ended {
-            self.ended(router, id, attempt, server, outcome);
+        for (router, id, attempt, host_id, outcome) in ended {
+            self.ended(router, id, attempt, host_id, outcome);
         }
     }
 
@@ -331,23 +331,23 @@
                 let out = Out { class, came: self.now, attempts: 0, sent: 0, open: false };
                 self.out.insert((router, id), out);
                 let patience = [640, 600, 1_500][class] * MS;
-                let arrival = Arrival {
+                let arrival = RequestInfo {
                     id,
                     class: class as u8,
                     group: group as GroupId,
                     give_up_at: self.now + patience,
-                    ..Arrival::default()
+                    ..RequestInfo::default()
                 };
                 self.feed(router, Event::Request(arrival));
             }
-            while let Some(&Reverse((at, router, id, attempt, server))) = self.limits.peek() {
+            while let Some(&Reverse((at, router, id, attempt, host_id))) = self.limits.peek() {
                 if at > self.now {
                     break;
                 }
                 self.limits.pop();
                 let open = self.out.get(&(router, id)).is_some_and(|o| o.open && o.attempts == attempt + 1);
                 if open {
-                    self.ended(router, id, attempt, server, Outcome::Timeout);
+                    self.ended(router, id, attempt, host_id, Outcome::Timeout);
                 }
             }
             while let Some(&Reverse((at, router))) = self.wakes.peek() {
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -1,7 +1,7 @@
 //! The rules that decide whether something may start, be refused or be closed, at the edges of their limits.
 
 use sillfold::invariants::*;
-use sillfold::{DedupScope, Effect};
+use sillfold::{DedupScope, Idempotency};
 
 const MS: u64 = 1_000;
 const GRACE: u64 = 500 * MS;
@@ -34,12 +34,12 @@
 #[test]
 fn a_window_for_repeats_covers_a_hold_up_of_the_process() {
     for window_ms in [100, 300, 1_200, 5_000] {
-        let effect = Effect::Keyed(DedupScope::Group, window_ms * MS);
-        let until = effect.repeatable_until(Some(NOW), false);
+        let idempotency = Idempotency::Keyed(DedupScope::Group, window_ms * MS);
+        let until = idempotency.repeatable_until(Some(NOW), false);
         assert!(until == NOW || until + HOLD_UP < NOW + window_ms * MS, "{window_ms} ms: until {until}");
         let request = RequestStart {
             repeatable_until: until,
-            forgotten_at: effect.forgotten_at(Some(NOW), false),
+            forgotten_at: idempotency.forgotten_at(Some(NOW), false),
             ..REQUEST
         };
         let start = Start { request, ..start(None) };
@@ -53,10 +53,10 @@
         let late = NOW + window_ms * MS + 1;
         assert_eq!(check_started(&start, &started, late), Some(Violation::RepeatedTooLate));
     }
-    assert_eq!(Effect::Unsafe.forgotten_at(Some(NOW), false), 0);
-    assert_eq!(Effect::Unsafe.forgotten_at(None, false), u64::MAX);
-    assert_eq!(Effect::Safe.forgotten_at(Some(NOW), false), u64::MAX);
-    assert_eq!(Effect::Keyed(DedupScope::All, 9).forgotten_at(Some(NOW), true), 0, "it brings no key");
+    assert_eq!(Idempotency::NotIdempotent.forgotten_at(Some(NOW), false), 0);
+    assert_eq!(Idempotency::NotIdempotent.forgotten_at(None, false), u64::MAX);
+    assert_eq!(Idempotency::Idempotent.forgotten_at(Some(NOW), false), u64::MAX);
+    assert_eq!(Idempotency::Keyed(DedupScope::All, 9).forgotten_at(Some(NOW), true), 0, "it brings no key");
 }
 
 #[test]
@@ -91,12 +91,22 @@
 
 #[test]
 fn a_refusal_promises_that_a_further_try_is_harmless() {
-    let keyed = |scope| Effect::Keyed(scope, 9);
-    for effect in [Effect::Safe, Effect::Unsafe, keyed(DedupScope::All), keyed(DedupScope::Group)] {
-        assert!(may_refuse(effect, false, false));
+    let keyed = |scope| Idempotency::Keyed(scope, 9);
+    for idempotency in [
+        Idempotency::Idempotent,
+        Idempotency::NotIdempotent,
+        keyed(DedupScope::All),
+        keyed(DedupScope::Group),
+    ] {
+        assert!(may_refuse(idempotency, false, false));
     }
-    assert!(may_refuse(Effect::Safe, true, false) && may_refuse(keyed(DedupScope::All), true, false));
-    assert!(!may_refuse(Effect::Unsafe, true, false) && !may_refuse(keyed(DedupScope::Group), true, false));
+    assert!(
+        may_refuse(Idempotency::Idempotent, true, false) && may_refuse(keyed(DedupScope::All), true, false)
+    );
+    assert!(
+        !may_refuse(Idempotency::NotIdempotent, true, false)
+            && !may_refuse(keyed(DedupScope::Group), true, false)
+    );
     assert!(!may_refuse(keyed(DedupScope::All), true, true), "a plain statement brings no key");
 }
 
--- a/tests/rig/mod.rs
+++ b/tests/rig/mod.rs
@@ -9,28 +9,36 @@
 /// When each rig begins.
 pub const T0: Micros = 1_000_000_000;
 
-pub fn class(need: Need, effect: Effect) -> Class {
-    Class { need, effect, aim: 400 * MS, deadline: 2_000 * MS, worth: 1.0, late_worth: 0.5, aim_stretch: 0.0 }
+pub fn class(access: Access, idempotency: Idempotency) -> Class {
+    Class {
+        access,
+        idempotency,
+        latency_target: 400 * MS,
+        deadline: 2_000 * MS,
+        worth: 1.0,
+        late_worth: 0.5,
+        latency_target_stretch: 0.0,
+    }
 }
 
 /// Classes: 0 any, 1 bounded 300 ms, 2 session, 3 fresh, 4 unsafe write, 5 keyed write.
 pub fn settings() -> Settings {
     Settings {
-        routers: 2,
+        proxy_count: 2,
         ordinal: 0,
         zone: 0,
         classes: vec![
-            class(Need::Any, Effect::Safe),
-            class(Need::Bounded(300 * MS), Effect::Safe),
-            class(Need::Session, Effect::Safe),
-            class(Need::Fresh, Effect::Safe),
-            class(Need::Write, Effect::Unsafe),
-            class(Need::Write, Effect::Keyed(DedupScope::Group, 1_000 * MS)),
+            class(Access::AnyRead, Idempotency::Idempotent),
+            class(Access::BoundedRead(300 * MS), Idempotency::Idempotent),
+            class(Access::SessionRead, Idempotency::Idempotent),
+            class(Access::StrongRead, Idempotency::Idempotent),
+            class(Access::Write, Idempotency::NotIdempotent),
+            class(Access::Write, Idempotency::Keyed(DedupScope::Group, 1_000 * MS)),
         ],
         list_mode: ListMode::Pushed,
-        list_role: ListRole::Late,
+        list_role: ListRole::Delayed,
         lag_check: LagCheck::Unchecked,
-        tokens: Tokens::Carried,
+        tokens: SessionTokens::FromClient,
         crossings_cost: false,
         positions: true,
         limits: Limits {
@@ -39,59 +47,59 @@
             peers: false,
             retry_after: true,
             max_retry_after: 1_000 * MS,
-            second_copies: false,
+            hedging: false,
             max_attempts: 6,
         },
         safety: Safety {
             drain_grace: 2_000 * MS,
             only_draining_binds: false,
             start_capacity: 0.2,
-            cold: 10_000 * MS,
-            tip_multiple: 3.0,
-            overload_for: 2_000 * MS,
-            ask_within: 10_000 * MS,
+            cold_duration: 10_000 * MS,
+            overload_multiple: 3.0,
+            overload_duration: 2_000 * MS,
+            max_list_age: 10_000 * MS,
         },
         quotas: Vec::new(),
         over_quota_worth: 1.0,
     }
 }
 
-pub fn entry(server: ServerId, state: Listed, primary: bool, started: Micros) -> Entry {
-    Entry { server, zone: 0, kind: 0, group: 0, state, weight: 1.0, primary, started }
+pub fn entry(host: HostId, state: HostStatus, primary: bool, started: Micros) -> HostEntry {
+    HostEntry { host, zone: 0, kind: 0, group: 0, state, weight: 1.0, primary, started }
 }
 
-pub fn list(kind: ListKind, entries: Vec<Entry>) -> Event {
+pub fn list(kind: ListUpdate, entries: Vec<HostEntry>) -> Event {
     Event::List { kind, entries: entries.into() }
 }
 
 /// Servers 1 (primary, by the list's hint), 2 and 3.
 pub fn three() -> Event {
-    let ready = |id, primary| entry(id, Listed::Ready, primary, 0);
-    list(ListKind::Cached, vec![ready(1, true), ready(2, false), ready(3, false)])
+    let ready = |id, primary| entry(id, HostStatus::Ready, primary, 0);
+    list(ListUpdate::Cached, vec![ready(1, true), ready(2, false), ready(3, false)])
 }
 
 pub fn request(id: RequestId, class: u8, now: Micros) -> Event {
-    Event::Request(Arrival {
+    Event::Request(RequestInfo {
         id,
         class,
         session: 9,
         give_up_at: now + 2_000 * MS,
         group: 0,
         token_ms: 0.0,
-        ..Arrival::default()
+        ..RequestInfo::default()
     })
 }
 
 /// A request of no session that its client gives up after 100 ms.
 pub fn brief(id: RequestId, class: u8, group: GroupId, now: Micros) -> Event {
-    Event::Request(Arrival {
+    Event::Request(RequestInfo {
         id,
         class,
         session: 0,
         give_up_at: now + 100 * MS,
         group,
         token_ms: 0.0,
-        ..Arrival::default()
+        ..RequestInfo::default()
     })
 }
 
@@ -100,7 +108,7 @@
     pub router: Router,
     pub now: Micros,
     pub sent: BTreeMap<RequestId, u8>,
-    pub probed: Vec<ServerId>,
+    pub probed: Vec<HostId>,
 }
 
 impl Rig {
@@ -119,8 +127,8 @@
             if let Action::Send { id, .. } = a {
                 *self.sent.entry(*id).or_insert(0) += 1;
             }
-            if let Action::Probe(server) = a {
-                self.probed.push(*server);
+            if let Action::Probe(host) = a {
+                self.probed.push(*host);
             }
         }
         out
@@ -131,48 +139,48 @@
     }
     /// The last attempt of a request ends after `latency` with a position `behind` the clock.
     pub fn end(
-        &mut self, id: RequestId, server: ServerId, outcome: Outcome, latency: Micros, role: Role,
-        behind: Micros,
+        &mut self, id: RequestId, host: HostId, outcome: Outcome, latency: Micros, role: Role, behind: Micros,
     ) -> Vec<Action> {
         self.now += latency;
-        let note = Report { position: Some(self.now - behind), role: Some(role), in_flight: None };
-        let answered = matches!(outcome, Outcome::Ok | Outcome::Miss | Outcome::Full | Outcome::Error);
-        let event = Event::Outcome(Returned {
+        let note = HostReport { position: Some(self.now - behind), role: Some(role), in_flight: None };
+        let answered =
+            matches!(outcome, Outcome::Ok | Outcome::Unsuitable | Outcome::Overloaded | Outcome::Error);
+        let event = Event::Outcome(AttemptResult {
             id,
             attempt: self.sent[&id] - 1,
-            server,
+            host,
             outcome,
             latency,
             finished: outcome == Outcome::Ok,
-            note: if answered { note } else { Report::default() },
-            report: Report::default(),
+            note: if answered { note } else { HostReport::default() },
+            report: HostReport::default(),
         });
         self.at(0, &[event])
     }
     /// The same, where answers tell nothing of their server.
-    pub fn end_untold(&mut self, id: RequestId, server: ServerId, outcome: Outcome, latency: Micros) {
+    pub fn end_untold(&mut self, id: RequestId, host: HostId, outcome: Outcome, latency: Micros) {
         self.now += latency;
         let (attempt, finished) = (self.sent[&id] - 1, outcome == Outcome::Ok);
         let (note, report) = Default::default();
-        let event = Returned { id, attempt, server, outcome, latency, finished, note, report };
+        let event = AttemptResult { id, attempt, host, outcome, latency, finished, note, report };
         self.at(0, &[Event::Outcome(event)]);
     }
-    pub fn heard(&mut self, server: ServerId, role: Role, behind: Micros) {
-        let report = Report { position: Some(self.now - behind), role: Some(role), in_flight: None };
-        self.at(0, &[Event::Probed { server, ok: true, report }]);
+    pub fn heard(&mut self, host: HostId, role: Role, behind: Micros) {
+        let report = HostReport { position: Some(self.now - behind), role: Some(role), in_flight: None };
+        self.at(0, &[Event::Probed { host, ok: true, report }]);
     }
 }
 
-pub fn target(actions: &[Action], id: RequestId) -> Option<ServerId> {
+pub fn target(actions: &[Action], id: RequestId) -> Option<HostId> {
     actions.iter().find_map(|a| match a {
-        Action::Send { id: i, server, .. } if *i == id => Some(*server),
+        Action::Send { id: i, host, .. } if *i == id => Some(*host),
         _ => None,
     })
 }
 
 /// In these scenarios server 1 is primary.
-pub fn role_of(server: ServerId) -> Role {
-    if server == 1 { Role::Primary } else { Role::Replica }
+pub fn role_of(host: HostId) -> Role {
+    if host == 1 { Role::Primary } else { Role::Replica }
 }
 
 pub fn refused(actions: &[Action], id: RequestId) -> bool {
