--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -34,12 +34,12 @@
     let mut counts = BTreeMap::new();
     for id in 0..400 {
         let out = rig.ask(id, 0);
-        let server = target(&out, id).unwrap();
-        let latency = if server == 2 { 80 * MS } else { 20 * MS };
-        let role = role_of(server);
-        rig.end(id, server, Outcome::Ok, latency, role, 0);
+        let host = target(&out, id).unwrap();
+        let latency = if host == 2 { 80 * MS } else { 20 * MS };
+        let role = role_of(host);
+        rig.end(id, host, Outcome::Ok, latency, role, 0);
         if id >= 100 {
-            *counts.entry(server).or_insert(0) += 1;
+            *counts.entry(host).or_insert(0) += 1;
         }
     }
     assert!(counts.get(&3) > counts.get(&2), "{counts:?}");
@@ -54,10 +54,10 @@
         let mut reads = 0;
         for id in 0..6_000 {
             let out = rig.ask(id, 0);
-            let server = target(&out, id).expect("sent");
-            let latency = if server == 2 && (stays || reads == 0) { 50 * MS } else { 2 * MS };
-            reads += u32::from(server == 2);
-            rig.end(id, server, Outcome::Ok, latency, role_of(server), 0);
+            let host = target(&out, id).expect("sent");
+            let latency = if host == 2 && (stays || reads == 0) { 50 * MS } else { 2 * MS };
+            reads += u32::from(host == 2);
+            rig.end(id, host, Outcome::Ok, latency, role_of(host), 0);
             rig.at(8 * MS, &[]);
         }
         // A minute of a hundred reads a second.
@@ -94,8 +94,8 @@
 /// Replicas that turn stale reads away themselves; no primary known.
 fn checked() -> Settings {
     let mut set = settings();
-    set.lag_check = LagCheck::Refuse;
-    set.list_role = ListRole::Silent;
+    set.lag_check = LagCheck::Reject;
+    set.list_role = ListRole::Absent;
     set
 }
 
@@ -120,38 +120,38 @@
     let out = rig.ask(1, 1);
     assert_eq!(target(&out, 1), Some(2), "server 2 kept up when last heard, server 3 did not");
     // Turned away after all: what the answer says counts at once.
-    let out = rig.end(1, 2, Outcome::Miss, MS, Role::Replica, 3_000 * MS);
+    let out = rig.end(1, 2, Outcome::Unsuitable, MS, Role::Replica, 3_000 * MS);
     assert_eq!(target(&out, 1), Some(1));
 }
 
 #[test]
 fn where_answers_tell_no_position_a_read_turned_away_and_a_new_start_do() {
     let mut rig = Rig::new(Settings { positions: false, ..checked() });
-    for server in 1..=3 {
-        rig.heard(server, role_of(server), 0);
+    for host in 1..=3 {
+        rig.heard(host, role_of(host), 0);
     }
     let mut next = 0;
     // How many of 40 bounded reads go to a server, each served with no word of the position.
-    let mut share = |rig: &mut Rig, of: ServerId| {
+    let mut share = |rig: &mut Rig, of: HostId| {
         let mut count = 0;
         for _ in 0..40 {
             next += 1;
-            let server = target(&rig.ask(next, 1), next).expect("sent");
-            count += usize::from(server == of);
-            rig.end_untold(next, server, Outcome::Ok, MS);
+            let host = target(&rig.ask(next, 1), next).expect("sent");
+            count += usize::from(host == of);
+            rig.end_untold(next, host, Outcome::Ok, MS);
         }
         count
     };
     rig.at(1_000 * MS, &[]);
     // Turned away after its wait, it is behind, and is left alone until a probe says otherwise.
     let behind = target(&rig.ask(1_000, 1), 1_000).expect("sent");
-    rig.end_untold(1_000, behind, Outcome::Miss, 100 * MS);
+    rig.end_untold(1_000, behind, Outcome::Unsuitable, 100 * MS);
     assert_eq!(share(&mut rig, behind), 0);
     rig.heard(behind, Role::Replica, 0);
     assert!(share(&mut rig, behind) > 0);
     // One that started lately goes on from an old copy: it is asked before it is read from.
     let started = rig.now - 4_000 * MS;
-    rig.at(0, &[list(ListKind::Delta, vec![entry(4, Listed::Ready, false, started)])]);
+    rig.at(0, &[list(ListUpdate::Delta, vec![entry(4, HostStatus::Ready, false, started)])]);
     assert_eq!(share(&mut rig, 4), 0);
     rig.at(100 * MS, &[]);
     assert!(rig.probed.contains(&4), "{:?}", rig.probed);
@@ -164,11 +164,11 @@
     let mut rig = Rig::new(settings());
     assert_eq!(target(&rig.ask(1, 5), 1), Some(1));
     let mut asked = Vec::new();
-    let mut out = rig.end(1, 1, Outcome::Miss, 2 * MS, Role::Primary, 0);
+    let mut out = rig.end(1, 1, Outcome::Unsuitable, 2 * MS, Role::Primary, 0);
     for _ in 0..10 {
-        if let Some(server) = target(&out, 1) {
-            asked.push(server);
-            out = rig.end(1, server, Outcome::Miss, 2 * MS, Role::Primary, 0);
+        if let Some(host) = target(&out, 1) {
+            asked.push(host);
+            out = rig.end(1, host, Outcome::Unsuitable, 2 * MS, Role::Primary, 0);
         } else {
             out = rig.at(10 * MS, &[]);
         }
@@ -180,7 +180,7 @@
 #[test]
 fn without_a_check_only_a_known_position_counts() {
     let mut set = settings();
-    set.list_role = ListRole::Silent;
+    set.list_role = ListRole::Absent;
     let mut rig = Rig::new(set);
     rig.heard(1, Role::Primary, 0);
     rig.heard(2, Role::Replica, 10 * MS);
@@ -198,14 +198,14 @@
     let mut reached = [0; 4];
     for id in 0..6 {
         // The last write is 200 ms old: server 2 holds it, server 3 does not.
-        let read = Event::Request(Arrival {
+        let read = Event::Request(RequestInfo {
             id,
             class: 2,
             session: 9,
             give_up_at: now + 2_000 * MS,
             group: 0,
             token_ms: 200.0,
-            ..Arrival::default()
+            ..RequestInfo::default()
         });
         let out = rig.at(0, &[read]);
         reached[target(&out, id).unwrap_or(0) as usize] += 1;
@@ -217,7 +217,7 @@
 #[test]
 fn remembered_tokens_bind_later_session_reads() {
     let mut set = settings();
-    set.tokens = Tokens::Remembered;
+    set.tokens = SessionTokens::TrackedByProxy;
     let mut rig = Rig::new(set);
     rig.ask(1, 4);
     rig.end(1, 1, Outcome::Ok, 20 * MS, Role::Primary, 0);
@@ -233,14 +233,14 @@
         let mut rig = Rig::new(settings());
         rig.heard(2, Role::Replica, 10 * MS);
         let give_up_at = rig.now + 2_000 * MS;
-        let read = Event::Request(Arrival {
+        let read = Event::Request(RequestInfo {
             id: 1,
             class: 2,
             session: 9,
             give_up_at,
             group: 0,
             token_ms,
-            ..Arrival::default()
+            ..RequestInfo::default()
         });
         let out = rig.at(0, &[read]);
         assert_eq!(target(&out, 1), Some(1));
@@ -256,10 +256,10 @@
         (Reset, false),
         (Timeout, false),
         (Cancelled, false),
-        (Full, true),
-        (Miss, true),
+        (Overloaded, true),
+        (Unsuitable, true),
         (ConnectFailed, true),
-        (Moot, true),
+        (NotSent, true),
     ] {
         assert_eq!(outcome.never_ran(), never_ran);
         let mut rig = Rig::new(settings());
@@ -296,11 +296,11 @@
         let mut rig = Rig::new(settings());
         let first = rig.now;
         let out = rig.ask(1, class);
-        let server = target(&out, 1).expect("it is sent");
+        let host = target(&out, 1).expect("it is sent");
         let mut unbound = Rig::new(settings());
         unbound.ask(1, class);
         assert!(unbound.router.may_begin(first + 3_600_000 * MS, 1), "class {class}: the first attempt");
-        let mut out = rig.end(1, server, Outcome::Reset, 5 * MS, Role::Primary, 0);
+        let mut out = rig.end(1, host, Outcome::Reset, 5 * MS, Role::Primary, 0);
         for _ in 0..20 {
             out.extend(rig.at(10 * MS, &[Event::Timer(0)]));
         }
@@ -314,7 +314,7 @@
 #[test]
 fn draining_ends_reads_at_once_and_writes_inside_the_grace() {
     let mut rig = Rig::new(settings());
-    rig.at(0, &[list(ListKind::Delta, vec![entry(1, Listed::Draining, true, 0)])]);
+    rig.at(0, &[list(ListUpdate::Delta, vec![entry(1, HostStatus::Draining, true, 0)])]);
     let out = rig.ask(1, 4);
     assert_eq!(target(&out, 1), Some(1), "no successor is known yet");
     for id in 2..12 {
@@ -329,7 +329,7 @@
 #[test]
 fn a_server_missing_from_a_full_list_is_gone() {
     let mut rig = Rig::new(settings());
-    rig.at(0, &[list(ListKind::Full, vec![entry(2, Listed::Ready, false, 0)])]);
+    rig.at(0, &[list(ListUpdate::Full, vec![entry(2, HostStatus::Ready, false, 0)])]);
     for id in 0..4 {
         let out = rig.ask(id, 0);
         assert_eq!(target(&out, id), Some(2));
@@ -344,7 +344,7 @@
         let mut router = Router::new(settings(), seed);
         let mut out = Vec::new();
         router.handle(T0, &[three()], &mut out);
-        let start = list(ListKind::Delta, vec![entry(3, Listed::Ready, false, T0 + 1)]);
+        let start = list(ListUpdate::Delta, vec![entry(3, HostStatus::Ready, false, T0 + 1)]);
         router.handle(T0 + MS, &[start, request(1, 0, T0)], &mut out);
         counts[target(&out, 1).unwrap() as usize] += 1;
     }
@@ -353,16 +353,16 @@
 }
 
 /// How many of so many first reads go to the two new ones where a release replaces two of five.
-fn to_replacements(routers: u32, reads: u64) -> u64 {
+fn to_replacements(proxy_count: u32, reads: u64) -> u64 {
     let mut cold = 0;
     for seed in 0..reads {
-        let mut router = Router::new(Settings { routers, ..settings() }, seed);
+        let mut router = Router::new(Settings { proxy_count, ..settings() }, seed);
         let mut out = Vec::new();
-        let ready = |id| entry(id, Listed::Ready, id == 1, 0);
-        router.handle(T0, &[list(ListKind::Cached, (1..=5).map(ready).collect())], &mut out);
-        let left = (4..=5).map(|id| entry(id, Listed::Draining, false, 0));
-        let new = (6..=7).map(|id| entry(id, Listed::Ready, false, T0 + 1));
-        let news = list(ListKind::Delta, left.chain(new).collect());
+        let ready = |id| entry(id, HostStatus::Ready, id == 1, 0);
+        router.handle(T0, &[list(ListUpdate::Cached, (1..=5).map(ready).collect())], &mut out);
+        let left = (4..=5).map(|id| entry(id, HostStatus::Draining, false, 0));
+        let new = (6..=7).map(|id| entry(id, HostStatus::Ready, false, T0 + 1));
+        let news = list(ListUpdate::Delta, left.chain(new).collect());
         router.handle(T0 + MS, &[news, request(1, 0, T0)], &mut out);
         cold += u64::from(target(&out, 1) > Some(5));
     }
@@ -388,7 +388,7 @@
         let to_lost = |seed| {
             let mut rig = two_rooms(seed, n);
             ask_often(&mut rig, 0..40, |_| false);
-            ask_often(&mut rig, 40..100, |server| server.is_multiple_of(2))
+            ask_often(&mut rig, 40..100, |host| host.is_multiple_of(2))
         };
         (0..50).map(to_lost).sum::<usize>() as f64 / 3.0
     });
@@ -404,22 +404,22 @@
 /// Where a router may probe about once a second, a new server of 60 waits for most of a minute to be asked.
 #[test]
 fn a_new_server_is_probed_first_and_read_from_after_a_while_even_if_never_probed() {
-    let set = Settings { positions: false, routers: 100, ..checked() };
+    let set = Settings { positions: false, proxy_count: 100, ..checked() };
     let mut rig = Rig::new(set.clone());
     rig.router = Router::new(set, 11);
-    let ready = |id| entry(id, Listed::Ready, false, 0);
-    rig.at(0, &[list(ListKind::Cached, (1..=60).map(ready).collect())]);
+    let ready = |id| entry(id, HostStatus::Ready, false, 0);
+    rig.at(0, &[list(ListUpdate::Cached, (1..=60).map(ready).collect())]);
     // Its first probes are for the servers of its start.
     rig.at(100 * MS, &[]);
     rig.probed.clear();
     let started = rig.now;
-    rig.at(0, &[list(ListKind::Delta, vec![entry(61, Listed::Ready, false, started)])]);
+    rig.at(0, &[list(ListUpdate::Delta, vec![entry(61, HostStatus::Ready, false, started)])]);
     let mut reads = 0;
     for n in 0..400 {
         let out = rig.ask(n, 1);
-        let server = target(&out, n).expect("sent");
-        reads += usize::from(server == 61);
-        rig.end_untold(n, server, Outcome::Ok, MS);
+        let host = target(&out, n).expect("sent");
+        reads += usize::from(host == 61);
+        rig.end_untold(n, host, Outcome::Ok, MS);
         rig.at(9 * MS, &[]);
     }
     assert_eq!(rig.probed.first(), Some(&61), "{:?}", rig.probed);
@@ -427,43 +427,45 @@
     rig.at(2_000 * MS, &[]);
     for n in 400..2_400 {
         let out = rig.ask(n, 1);
-        let server = target(&out, n).expect("sent");
-        reads += usize::from(server == 61);
-        rig.end_untold(n, server, Outcome::Ok, MS);
+        let host = target(&out, n).expect("sent");
+        reads += usize::from(host == 61);
+        rig.end_untold(n, host, Outcome::Ok, MS);
     }
     assert!(reads > 0, "unheard for long, it may try");
 }
 
 /// Twenty servers in each of two rooms; answers tell no position. The room of the even ones is room 1.
-fn two_rooms(seed: u64, routers: u32) -> Rig {
-    let set = Settings { positions: false, routers, ..checked() };
+fn two_rooms(seed: u64, proxy_count: u32) -> Rig {
+    let set = Settings { positions: false, proxy_count, ..checked() };
     let mut rig = Rig::new(set.clone());
     rig.router = Router::new(set, seed);
-    let ready =
-        |id: ServerId| Entry { zone: u8::from(id.is_multiple_of(2)), ..entry(id, Listed::Ready, id == 1, 0) };
-    rig.at(0, &[list(ListKind::Cached, (1..=40).map(ready).collect())]);
+    let ready = |id: HostId| HostEntry {
+        zone: u8::from(id.is_multiple_of(2)),
+        ..entry(id, HostStatus::Ready, id == 1, 0)
+    };
+    rig.at(0, &[list(ListUpdate::Cached, (1..=40).map(ready).collect())]);
     // All have answered before: one that has not is tried last.
-    let heard = |server| Event::Probed { server, ok: true, report: Report::default() };
+    let heard = |host| Event::Probed { host, ok: true, report: HostReport::default() };
     rig.at(0, &(1..=40).map(heard).collect::<Vec<_>>());
     rig
 }
 
 /// Asks so many times, about 15 times a second; what is sent to a server for which `dead` holds times out.
 /// Returns how many attempts that were.
-fn ask_often(rig: &mut Rig, ids: std::ops::Range<RequestId>, dead: impl Fn(ServerId) -> bool) -> usize {
+fn ask_often(rig: &mut Rig, ids: std::ops::Range<RequestId>, dead: impl Fn(HostId) -> bool) -> usize {
     let (mut lost, mut refusals, asked) = (0, 0, ids.len());
     for n in ids {
         let out = rig.ask(n, 0);
-        let Some(server) = target(&out, n) else {
+        let Some(host) = target(&out, n) else {
             assert!(refused(&out, n), "{n} neither sent nor answered");
             refusals += 1;
             rig.at(60 * MS, &[]);
             continue;
         };
         let (outcome, latency) =
-            if dead(server) { (Outcome::Timeout, 200 * MS) } else { (Outcome::Ok, 20 * MS) };
-        lost += usize::from(dead(server));
-        rig.end_untold(n, server, outcome, latency);
+            if dead(host) { (Outcome::Timeout, 200 * MS) } else { (Outcome::Ok, 20 * MS) };
+        lost += usize::from(dead(host));
+        rig.end_untold(n, host, outcome, latency);
         if outcome == Outcome::Timeout {
             rig.at(0, &[Event::ClientGone(n)]);
         }
@@ -476,13 +478,13 @@
 
 /// So many routers ask one server four times a second each, for so long. What is sent while `jammed` holds times
 /// out after 200 ms, the rest is served in 20 ms. Returns the attempts of each second.
-fn crowd(routers: u32, seconds: usize, jammed: impl Fn(usize) -> bool) -> Vec<usize> {
+fn crowd(proxy_count: u32, seconds: usize, jammed: impl Fn(usize) -> bool) -> Vec<usize> {
     let mut attempts = vec![0; seconds];
-    for n in 0..routers {
-        let set = Settings { positions: false, routers, ordinal: n, ..checked() };
+    for n in 0..proxy_count {
+        let set = Settings { positions: false, proxy_count, ordinal: n, ..checked() };
         let mut rig = Rig::new(set.clone());
         rig.router = Router::new(set, u64::from(n));
-        rig.at(0, &[list(ListKind::Cached, vec![entry(1, Listed::Ready, false, 0)])]);
+        rig.at(0, &[list(ListUpdate::Cached, vec![entry(1, HostStatus::Ready, false, 0)])]);
         for step in 0..seconds * 4 {
             let id = step as RequestId;
             let sent = target(&rig.ask(id, 0), id).is_some();
@@ -515,9 +517,9 @@
 fn one_of_many_routers_refuses_nothing_for_a_jam_elsewhere() {
     for seed in 0..20 {
         let mut rig = Rig::new(checked());
-        rig.router = Router::new(Settings { routers: 100, ..checked() }, seed);
-        let other = Entry { group: 1, ..entry(2, Listed::Ready, false, 0) };
-        rig.at(0, &[list(ListKind::Cached, vec![entry(1, Listed::Ready, false, 0), other])]);
+        rig.router = Router::new(Settings { proxy_count: 100, ..checked() }, seed);
+        let other = HostEntry { group: 1, ..entry(2, HostStatus::Ready, false, 0) };
+        rig.at(0, &[list(ListUpdate::Cached, vec![entry(1, HostStatus::Ready, false, 0), other])]);
         for n in 0..40 {
             if target(&rig.ask(n, 0), n).is_some() {
                 rig.end_untold(n, 1, Outcome::Timeout, 200 * MS);
@@ -526,7 +528,7 @@
         }
         for n in 40..90 {
             let give_up_at = rig.now + 2_000 * MS;
-            let event = Event::Request(Arrival { id: n, group: 1, give_up_at, ..Arrival::default() });
+            let event = Event::Request(RequestInfo { id: n, group: 1, give_up_at, ..RequestInfo::default() });
             assert_eq!(target(&rig.at(0, &[event]), n), Some(2), "seed {seed}");
             rig.end_untold(n, 2, Outcome::Ok, MS);
         }
@@ -539,15 +541,15 @@
     for seed in 0..50 {
         let mut rig = two_rooms(seed, 100);
         assert_eq!(ask_often(&mut rig, 0..40, |_| false), 0);
-        let lost = ask_often(&mut rig, 40..100, |server| server.is_multiple_of(2));
+        let lost = ask_often(&mut rig, 40..100, |host| host.is_multiple_of(2));
         assert!((1..=5).contains(&lost), "seed {seed}: {lost} of 60 went to the lost room");
         // One that answers a probe brings its room back.
-        rig.at(0, &[Event::Probed { server: 8, ok: true, report: Report::default() }]);
+        rig.at(0, &[Event::Probed { host: 8, ok: true, report: HostReport::default() }]);
         let back = (100..200).filter(|&n| {
             rig.at(40 * MS, &[]);
-            let server = target(&rig.ask(n, 0), n).expect("sent");
-            rig.end_untold(n, server, Outcome::Ok, 20 * MS);
-            server.is_multiple_of(2)
+            let host = target(&rig.ask(n, 0), n).expect("sent");
+            rig.end_untold(n, host, Outcome::Ok, 20 * MS);
+            host.is_multiple_of(2)
         });
         assert!(back.count() > 10, "seed {seed}");
     }
@@ -558,13 +560,13 @@
 fn silent_servers_do_not_take_the_others_of_their_room_with_them() {
     for seed in 0..50 {
         let mut rig = two_rooms(seed, 100);
-        ask_often(&mut rig, 0..200, |server| matches!(server, 2 | 4 | 6 | 8));
+        ask_often(&mut rig, 0..200, |host| matches!(host, 2 | 4 | 6 | 8));
         let mut used = std::collections::BTreeSet::new();
         for n in 200..400 {
             rig.at(40 * MS, &[]);
-            let server = target(&rig.ask(n, 0), n).expect("sent");
-            used.insert(server);
-            rig.end_untold(n, server, Outcome::Ok, (20 + u64::from(n % 7)) * MS);
+            let host = target(&rig.ask(n, 0), n).expect("sent");
+            used.insert(host);
+            rig.end_untold(n, host, Outcome::Ok, (20 + u64::from(n % 7)) * MS);
         }
         assert!(used.iter().any(|s| s.is_multiple_of(2)), "seed {seed}: {used:?}");
     }
@@ -577,10 +579,10 @@
         let mut rig = Rig::new(settings());
         rig.router = Router::new(settings(), seed);
         let now = rig.now;
-        rig.at(0, &[three(), list(ListKind::Delta, vec![entry(3, Listed::Ready, false, now)])]);
+        rig.at(0, &[three(), list(ListUpdate::Delta, vec![entry(3, HostStatus::Ready, false, now)])]);
         let out = rig.ask(1, 0);
         let first = target(&out, 1).unwrap();
-        let out = rig.end(1, first, Outcome::Full, MS, Role::Replica, 0);
+        let out = rig.end(1, first, Outcome::Overloaded, MS, Role::Replica, 0);
         assert_ne!(target(&out, 1), Some(3));
     }
 }
@@ -589,7 +591,7 @@
 #[test]
 fn chatter_follows_own_requests() {
     let mut set = checked();
-    set.routers = 500;
+    set.proxy_count = 500;
     set.limits.peers = true;
     let mut rig = Rig::new(set);
     let mut idle = Vec::new();
@@ -598,18 +600,18 @@
     }
     let probes = |out: &[Action]| out.iter().filter(|a| matches!(a, Action::Probe(_))).count();
     assert!(probes(&idle) <= 1, "{}", probes(&idle));
-    assert!(!idle.iter().any(|a| matches!(a, Action::Timer { .. } | Action::TellAll(_))));
+    assert!(!idle.iter().any(|a| matches!(a, Action::Timer { .. } | Action::Broadcast(_))));
     let mut busy = Vec::new();
     for id in 0..100 {
         let out = rig.ask(id, 0);
-        let server = target(&out, id).unwrap();
+        let host = target(&out, id).unwrap();
         busy.extend(out);
-        let role = role_of(server);
-        busy.extend(rig.end(id, server, Outcome::Ok, 100 * MS, role, 2_000 * MS));
+        let role = role_of(host);
+        busy.extend(rig.end(id, host, Outcome::Ok, 100 * MS, role, 2_000 * MS));
     }
     assert!(probes(&busy) <= 6, "{}", probes(&busy));
     // A piece takes 13 bytes, what heads a message 20.
-    let bytes = |a: &Action| if let Action::TellAll(news) = a { news.len() * 13 + 20 } else { 0 };
+    let bytes = |a: &Action| if let Action::Broadcast(news) = a { news.len() * 13 + 20 } else { 0 };
     let told: usize = busy.iter().map(bytes).sum();
     assert!(told * 499 <= 100 * 26, "a tenth of a full message a request: {told} bytes to each");
 }
@@ -623,17 +625,17 @@
         let mut router = Router::new(checked(), seed);
         let mut out = Vec::new();
         let mut entries =
-            Vec::from([entry(1, Listed::Gone, false, 0), entry(2, Listed::Ready, false, T0 + 1)]);
+            Vec::from([entry(1, HostStatus::Removed, false, 0), entry(2, HostStatus::Ready, false, T0 + 1)]);
         router.handle(T0, &[three()], &mut out);
-        entries.push(entry(3, Listed::Gone, false, 0));
-        router.handle(T0 + MS, &[list(ListKind::Delta, entries), request(1, 5, T0)], &mut out);
+        entries.push(entry(3, HostStatus::Removed, false, 0));
+        router.handle(T0 + MS, &[list(ListUpdate::Delta, entries), request(1, 5, T0)], &mut out);
         router.handle(T0 + 20 * MS, &[Event::Timer(0)], &mut out);
         searched += u32::from(target(&out, 1).is_some());
         if target(&out, 1).is_some() {
             continue;
         }
-        let report = Report { position: Some(T0 + 25 * MS), role: Some(Role::Primary), in_flight: None };
-        router.handle(T0 + 30 * MS, &[Event::Probed { server: 2, ok: true, report }], &mut out);
+        let report = HostReport { position: Some(T0 + 25 * MS), role: Some(Role::Primary), in_flight: None };
+        router.handle(T0 + 30 * MS, &[Event::Probed { host: 2, ok: true, report }], &mut out);
         router.handle(T0 + 40 * MS, &[Event::Timer(0)], &mut out);
         early += u32::from(target(&out, 1).is_some());
         for step in 5..190 {
@@ -653,7 +655,7 @@
         set.safety.only_draining_binds = only_draining;
         let mut rig = Rig::new(set);
         rig.heard(2, Role::Primary, 0);
-        rig.at(10 * MS, &[list(ListKind::Full, vec![])]);
+        rig.at(10 * MS, &[list(ListUpdate::Full, vec![])]);
         let out = rig.ask(1, 4);
         assert_eq!(target(&out, 1), kept);
     }
@@ -667,8 +669,8 @@
         for id in 0..12 {
             let mut out = rig.ask(id, 4);
             // The first refusal ejects nobody, so that the request goes there once more.
-            while let Some(server) = target(&out, id) {
-                out = rig.end(id, server, Outcome::ConnectFailed, latency, role_of(server), 0);
+            while let Some(host) = target(&out, id) {
+                out = rig.end(id, host, Outcome::ConnectFailed, latency, role_of(host), 0);
             }
             rig.at(4_100 * MS, &[Event::Timer(0)]);
         }
@@ -683,9 +685,9 @@
 /// Withdrawn or doubled work goes on at many servers: an attempt that is out is waited for.
 #[test]
 fn an_attempt_that_is_out_is_neither_doubled_nor_moved() {
-    for second_copies in [true, false] {
+    for hedging in [true, false] {
         let mut set = settings();
-        set.limits.second_copies = second_copies;
+        set.limits.hedging = hedging;
         let mut rig = Rig::new(set);
         let mut out = rig.ask(1, 0);
         for _ in 0..150 {
@@ -700,16 +702,16 @@
 /// Few routers hold back by their limits, and refuse nothing on arrival.
 #[test]
 fn a_share_is_refused_where_a_group_jams_and_none_elsewhere() {
-    for (routers, timeouts, least) in [(300, 1, 0), (300, 30, 30), (3, 30, 0)] {
-        let set = Settings { routers, ..settings() };
+    for (proxy_count, timeouts, least) in [(300, 1, 0), (300, 30, 30), (3, 30, 0)] {
+        let set = Settings { proxy_count, ..settings() };
         let mut rig = Rig::new(set.clone());
         rig.router = Router::new(set, 5);
-        let other = Entry { group: 1, ..entry(4, Listed::Ready, false, 0) };
-        rig.at(0, &[three(), list(ListKind::Delta, vec![other])]);
+        let other = HostEntry { group: 1, ..entry(4, HostStatus::Ready, false, 0) };
+        rig.at(0, &[three(), list(ListUpdate::Delta, vec![other])]);
         for id in 0..timeouts {
             let out = rig.ask(id, 0);
-            if let Some(server) = target(&out, id) {
-                rig.end(id, server, Outcome::Timeout, 2_000 * MS, Role::Replica, 0);
+            if let Some(host) = target(&out, id) {
+                rig.end(id, host, Outcome::Timeout, 2_000 * MS, Role::Replica, 0);
             }
             rig.at(10 * MS, &[Event::Timer(0)]);
         }
@@ -717,7 +719,8 @@
         for id in 1_000..1_200 {
             let group = id % 2;
             let give_up_at = rig.now + 2_000 * MS;
-            let out = rig.at(0, &[Event::Request(Arrival { id, group, give_up_at, ..Arrival::default() })]);
+            let out =
+                rig.at(0, &[Event::Request(RequestInfo { id, group, give_up_at, ..RequestInfo::default() })]);
             refusals[group as usize] += usize::from(refused(&out, id));
             rig.at(0, &[Event::ClientGone(id)]);
         }
@@ -729,20 +732,20 @@
 /// One of 300 routers before so many groups of two replicas each, whose reads have ended so, each after so long, but
 /// for those that it refused at once for the ones before.
 fn among_groups(groups: u32, ends: &[(GroupId, Outcome)], latency: Micros) -> Rig {
-    let set = Settings { routers: 300, ..checked() };
+    let set = Settings { proxy_count: 300, ..checked() };
     let mut rig = Rig::new(set.clone());
     rig.router = Router::new(set, 5);
-    let of = |id| Entry { group: id / 2, ..entry(id, Listed::Ready, false, 0) };
-    rig.at(0, &[list(ListKind::Cached, (0..groups * 2).map(of).collect())]);
+    let of = |id| HostEntry { group: id / 2, ..entry(id, HostStatus::Ready, false, 0) };
+    rig.at(0, &[list(ListUpdate::Cached, (0..groups * 2).map(of).collect())]);
     for (id, &(group, outcome)) in (0..).zip(ends) {
         let give_up_at = rig.now + 2_000 * MS;
-        let ask = Arrival { id, group, class: 1, give_up_at, ..Arrival::default() };
+        let ask = RequestInfo { id, group, class: 1, give_up_at, ..RequestInfo::default() };
         let out = rig.at(0, &[Event::Request(ask)]);
-        if let Some(server) = [group * 2, group * 2 + 1].into_iter().find(|&s| target(&out, id) == Some(s)) {
+        if let Some(host) = [group * 2, group * 2 + 1].into_iter().find(|&s| target(&out, id) == Some(s)) {
             // Reads overlap: the clock moves on less than each takes.
             let (attempt, finished) = (rig.sent[&id] - 1, outcome == Outcome::Ok);
             let (note, report) = Default::default();
-            let event = Returned { id, attempt, server, outcome, latency, finished, note, report };
+            let event = AttemptResult { id, attempt, host, outcome, latency, finished, note, report };
             rig.at(MS, &[Event::Outcome(event)]);
         }
         rig.at(MS, &[Event::ClientGone(id)]);
@@ -751,9 +754,16 @@
 }
 
 /// How many of 200 first asks, or of asks again, of a class are refused at once in a group.
-fn refusals(rig: &mut Rig, group: GroupId, class: u8, again: bool) -> usize {
+fn refusals(rig: &mut Rig, group: GroupId, class: u8, client_retry: bool) -> usize {
     let refused = (1_000..1_200).filter(|&id| {
-        let ask = Arrival { id, class, group, again, give_up_at: rig.now + 2_000 * MS, ..Arrival::default() };
+        let ask = RequestInfo {
+            id,
+            class,
+            group,
+            client_retry,
+            give_up_at: rig.now + 2_000 * MS,
+            ..RequestInfo::default()
+        };
         let out = rig.at(0, &[Event::Request(ask)]);
         rig.at(0, &[Event::ClientGone(id)]);
         refused(&out, id)
@@ -791,7 +801,7 @@
 /// Replicas whose log is applied too slowly turn bounded reads away, and have all the room for others.
 #[test]
 fn reads_of_any_data_are_not_refused_where_replicas_only_fall_behind() {
-    let ends: Vec<_> = (0..36).map(|n| (n % 12, Outcome::Miss)).collect();
+    let ends: Vec<_> = (0..36).map(|n| (n % 12, Outcome::Unsuitable)).collect();
     let mut rig = among_groups(12, &ends, MS);
     let (any, bounded) = (refusals(&mut rig, 3, 0, false), refusals(&mut rig, 3, 1, false));
     assert!(any == 0 && bounded >= 40, "{any} of any data, {bounded} bounded, of 200 each");
@@ -812,13 +822,13 @@
 #[test]
 fn a_router_that_rested_refuses_nothing_for_an_old_jam() {
     let after = |rest: Micros| {
-        let set = Settings { routers: 300, ..settings() };
+        let set = Settings { proxy_count: 300, ..settings() };
         let mut rig = Rig::new(set.clone());
         rig.router = Router::new(set, 5);
         rig.at(0, &[three()]);
         for id in 0..30 {
-            if let Some(server) = target(&rig.ask(id, 0), id) {
-                rig.end(id, server, Outcome::Timeout, 2_000 * MS, Role::Replica, 0);
+            if let Some(host) = target(&rig.ask(id, 0), id) {
+                rig.end(id, host, Outcome::Timeout, 2_000 * MS, Role::Replica, 0);
             }
             rig.at(10 * MS, &[Event::Timer(0)]);
         }
@@ -840,10 +850,10 @@
 fn a_report_from_before_a_write_was_turned_away_makes_nobody_primary() {
     let mut rig = Rig::new(settings());
     rig.ask(1, 4);
-    rig.end(1, 1, Outcome::Miss, 2 * MS, Role::Primary, 500 * MS);
+    rig.end(1, 1, Outcome::Unsuitable, 2 * MS, Role::Primary, 500 * MS);
     let position = Some(rig.now - 100 * MS);
-    let report = Report { position, role: Some(Role::Primary), in_flight: None };
-    let out = rig.at(0, &[Event::Probed { server: 1, ok: true, report }]);
+    let report = HostReport { position, role: Some(Role::Primary), in_flight: None };
+    let out = rig.at(0, &[Event::Probed { host: 1, ok: true, report }]);
     assert!(!out.iter().any(|a| matches!(a, Action::Log(t) if t.contains("is primary"))), "{out:?}");
 }
 
@@ -851,7 +861,7 @@
 fn writes_are_held_in_a_handover_and_let_go_in_portions() {
     let mut rig = Rig::new(settings());
     rig.ask(1, 4);
-    let mut out = rig.end(1, 1, Outcome::Miss, 2 * MS, Role::Replica, 0);
+    let mut out = rig.end(1, 1, Outcome::Unsuitable, 2 * MS, Role::Replica, 0);
     for id in 2..30 {
         out.extend(rig.ask(id, 4));
     }
@@ -868,8 +878,8 @@
 fn held_writes_get_their_answer_before_the_deadline() {
     let mut rig = Rig::new(settings());
     rig.ask(1, 4);
-    rig.end(1, 1, Outcome::Miss, 2 * MS, Role::Replica, 0);
-    rig.at(0, &[list(ListKind::Full, vec![])]);
+    rig.end(1, 1, Outcome::Unsuitable, 2 * MS, Role::Replica, 0);
+    rig.at(0, &[list(ListUpdate::Full, vec![])]);
     let mut answered = None;
     for _ in 0..250 {
         let out = rig.at(10 * MS, &[Event::Timer(0)]);
@@ -888,7 +898,7 @@
 #[test]
 fn of_held_requests_the_newest_goes_out_and_one_with_little_time_left_does_not() {
     let mut rig = Rig::new(settings());
-    rig.at(0, &[list(ListKind::Full, vec![entry(1, Listed::Ready, true, 0)])]);
+    rig.at(0, &[list(ListUpdate::Full, vec![entry(1, HostStatus::Ready, true, 0)])]);
     let mut ask = |id| {
         rig.at(MS, &[]);
         target(&rig.ask(id, 0), id)
@@ -907,12 +917,12 @@
 /// others may send, however new it is. Both routers serve one quota, and each has half of it where they do not talk.
 #[test]
 fn of_held_requests_one_beyond_its_tenants_quota_goes_out_last() {
-    let set = Settings { routers: 2, quotas: vec![40.0, 200.0], over_quota_worth: 0.2, ..settings() };
+    let set = Settings { proxy_count: 2, quotas: vec![40.0, 200.0], over_quota_worth: 0.2, ..settings() };
     let mut rig = Rig::new(set);
-    rig.at(0, &[list(ListKind::Full, vec![entry(1, Listed::Ready, true, 0)])]);
+    rig.at(0, &[list(ListUpdate::Full, vec![entry(1, HostStatus::Ready, true, 0)])]);
     let mut ask = |id, tenant| {
         let give_up_at = rig.now + 2_000 * MS;
-        let event = Event::Request(Arrival { id, tenant, give_up_at, ..Arrival::default() });
+        let event = Event::Request(RequestInfo { id, tenant, give_up_at, ..RequestInfo::default() });
         target(&rig.at(MS, &[event]), id)
     };
     // What may come at once of half the quota, as many as the server gets.
@@ -942,10 +952,10 @@
         let last = if short { 9 } else { 8 };
         let to: Vec<_> = (1..=last).filter_map(|id| Some((id, target(&rig.ask(id, 1), id)?))).collect();
         assert_eq!(to.len(), 8, "{to:?}");
-        for (id, server) in to {
-            let out = rig.end(id, server, Outcome::Ok, 5 * MS, role_of(server), 5 * MS);
-            if let Some(server) = target(&out, 9) {
-                rig.end(9, server, Outcome::Ok, 5 * MS, role_of(server), 5 * MS);
+        for (id, host) in to {
+            let out = rig.end(id, host, Outcome::Ok, 5 * MS, role_of(host), 5 * MS);
+            if let Some(host) = target(&out, 9) {
+                rig.end(9, host, Outcome::Ok, 5 * MS, role_of(host), 5 * MS);
             }
         }
         let at = |rig: &mut Rig, id| target(&rig.ask(id, 0), id);
@@ -964,39 +974,45 @@
 #[test]
 fn an_answer_that_says_it_is_too_old_counts_as_turned_away() {
     let mut set = settings();
-    set.classes[1].need = Need::Bounded(800 * MS);
-    let note = |behind, role| Report { position: Some(T0 - behind), role: Some(role), in_flight: None };
+    set.classes[1].access = Access::BoundedRead(800 * MS);
+    let note = |behind, role| HostReport { position: Some(T0 - behind), role: Some(role), in_flight: None };
     let (replica, primary) = (note(900 * MS, Role::Replica), note(900 * MS, Role::Primary));
     let asked = |set: &Settings, class, token_ms| {
         let mut rig = Rig::new(set.clone());
-        let read =
-            Arrival { id: 1, class, session: 9, give_up_at: T0 + 2_000 * MS, token_ms, ..Arrival::default() };
+        let read = RequestInfo {
+            id: 1,
+            class,
+            session: 9,
+            give_up_at: T0 + 2_000 * MS,
+            token_ms,
+            ..RequestInfo::default()
+        };
         rig.at(0, &[Event::Request(read)]);
         rig
     };
-    let stale = |rig: &Rig, note: &Report, sent| rig.router.stale_outcome(1, 1, note, sent).is_some();
+    let stale = |rig: &Rig, note: &HostReport, sent| rig.router.stale_outcome(1, 1, note, sent).is_some();
     let bounded = asked(&set, 1, 0.0);
     assert!(stale(&bounded, &replica, T0) && !stale(&bounded, &replica, T0 - 100 * MS));
     assert!(!stale(&bounded, &primary, T0), "a primary stands at the present");
-    assert!(!stale(&bounded, &Report::default(), T0), "it says nothing of its role");
+    assert!(!stale(&bounded, &HostReport::default(), T0), "it says nothing of its role");
     assert!(stale(&asked(&set, 2, 800.0), &replica, T0));
     assert!(!stale(&asked(&set, 2, 901.5), &replica, T0) && !stale(&asked(&set, 2, 0.0), &replica, T0));
     assert!(!stale(&asked(&set, 0, 800.0), &replica, T0), "any data will do");
     assert_eq!(bounded.router.stale_outcome(99, 1, &replica, T0), None, "no such request");
     // It has run: only where that does no harm does it count as turned away.
-    assert_eq!(bounded.router.stale_outcome(1, 1, &replica, T0), Some(Outcome::Miss));
-    for effect in [Effect::Unsafe, Effect::Keyed(DedupScope::Group, 1_000 * MS)] {
+    assert_eq!(bounded.router.stale_outcome(1, 1, &replica, T0), Some(Outcome::Unsuitable));
+    for idempotency in [Idempotency::NotIdempotent, Idempotency::Keyed(DedupScope::Group, 1_000 * MS)] {
         let mut once = set.clone();
-        once.classes[1].effect = effect;
+        once.classes[1].idempotency = idempotency;
         assert_eq!(asked(&once, 1, 0.0).router.stale_outcome(1, 1, &replica, T0), Some(Outcome::Error));
     }
     // Where answers tell no position, what is known of the server has to do.
-    let silent = Report { position: None, ..replica };
+    let silent = HostReport { position: None, ..replica };
     assert!(stale(&bounded, &silent, T0));
     let mut known = asked(&set, 1, 0.0);
     known.heard(1, Role::Replica, 700 * MS);
     assert!(!stale(&known, &silent, T0));
-    set.lag_check = LagCheck::Refuse;
+    set.lag_check = LagCheck::Reject;
     assert!(!stale(&asked(&set, 1, 0.0), &replica, T0), "members that check have done so");
 }
 
@@ -1006,7 +1022,7 @@
 fn attempts_lost_on_their_way_take_no_room_from_a_host_that_answers() {
     for answered in [true, false] {
         let mut rig = Rig::new(settings());
-        rig.at(0, &[list(ListKind::Full, vec![entry(1, Listed::Ready, true, 0)])]);
+        rig.at(0, &[list(ListUpdate::Full, vec![entry(1, HostStatus::Ready, true, 0)])]);
         for id in 1..60 {
             rig.ask(id, 0);
             rig.end(id, 1, Outcome::Ok, 5 * MS, Role::Primary, 0);
@@ -1027,7 +1043,8 @@
             let (attempt, latency) = (rig.sent[&id] - 1, 400 * MS);
             let (note, report) = Default::default();
             let outcome = Outcome::Timeout;
-            let event = Returned { id, attempt, server: 1, outcome, latency, finished: true, note, report };
+            let event =
+                AttemptResult { id, attempt, host: 1, outcome, latency, finished: true, note, report };
             rig.at(0, &[Event::Outcome(event)]);
         }
         let sent = (200..203).filter(|&id| target(&rig.ask(id, 0), id).is_some()).count();
@@ -1042,9 +1059,9 @@
     for seed in 0..4_000 {
         let mut router = Router::new(settings(), seed);
         let mut out = Vec::new();
-        let news = vec![entry(2, Listed::Draining, false, 0), entry(3, Listed::Ready, false, T0 + 1)];
+        let news = vec![entry(2, HostStatus::Draining, false, 0), entry(3, HostStatus::Ready, false, T0 + 1)];
         router.handle(T0, &[three()], &mut out);
-        router.handle(T0 + MS, &[list(ListKind::Delta, news), request(1, 0, T0)], &mut out);
+        router.handle(T0 + MS, &[list(ListUpdate::Delta, news), request(1, 0, T0)], &mut out);
         cold += u32::from(target(&out, 1) == Some(3));
     }
     // A fifth of a third is 267, half as much again is 400; three times is where it falls over.
@@ -1057,13 +1074,13 @@
     let mut rig = Rig::new(settings());
     for id in 1..20 {
         let Event::Request(arrival) = request(id, 4, rig.now) else { unreachable!() };
-        assert_eq!(target(&rig.at(0, &[Event::Coming(arrival)]), id), Some(1));
+        assert_eq!(target(&rig.at(0, &[Event::RequestHead(arrival)]), id), Some(1));
     }
     let out = rig.at(1_000 * MS, &[]);
     assert!(out.iter().all(|a| !matches!(a, Action::Refuse { .. } | Action::Fail(_))));
     assert_eq!(target(&rig.ask(20, 4), 20), Some(1));
     let until = rig.now + 2_000 * MS;
-    let whole: Vec<Event> = (1..20).map(|id| Event::Whole(id, until)).collect();
+    let whole: Vec<Event> = (1..20).map(|id| Event::RequestComplete(id, until)).collect();
     rig.at(0, &whole);
     assert_eq!(target(&rig.ask(21, 4), 21), None);
 }
@@ -1079,19 +1096,19 @@
             rig.at(20_000 * MS, &[Event::Timer(0)]);
         }
         let out = rig.ask(id, 0);
-        let server = target(&out, id).unwrap();
-        let role = role_of(server);
+        let host = target(&out, id).unwrap();
+        let role = role_of(host);
         // Before the error, soon after it, long after it.
         let phase = usize::from(erred) + usize::from(erred && id >= 60);
-        at_two[phase] += u32::from(server == 2);
-        if server == 2 && !erred {
+        at_two[phase] += u32::from(host == 2);
+        if host == 2 && !erred {
             erred = true;
             let out = rig.end(id, 2, Outcome::Error, 20 * MS, role, 0);
             let next = target(&out, id).expect("safe reads go elsewhere at once");
             assert_ne!(next, 2);
             rig.end(id, next, Outcome::Ok, 20 * MS, role, 0);
         } else {
-            rig.end(id, server, Outcome::Ok, 20 * MS, role, 0);
+            rig.end(id, host, Outcome::Ok, 20 * MS, role, 0);
         }
     }
     assert!(erred && at_two[1] == 0 && at_two[2] > 0, "{at_two:?}");
@@ -1103,11 +1120,11 @@
     for id in 1..=5 {
         let mut out = rig.ask(id, 0);
         for _ in 0..4 {
-            let server = target(&out, id).expect("tried again");
-            out = rig.end(id, server, Outcome::Error, MS, role_of(server), 0);
+            let host = target(&out, id).expect("tried again");
+            out = rig.end(id, host, Outcome::Error, MS, role_of(host), 0);
         }
-        let server = target(&out, id).expect("tried again");
-        rig.end(id, server, Outcome::Ok, MS, role_of(server), 0);
+        let host = target(&out, id).expect("tried again");
+        rig.end(id, host, Outcome::Ok, MS, role_of(host), 0);
     }
 }
 
@@ -1121,11 +1138,11 @@
         for _ in 0..30 {
             next += 1;
             let mut out = rig.ask(next, 0);
-            while let Some(server) = target(&out, next) {
-                count += usize::from(server == 2);
-                let refused = server == 2 && count <= refusals;
+            while let Some(host) = target(&out, next) {
+                count += usize::from(host == 2);
+                let refused = host == 2 && count <= refusals;
                 let outcome = if refused { Outcome::ConnectFailed } else { Outcome::Ok };
-                out = rig.end(next, server, outcome, MS, role_of(server), 0);
+                out = rig.end(next, host, outcome, MS, role_of(host), 0);
             }
         }
         count
@@ -1144,23 +1161,23 @@
     }
     // Three servers with room for four each; the rest waits here and goes out as answers come.
     assert_eq!(rig.sent.len(), 12);
-    let (id, server) = (0, first.unwrap());
+    let (id, host) = (0, first.unwrap());
     rig.at(0, &[Event::ClientGone(99)]);
     let before = rig.sent.len();
-    let out = rig.at(0, &[full(id, server)]);
+    let out = rig.at(0, &[full(id, host)]);
     assert_eq!(rig.sent.len(), before, "a server that is full is left alone: {out:?}");
 }
 
-fn full(id: RequestId, server: ServerId) -> Event {
-    Event::Outcome(Returned {
+fn full(id: RequestId, host: HostId) -> Event {
+    Event::Outcome(AttemptResult {
         id,
         attempt: 0,
-        server,
-        outcome: Outcome::Full,
+        host,
+        outcome: Outcome::Overloaded,
         latency: MS,
         finished: false,
-        note: Report::default(),
-        report: Report::default(),
+        note: HostReport::default(),
+        report: HostReport::default(),
     })
 }
 
@@ -1180,27 +1197,27 @@
 fn a_replica_at_home_is_preferred_where_crossings_cost() {
     let mut set = settings();
     set.crossings_cost = true;
-    let mut abroad = entry(2, Listed::Ready, false, 0);
+    let mut abroad = entry(2, HostStatus::Ready, false, 0);
     abroad.zone = 1;
     let mut router = Router::new(set, 5);
     let mut out = Vec::new();
-    let home = entry(3, Listed::Ready, false, 0);
-    router.handle(T0, &[list(ListKind::Cached, vec![abroad, home]), request(1, 0, T0)], &mut out);
+    let home = entry(3, HostStatus::Ready, false, 0);
+    router.handle(T0, &[list(ListUpdate::Cached, vec![abroad, home]), request(1, 0, T0)], &mut out);
     assert_eq!(target(&out, 1), Some(3));
 }
 
 #[test]
 fn long_reads_of_any_data_gather_on_the_replica_furthest_behind() {
     let mut set = settings();
-    set.classes.push(class(Need::Any, Effect::Safe));
+    set.classes.push(class(Access::AnyRead, Idempotency::Idempotent));
     let mut rig = Rig::new(set);
     // Class 6 takes ten times as long as class 0, and more than twice the mean.
     for id in 0..60 {
         let long = id % 10 == 0;
         let out = rig.ask(id, if long { 6 } else { 0 });
-        let server = target(&out, id).unwrap();
-        let role = role_of(server);
-        rig.end(id, server, Outcome::Ok, if long { 200 * MS } else { 20 * MS }, role, 0);
+        let host = target(&out, id).unwrap();
+        let role = role_of(host);
+        rig.end(id, host, Outcome::Ok, if long { 200 * MS } else { 20 * MS }, role, 0);
     }
     rig.heard(2, Role::Replica, 0);
     rig.heard(1, Role::Primary, 0);
@@ -1221,7 +1238,7 @@
 #[test]
 fn a_streaming_attempt_is_not_withdrawn() {
     let mut set = settings();
-    set.limits.second_copies = true;
+    set.limits.hedging = true;
     let mut rig = Rig::new(set);
     rig.ask(1, 0);
     let mut out = rig.at(MS, &[Event::Streaming(1, 0)]);
@@ -1234,15 +1251,15 @@
 #[test]
 fn odd_events_leave_the_module_sound() {
     let mut rig = Rig::new(settings());
-    let ghost = Returned {
+    let ghost = AttemptResult {
         id: 77,
         attempt: 9,
-        server: 12345,
+        host: 12345,
         outcome: Outcome::Ok,
         latency: 1,
         finished: true,
-        note: Report { position: Some(u64::MAX), role: Some(Role::Primary), in_flight: Some(f64::NAN) },
-        report: Report::default(),
+        note: HostReport { position: Some(u64::MAX), role: Some(Role::Primary), in_flight: Some(f64::NAN) },
+        report: HostReport::default(),
     };
     let unknown_class = brief(5, 99, 0, rig.now);
     let out = rig.at(
@@ -1252,16 +1269,16 @@
             Event::ClientGone(88),
             Event::Streaming(89, 3),
             Event::Timer(123),
-            Event::Probed { server: 999, ok: true, report: Report::default() },
+            Event::Probed { host: 999, ok: true, report: HostReport::default() },
             Event::Peer {
                 from: 7,
                 news: vec![
-                    News::Stands { server: 999, position: T0, primary: true },
-                    News::Stands { server: 1, position: Micros::MAX, primary: true },
-                    News::Asked { tenant: 77, per_s: f64::NAN },
+                    PeerUpdate::HostPosition { host: 999, position: T0, primary: true },
+                    PeerUpdate::HostPosition { host: 1, position: Micros::MAX, primary: true },
+                    PeerUpdate::TenantRate { tenant: 77, per_s: f64::NAN },
                 ],
             },
-            Event::List { kind: ListKind::Failed, entries: Arc::from([]) },
+            Event::List { kind: ListUpdate::Failed, entries: Arc::from([]) },
             unknown_class,
         ],
     );
@@ -1286,15 +1303,16 @@
 fn random_day(seed: u64) -> Vec<Action> {
     let mut dice = oorandom::Rand64::new(u128::from(seed) + 1);
     let mut set = settings();
-    set.lag_check = [LagCheck::Unchecked, LagCheck::Refuse, LagCheck::Wait(50 * MS)][seed as usize % 3];
-    set.limits.second_copies = seed.is_multiple_of(2);
+    set.lag_check = [LagCheck::Unchecked, LagCheck::Reject, LagCheck::Wait(50 * MS)][seed as usize % 3];
+    set.limits.hedging = seed.is_multiple_of(2);
     set.limits.cancel = !seed.is_multiple_of(5);
     set.limits.peers = seed.is_multiple_of(4);
     set.limits.probes = !seed.is_multiple_of(7);
     set.positions = !seed.is_multiple_of(6);
     set.list_mode = if seed.is_multiple_of(3) { ListMode::OnRequest } else { ListMode::Pushed };
-    set.tokens = if seed.is_multiple_of(2) { Tokens::Carried } else { Tokens::Remembered };
-    let copies = set.limits.second_copies;
+    set.tokens =
+        if seed.is_multiple_of(2) { SessionTokens::FromClient } else { SessionTokens::TrackedByProxy };
+    let copies = set.limits.hedging;
     let classes = set.classes.clone();
     let grace = set.safety.drain_grace;
     let mut router = Router::new(set, seed);
@@ -1303,13 +1321,13 @@
     struct Open {
         class: usize,
         give_up_at: Micros,
-        out: Vec<(u8, ServerId, Micros)>,
+        out: Vec<(u8, HostId, Micros)>,
         count: u8,
         may_have_run: Option<Micros>,
         answered: bool,
     }
     let mut open: BTreeMap<RequestId, Open> = BTreeMap::new();
-    let mut drained: BTreeMap<ServerId, Micros> = BTreeMap::new();
+    let mut drained: BTreeMap<HostId, Micros> = BTreeMap::new();
     let mut events = vec![three()];
     for step in 0..1500u32 {
         let mut actions = Vec::new();
@@ -1317,28 +1335,28 @@
         events.clear();
         for a in &actions {
             match a {
-                Action::Send { id, server, .. } => {
+                Action::Send { id, host, .. } => {
                     let r = open.get_mut(id).expect("a known request");
                     assert!(!r.answered, "no send after the final answer");
                     assert!(r.out.len() < if copies { 2 } else { 1 }, "no overlap where forbidden");
-                    if let Some(t) = drained.get(server) {
+                    if let Some(t) = drained.get(host) {
                         assert!(now <= t + grace, "no send past the grace");
                     }
-                    match classes[r.class].effect {
-                        Effect::Unsafe => assert!(r.may_have_run.is_none() && r.out.is_empty()),
-                        Effect::Keyed(_, window) => {
+                    match classes[r.class].idempotency {
+                        Idempotency::NotIdempotent => assert!(r.may_have_run.is_none() && r.out.is_empty()),
+                        Idempotency::Keyed(_, window) => {
                             assert!(r.may_have_run.is_none_or(|t| now < t + window));
                         }
-                        Effect::Safe => {}
+                        Idempotency::Idempotent => {}
                     }
-                    r.out.push((r.count, *server, now));
+                    r.out.push((r.count, *host, now));
                     r.count += 1;
                     assert!(r.count <= 6);
                 }
                 Action::Refuse { id, .. } => {
                     let r = open.get_mut(id).expect("a known request");
                     assert!(!r.answered, "one answer");
-                    let safe = classes[r.class].effect == Effect::Safe;
+                    let safe = classes[r.class].idempotency == Idempotency::Idempotent;
                     assert!(safe || (r.may_have_run.is_none() && r.out.is_empty()));
                     assert!(now <= r.give_up_at + 4 * MS);
                     r.answered = true;
@@ -1373,20 +1391,20 @@
                 },
             );
             let session = dice.rand_range(1..5);
-            events.push(Event::Request(Arrival {
+            events.push(Event::Request(RequestInfo {
                 id: step,
                 class,
                 session,
                 give_up_at,
                 group: 0,
                 token_ms,
-                ..Arrival::default()
+                ..RequestInfo::default()
             }));
         }
         for (id, r) in &mut open {
             let mut i = 0;
             while i < r.out.len() {
-                let (n, server, sent) = r.out[i];
+                let (n, host, sent) = r.out[i];
                 let overdue = now >= r.give_up_at;
                 if !overdue && dice.rand_range(0..12) != 0 {
                     i += 1;
@@ -1397,23 +1415,24 @@
                 let outcome = if overdue {
                     Timeout
                 } else {
-                    [Ok, Ok, Ok, Error, Full, Miss, ConnectFailed, Reset][dice.rand_range(0..8) as usize]
+                    [Ok, Ok, Ok, Error, Overloaded, Unsuitable, ConnectFailed, Reset]
+                        [dice.rand_range(0..8) as usize]
                 };
                 if !outcome.never_ran() {
                     r.may_have_run = Some(r.may_have_run.map_or(sent, |t| t.min(sent)));
                 }
                 r.answered |= outcome == Ok;
-                let role = role_of(server);
+                let role = role_of(host);
                 let behind = dice.rand_range(0..500) * MS;
-                events.push(Event::Outcome(Returned {
+                events.push(Event::Outcome(AttemptResult {
                     id: *id,
                     attempt: n,
-                    server,
+                    host,
                     outcome,
                     latency: now - sent,
                     finished: r.answered,
-                    note: Report { position: Some(now - behind), role: Some(role), in_flight: None },
-                    report: Report::default(),
+                    note: HostReport { position: Some(now - behind), role: Some(role), in_flight: None },
+                    report: HostReport::default(),
                 }));
             }
         }
@@ -1422,11 +1441,11 @@
         }
         if step % 400 == 399 {
             let id = 1 + dice.rand_range(0..3) as u32;
-            let state = if drained.remove(&id).is_some() { Listed::Ready } else { Listed::Draining };
-            if state == Listed::Draining {
+            let state = if drained.remove(&id).is_some() { HostStatus::Ready } else { HostStatus::Draining };
+            if state == HostStatus::Draining {
                 drained.insert(id, now);
             }
-            events.push(list(ListKind::Delta, vec![entry(id, state, false, 0)]));
+            events.push(list(ListUpdate::Delta, vec![entry(id, state, false, 0)]));
         }
         events.push(Event::Timer(0));
     }
@@ -1436,33 +1455,34 @@
 /// Deployments nobody has named: extreme figures, no permissions, one member a group.
 #[test]
 fn unknown_deployments_get_sound_answers() {
-    for lag_check in [LagCheck::Unchecked, LagCheck::Refuse, LagCheck::Wait(Micros::MAX)] {
-        for tokens in [Tokens::Carried, Tokens::Remembered] {
+    for lag_check in [LagCheck::Unchecked, LagCheck::Reject, LagCheck::Wait(Micros::MAX)] {
+        for tokens in [SessionTokens::FromClient, SessionTokens::TrackedByProxy] {
             let mut set = settings();
             set.lag_check = lag_check;
             set.tokens = tokens;
-            set.routers = 1;
+            set.proxy_count = 1;
             set.positions = false;
-            set.list_role = ListRole::Silent;
+            set.list_role = ListRole::Absent;
             set.limits = Limits {
                 cancel: false,
                 probes: false,
                 peers: false,
                 retry_after: false,
                 max_retry_after: Micros::MAX,
-                second_copies: false,
+                hedging: false,
                 max_attempts: 1,
             };
-            set.safety.cold = Micros::MAX;
+            set.safety.cold_duration = Micros::MAX;
             set.safety.drain_grace = Micros::MAX;
             set.safety.start_capacity = f64::NAN;
             for c in &mut set.classes {
-                c.aim = Micros::MAX;
-                c.need = if c.need == Need::Any { Need::Bounded(Micros::MAX) } else { c.need };
+                c.latency_target = Micros::MAX;
+                c.access =
+                    if c.access == Access::AnyRead { Access::BoundedRead(Micros::MAX) } else { c.access };
             }
             let mut router = Router::new(set, 3);
             let mut out = Vec::new();
-            let alone = list(ListKind::Cached, vec![entry(1, Listed::Ready, false, 0)]);
+            let alone = list(ListUpdate::Cached, vec![entry(1, HostStatus::Ready, false, 0)]);
             router.handle(T0, &[alone], &mut out);
             for class in 0..6u8 {
                 router.handle(T0, &[request(u32::from(class), class, T0)], &mut out);
@@ -1475,7 +1495,8 @@
                 assert!(sent || refused(&out, id), "class {id} is sent or answered");
             }
             assert!(
-                out.iter().all(|a| !matches!(a, Action::Probe(_) | Action::TellAll(_) | Action::Cancel(..)))
+                out.iter()
+                    .all(|a| !matches!(a, Action::Probe(_) | Action::Broadcast(_) | Action::Cancel(..)))
             );
         }
     }
@@ -1485,39 +1506,46 @@
 /// request gets one answer in time.
 #[test]
 fn contradictory_lists_and_zero_figures_leave_every_request_answered() {
-    for (routers, seed) in [(1, 1), (1_000, 2), (0, 3)] {
+    for (proxy_count, seed) in [(1, 1), (1_000, 2), (0, 3)] {
         let mut set = settings();
-        set.routers = routers;
+        set.proxy_count = proxy_count;
         set.limits.peers = true;
         set.list_mode = ListMode::OnRequest;
         set.lag_check = LagCheck::Wait(0);
-        let Safety { cold, tip_multiple, overload_for, ask_within, drain_grace, .. } = &mut set.safety;
-        (*cold, *tip_multiple, *overload_for, *ask_within, *drain_grace) = (0, 0.0, 0, 0, 0);
+        let Safety { cold_duration, overload_multiple, overload_duration, max_list_age, drain_grace, .. } =
+            &mut set.safety;
+        (*cold_duration, *overload_multiple, *overload_duration, *max_list_age, *drain_grace) =
+            (0, 0.0, 0, 0, 0);
         for c in &mut set.classes {
-            c.aim = 0;
+            c.latency_target = 0;
             c.worth = 0.0;
-            c.need = if c.need == Need::Bounded(300 * MS) { Need::Bounded(0) } else { c.need };
+            c.access =
+                if c.access == Access::BoundedRead(300 * MS) { Access::BoundedRead(0) } else { c.access };
         }
         let mut router = Router::new(set, seed);
         let mut answers: BTreeMap<RequestId, u32> = BTreeMap::new();
         let mut sent: BTreeMap<RequestId, u8> = BTreeMap::new();
         let lists = [
-            list(ListKind::Cached, vec![]),
+            list(ListUpdate::Cached, vec![]),
+            list(
+                ListUpdate::Full,
+                vec![entry(1, HostStatus::Ready, true, 0), entry(1, HostStatus::Removed, false, u64::MAX)],
+            ),
             list(
-                ListKind::Full,
-                vec![entry(1, Listed::Ready, true, 0), entry(1, Listed::Gone, false, u64::MAX)],
+                ListUpdate::Delta,
+                vec![entry(77, HostStatus::Removed, true, 5), entry(2, HostStatus::Draining, true, T0)],
             ),
+            list(ListUpdate::Full, vec![]),
             list(
-                ListKind::Delta,
-                vec![entry(77, Listed::Gone, true, 5), entry(2, Listed::Draining, true, T0)],
+                ListUpdate::Cached,
+                vec![entry(3, HostStatus::Ready, true, 0), entry(2, HostStatus::Ready, true, 0)],
             ),
-            list(ListKind::Full, vec![]),
-            list(ListKind::Cached, vec![entry(3, Listed::Ready, true, 0), entry(2, Listed::Ready, true, 0)]),
         ];
         for step in 0..400u32 {
             let now = T0 + u64::from(step) * 10 * MS;
             let mut events = vec![Event::Timer(0), lists[step as usize % lists.len()].clone()];
-            let said = News::Stands { server: step % 5, position: now - 90 * MS, primary: step % 3 == 0 };
+            let said =
+                PeerUpdate::HostPosition { host: step % 5, position: now - 90 * MS, primary: step % 3 == 0 };
             events.push(Event::Peer { from: 9, news: vec![said; step as usize % 30] });
             if step < 300 {
                 events.push(brief(step, (step % 6) as u8, step % 3, now));
@@ -1530,17 +1558,17 @@
                 match action {
                     Action::Refuse { id, .. } | Action::Fail(id) => *answers.entry(id).or_insert(0) += 1,
                     // Nothing serves here: what is sent times out at once.
-                    Action::Send { id, server, .. } => {
+                    Action::Send { id, host, .. } => {
                         let attempt = sent.entry(id).or_insert(0);
-                        let back = Event::Outcome(Returned {
+                        let back = Event::Outcome(AttemptResult {
                             id,
                             attempt: *attempt,
-                            server,
+                            host,
                             outcome: Outcome::Timeout,
                             latency: 0,
                             finished: false,
-                            note: Report::default(),
-                            report: Report { position: Some(u64::MAX), ..Report::default() },
+                            note: HostReport::default(),
+                            report: HostReport { position: Some(u64::MAX), ..HostReport::default() },
                         });
                         *attempt += 1;
                         router.handle(now, &[back], &mut out);
@@ -1555,15 +1583,23 @@
 }
 
 /// A request whose terms only the proxy knows.
-fn plain(id: RequestId, class: u8, now: Micros, token_ms: f32, expected: Micros) -> Event {
+fn plain(id: RequestId, class: u8, now: Micros, token_ms: f32, expected_duration: Micros) -> Event {
     let give_up_at = now + 2_000 * MS;
-    Event::Request(Arrival { id, class, give_up_at, token_ms, plain: true, expected, ..Arrival::default() })
+    Event::Request(RequestInfo {
+        id,
+        class,
+        give_up_at,
+        token_ms,
+        plain: true,
+        expected_duration,
+        ..RequestInfo::default()
+    })
 }
 
 #[test]
 fn a_plain_write_of_a_keyed_class_is_never_sent_again_once_it_may_have_run() {
     use Outcome::*;
-    for outcome in [Reset, Error, Timeout, ConnectFailed, Full, Miss] {
+    for outcome in [Reset, Error, Timeout, ConnectFailed, Overloaded, Unsuitable] {
         for keyless in [false, true] {
             let mut rig = Rig::new(settings());
             let event = if keyless { plain(1, 5, T0, 0.0, 0) } else { request(1, 5, T0) };
@@ -1600,8 +1636,8 @@
             let mut set = settings();
             set.lag_check = check;
             let mut rig = Rig::new(set);
-            for server in [2, 3] {
-                rig.heard(server, Role::Replica, behind * MS);
+            for host in [2, 3] {
+                rig.heard(host, Role::Replica, behind * MS);
             }
             let mut reached = [0; 4];
             for id in 10..60 {
@@ -1612,7 +1648,7 @@
                 rig.end(id, to, Outcome::Cancelled, 0, Role::Replica, behind * MS);
             }
             // Nor where the primary can't be had: a replica outside the bound would answer.
-            rig.at(0, &[list(ListKind::Delta, vec![entry(1, Listed::Draining, true, 0)])]);
+            rig.at(0, &[list(ListUpdate::Delta, vec![entry(1, HostStatus::Draining, true, 0)])]);
             let event = plain(99, 1, rig.now, token_ms, 0);
             let alone = target(&rig.at(0, &[event]), 99);
             assert_eq!(alone.is_some(), replica, "{behind} ms behind, token {token_ms}, {check:?}");
@@ -1625,8 +1661,8 @@
 #[test]
 fn an_expectation_counts_in_place_of_what_its_class_shows() {
     let mut rig = Rig::new(settings());
-    for server in [2, 3] {
-        rig.heard(server, Role::Replica, 0);
+    for host in [2, 3] {
+        rig.heard(host, Role::Replica, 0);
     }
     // Too little is left for what takes 1.8 s; plenty for what its class takes.
     let out = rig.at(0, &[plain(70, 0, rig.now, 0.0, 1_800 * MS), plain(71, 0, rig.now, 0.0, 0)]);
@@ -1635,25 +1671,26 @@
     // A server that served long statements as slowly as expected is not held for slow.
     let share = |known: bool| {
         let mut rig = Rig::new(settings());
-        for server in [2, 3] {
-            rig.heard(server, Role::Replica, 0);
+        for host in [2, 3] {
+            rig.heard(host, Role::Replica, 0);
         }
         let mut id = 100;
         // Each serves alone for a while: 3 statements that take 200 ms, 2 such as take 20 ms.
-        for (server, other, latency) in [(3, 2, 200), (2, 3, 20)].repeat(60) {
+        for (host, other, latency) in [(3, 2, 200), (2, 3, 20)].repeat(60) {
             let expected = if known { latency } else { 0 };
             let only =
-                [entry(server, Listed::Ready, false, 0), entry(other, Listed::Draining, false, 0)].to_vec();
-            rig.at(0, &[list(ListKind::Delta, only)]);
+                [entry(host, HostStatus::Ready, false, 0), entry(other, HostStatus::Draining, false, 0)]
+                    .to_vec();
+            rig.at(0, &[list(ListUpdate::Delta, only)]);
             id += 1;
             let event = plain(id, 0, rig.now, 0.0, expected * MS);
-            if target(&rig.at(MS, &[event]), id) == Some(server) {
-                rig.end(id, server, Outcome::Ok, latency * MS, Role::Replica, 0);
+            if target(&rig.at(MS, &[event]), id) == Some(host) {
+                rig.end(id, host, Outcome::Ok, latency * MS, Role::Replica, 0);
             }
         }
-        let ready = |id| entry(id, Listed::Ready, false, 0);
-        let both = vec![entry(1, Listed::Draining, true, 0), ready(2), ready(3)];
-        rig.at(0, &[list(ListKind::Delta, both)]);
+        let ready = |id| entry(id, HostStatus::Ready, false, 0);
+        let both = vec![entry(1, HostStatus::Draining, true, 0), ready(2), ready(3)];
+        rig.at(0, &[list(ListUpdate::Delta, both)]);
         let mut to_three = 0;
         for _ in 0..200 {
             id += 1;
@@ -1680,7 +1717,7 @@
     assert_eq!(target(&write, 2), Some(primary), "{write:?}");
     rig.end_untold(2, primary, Outcome::Ok, 10 * MS);
     let since = rig.now + 3_600_000 * MS;
-    rig.at(MS, &[Event::ByHand { server: primary, out: true, since }]);
+    rig.at(MS, &[Event::HostOverride { host: primary, out: true, since }]);
     let grace = settings().safety.drain_grace;
     rig.at(grace, &[]);
     assert_eq!(target(&rig.ask(3, 4), 3), None, "a write goes to it after the grace");
--- a/tests/session_reads.rs
+++ b/tests/session_reads.rs
@@ -9,11 +9,11 @@
 const READ: u8 = 2;
 const WRITE: u8 = 4;
 const KEYED_WRITE: u8 = 5;
-const PRIMARY: ServerId = 1;
-const REPLICA: ServerId = 2;
+const PRIMARY: HostId = 1;
+const REPLICA: HostId = 2;
 
 fn remembering(lag_check: LagCheck) -> Settings {
-    Settings { tokens: Tokens::Remembered, lag_check, ..settings() }
+    Settings { tokens: SessionTokens::TrackedByProxy, lag_check, ..settings() }
 }
 
 /// Both replicas are known so far behind.
@@ -32,21 +32,21 @@
 }
 
 /// Where the session's next reads go; each is withdrawn at once.
-fn read_goes_to(rig: &mut Rig, first_id: RequestId) -> Vec<Option<ServerId>> {
+fn read_goes_to(rig: &mut Rig, first_id: RequestId) -> Vec<Option<HostId>> {
     let ask = |id| {
-        let server = target(&rig.ask(id, READ), id);
+        let host = target(&rig.ask(id, READ), id);
         rig.at(0, &[Event::ClientGone(id)]);
-        if let Some(server) = server {
-            rig.end_untold(id, server, Outcome::Moot, 0);
+        if let Some(host) = host {
+            rig.end_untold(id, host, Outcome::NotSent, 0);
         }
-        server
+        host
     };
     (first_id..first_id + 6).map(ask).collect()
 }
 
 /// Held reads go nowhere yet.
-fn no_replica(to: &[Option<ServerId>]) -> bool {
-    to.iter().all(|server| server.is_none_or(|server| server == PRIMARY))
+fn no_replica(to: &[Option<HostId>]) -> bool {
+    to.iter().all(|host| host.is_none_or(|host| host == PRIMARY))
 }
 
 #[test]
@@ -55,21 +55,26 @@
     let to = read_goes_to(&mut rig, 10);
     assert!(no_replica(&to), "{to:?}");
     // Another session is not bound.
-    let other =
-        Arrival { id: 30, class: READ, session: 8, give_up_at: rig.now + 2_000 * MS, ..Arrival::default() };
+    let other = RequestInfo {
+        id: 30,
+        class: READ,
+        session: 8,
+        give_up_at: rig.now + 2_000 * MS,
+        ..RequestInfo::default()
+    };
     let out = rig.at(0, &[Event::Request(other)]);
-    assert!(target(&out, 30).is_some_and(|server| server != PRIMARY), "{out:?}");
+    assert!(target(&out, 30).is_some_and(|host| host != PRIMARY), "{out:?}");
 }
 
 /// Servers that check know of the commit, whoever else does.
 #[test]
 fn where_servers_check_a_write_that_is_out_binds_no_read() {
-    for lag_check in [LagCheck::Refuse, LagCheck::Wait(20 * MS)] {
+    for lag_check in [LagCheck::Reject, LagCheck::Wait(20 * MS)] {
         let mut rig = Rig::new(remembering(lag_check));
         replicas_behind(&mut rig, 0);
         rig.ask(1, WRITE);
         let to = read_goes_to(&mut rig, 10);
-        assert!(to.iter().any(|server| server.is_some_and(|server| server != PRIMARY)), "{to:?}");
+        assert!(to.iter().any(|host| host.is_some_and(|host| host != PRIMARY)), "{to:?}");
     }
 }
 
@@ -97,7 +102,7 @@
 
 #[test]
 fn a_write_that_never_ran_binds_nothing() {
-    for outcome in [Outcome::Full, Outcome::ConnectFailed, Outcome::Moot, Outcome::Miss] {
+    for outcome in [Outcome::Overloaded, Outcome::ConnectFailed, Outcome::NotSent, Outcome::Unsuitable] {
         let mut rig = write_out(WRITE);
         rig.at(0, &[Event::ClientGone(1)]);
         rig.end_untold(1, PRIMARY, outcome, 0);
@@ -140,8 +145,8 @@
     for ended in [false, true] {
         let mut rig = Rig::new(remembering(LagCheck::Unchecked));
         replicas_behind(&mut rig, 0);
-        let (read, server) = (10..30)
-            .find_map(|id| Some((id, target(&rig.ask(id, READ), id).filter(|&server| server != PRIMARY)?)))
+        let (read, host) = (10..30)
+            .find_map(|id| Some((id, target(&rig.ask(id, READ), id).filter(|&host| host != PRIMARY)?)))
             .expect("a read goes to a replica");
         assert!(rig.router.may_begin(rig.now, read));
         let out = rig.at(MS, &[request(1, WRITE, rig.now + MS)]);
@@ -151,7 +156,7 @@
         }
         assert!(!rig.router.may_begin(rig.now, read), "the write has ended: {ended}");
         // It is told so, and goes to the primary.
-        let out = rig.end(read, server, Outcome::Moot, 0, Role::Replica, 0);
+        let out = rig.end(read, host, Outcome::NotSent, 0, Role::Replica, 0);
         assert_eq!(target(&out, read), Some(PRIMARY), "{out:?}");
         assert!(rig.router.may_begin(rig.now, read));
     }
@@ -161,12 +166,12 @@
 fn a_read_s_repeat_sees_what_was_written_since_its_first_attempt() {
     let mut rig = Rig::new(remembering(LagCheck::Unchecked));
     replicas_behind(&mut rig, 0);
-    let (read, server) = (10..30)
-        .find_map(|id| Some((id, target(&rig.ask(id, READ), id).filter(|&server| server != PRIMARY)?)))
+    let (read, host) = (10..30)
+        .find_map(|id| Some((id, target(&rig.ask(id, READ), id).filter(|&host| host != PRIMARY)?)))
         .expect("a read goes to a replica");
     rig.at(0, &[request(1, WRITE, rig.now)]);
     rig.end(1, PRIMARY, Outcome::Ok, 20 * MS, Role::Primary, 0);
-    let out = rig.end(read, server, Outcome::Error, MS, Role::Replica, 25 * MS);
+    let out = rig.end(read, host, Outcome::Error, MS, Role::Replica, 25 * MS);
     assert_eq!(target(&out, read), Some(PRIMARY), "{out:?}");
 }
 
@@ -176,15 +181,15 @@
     let mut rig = write_out(WRITE);
     rig.end_untold(1, PRIMARY, Outcome::Ok, 20 * MS);
     let first_commit = rig.now;
-    let note = Report { position: Some(T0), role: Some(Role::Replica), in_flight: None };
-    rig.at(5 * MS, &[Event::Noted { server: PRIMARY, note }]);
+    let note = HostReport { position: Some(T0), role: Some(Role::Replica), in_flight: None };
+    rig.at(5 * MS, &[Event::PartialAnswer { host: PRIMARY, note }]);
     assert_eq!(target(&rig.ask(2, READ), 2), None, "no member has what the session wrote");
     rig.ask(3, WRITE);
     let out = rig.at(10 * MS, &[Event::Timer(0)]);
     let new_primary = target(&out, 3).expect("it looks for the primary");
     let out = rig.end(3, new_primary, Outcome::Ok, 20 * MS, Role::Primary, 0);
     let sent = target(&out, 2);
-    assert!(sent.is_none_or(|server| server == new_primary), "{out:?}");
+    assert!(sent.is_none_or(|host| host == new_primary), "{out:?}");
     // Another replica has the first write by now, and not the second.
     let other = if new_primary == REPLICA { 3 } else { REPLICA };
     let behind = rig.now - first_commit - MS;
@@ -198,15 +203,15 @@
 #[test]
 fn a_bounded_read_does_not_begin_at_a_replica_that_has_left_the_bound() {
     const BOUNDED: u8 = 1;
-    for tokens in [Tokens::Carried, Tokens::Remembered] {
+    for tokens in [SessionTokens::FromClient, SessionTokens::TrackedByProxy] {
         let mut rig = Rig::new(Settings { tokens, ..remembering(LagCheck::Unchecked) });
         replicas_behind(&mut rig, 100 * MS);
-        let (read, server) = (10..30)
-            .find_map(|id| Some((id, target(&rig.ask(id, BOUNDED), id).filter(|&server| server != PRIMARY)?)))
+        let (read, host) = (10..30)
+            .find_map(|id| Some((id, target(&rig.ask(id, BOUNDED), id).filter(|&host| host != PRIMARY)?)))
             .expect("a read goes to a replica");
         assert!(rig.router.may_begin(rig.now + 200 * MS, read), "on the bound");
         assert!(!rig.router.may_begin(rig.now + 201 * MS, read), "beyond it");
-        rig.heard(server, Role::Replica, 0);
+        rig.heard(host, Role::Replica, 0);
         assert!(rig.router.may_begin(rig.now + 201 * MS, read), "it was heard of since");
     }
 }
@@ -219,9 +224,10 @@
         rig.ask(1, WRITE);
         rig.end_untold(1, PRIMARY, Outcome::Ok, 5 * MS);
         assert_eq!(target(&rig.ask(2, class), 2), Some(PRIMARY));
-        let note = Report { position: Some(rig.now - 400 * MS), role: Some(Role::Replica), in_flight: None };
+        let note =
+            HostReport { position: Some(rig.now - 400 * MS), role: Some(Role::Replica), in_flight: None };
         // Told by an answer whose rest never comes.
-        rig.at(500 * MS, &[Event::Noted { server: PRIMARY, note }]);
+        rig.at(500 * MS, &[Event::PartialAnswer { host: PRIMARY, note }]);
         assert!(!rig.router.may_begin(rig.now, 2), "class {class}");
     }
 }
@@ -235,26 +241,31 @@
     let before = rig.now;
     for n in 0..SESSIONS {
         let id = 1_000 + n as RequestId;
-        let write = Arrival {
+        let write = RequestInfo {
             id,
             class: WRITE,
             session: 100 + n,
             give_up_at: rig.now + 2_000 * MS,
-            ..Arrival::default()
+            ..RequestInfo::default()
         };
         let out = rig.at(0, &[Event::Request(write)]);
         assert_eq!(target(&out, id), Some(PRIMARY));
         rig.end(id, PRIMARY, Outcome::Ok, 10, Role::Primary, 0);
     }
-    let reads = |rig: &mut Rig, session, first: RequestId| -> Vec<Option<ServerId>> {
+    let reads = |rig: &mut Rig, session, first: RequestId| -> Vec<Option<HostId>> {
         let ask = |id| {
-            let read =
-                Arrival { id, class: READ, session, give_up_at: rig.now + 2_000 * MS, ..Arrival::default() };
-            let server = target(&rig.at(0, &[Event::Request(read)]), id);
-            if let Some(server) = server {
-                rig.end(id, server, Outcome::Ok, MS, role_of(server), rig.now - before);
+            let read = RequestInfo {
+                id,
+                class: READ,
+                session,
+                give_up_at: rig.now + 2_000 * MS,
+                ..RequestInfo::default()
+            };
+            let host = target(&rig.at(0, &[Event::Request(read)]), id);
+            if let Some(host) = host {
+                rig.end(id, host, Outcome::Ok, MS, role_of(host), rig.now - before);
             }
-            server
+            host
         };
         (first..first + 6).map(ask).collect()
     };
@@ -270,18 +281,18 @@
 #[test]
 fn what_another_process_answered_binds_the_reads_of_this_one() {
     let mut rig = Rig::new(remembering(LagCheck::Unchecked));
-    rig.at(0, &[Event::Sessions(SessionNews::Started)]);
+    rig.at(0, &[Event::Sessions(SessionEvent::Started)]);
     replicas_behind(&mut rig, MS);
     let to = read_goes_to(&mut rig, 10);
     assert!(no_replica(&to), "behind this one's start: {to:?}");
     replicas_behind(&mut rig, 0);
     let to = read_goes_to(&mut rig, 20);
     assert!(!no_replica(&to), "{to:?}");
-    rig.at(5 * MS, &[Event::Sessions(SessionNews::OtherProcess(true))]);
+    rig.at(5 * MS, &[Event::Sessions(SessionEvent::OtherProcess(true))]);
     replicas_behind(&mut rig, 0);
     let to = read_goes_to(&mut rig, 30);
     assert!(no_replica(&to), "the other runs: {to:?}");
-    rig.at(5 * MS, &[Event::Sessions(SessionNews::OtherProcess(false))]);
+    rig.at(5 * MS, &[Event::Sessions(SessionEvent::OtherProcess(false))]);
     let to = read_goes_to(&mut rig, 40);
     assert!(no_replica(&to), "behind the other's end: {to:?}");
     replicas_behind(&mut rig, 0);
@@ -294,13 +305,13 @@
 fn a_write_whose_answer_is_passed_on_binds_up_to_its_end() {
     for told in [true, false] {
         let mut rig = write_out(WRITE);
-        rig.at(0, &[Event::Sessions(SessionNews::StreamBegins(9))]);
+        rig.at(0, &[Event::Sessions(SessionEvent::StreamBegins(9))]);
         rig.end_untold(1, PRIMARY, Outcome::Ok, 5 * MS);
         rig.at(10 * MS, &[]);
         replicas_behind(&mut rig, 0);
         let to = read_goes_to(&mut rig, 10);
         assert!(no_replica(&to), "it is passed on: {to:?}");
-        rig.at(10 * MS, &[Event::Sessions(SessionNews::StreamEnds(9, told.then_some(rig.now + 10 * MS)))]);
+        rig.at(10 * MS, &[Event::Sessions(SessionEvent::StreamEnds(9, told.then_some(rig.now + 10 * MS)))]);
         let to = read_goes_to(&mut rig, 20);
         assert!(no_replica(&to), "it has committed: {to:?}");
         replicas_behind(&mut rig, 0);
@@ -315,10 +326,18 @@
     for (ahead, binds) in [(300 * MS, true), (3_600_000 * MS, false)] {
         let mut rig = write_out(WRITE);
         rig.now += 5 * MS;
-        let note = Report { position: Some(rig.now + ahead), role: Some(Role::Primary), in_flight: None };
-        let (report, outcome, latency) = (Report::default(), Outcome::Ok, 5 * MS);
-        let end =
-            Returned { id: 1, attempt: 0, server: PRIMARY, outcome, latency, finished: true, note, report };
+        let note = HostReport { position: Some(rig.now + ahead), role: Some(Role::Primary), in_flight: None };
+        let (report, outcome, latency) = (HostReport::default(), Outcome::Ok, 5 * MS);
+        let end = AttemptResult {
+            id: 1,
+            attempt: 0,
+            host: PRIMARY,
+            outcome,
+            latency,
+            finished: true,
+            note,
+            report,
+        };
         rig.at(0, &[Event::Outcome(end)]);
         rig.at(100 * MS, &[]);
         replicas_behind(&mut rig, 0);
--- a/tests/sizes.rs
+++ b/tests/sizes.rs
@@ -29,24 +29,24 @@
 // ---- Pure routers ----
 
 fn settings(proxies: u32) -> Settings {
-    let class = |need, effect| Class {
-        need,
-        effect,
-        aim: 300 * MS,
+    let class = |access, idempotency| Class {
+        access,
+        idempotency,
+        latency_target: 300 * MS,
         deadline: 2_000 * MS,
         worth: 3.0,
         late_worth: 0.3,
-        aim_stretch: 0.0,
+        latency_target_stretch: 0.0,
     };
     Settings {
-        routers: proxies,
+        proxy_count: proxies,
         ordinal: 0,
         zone: 0,
-        classes: vec![class(Need::Any, Effect::Safe)],
+        classes: vec![class(Access::AnyRead, Idempotency::Idempotent)],
         list_mode: ListMode::Pushed,
-        list_role: ListRole::Late,
+        list_role: ListRole::Delayed,
         lag_check: LagCheck::Unchecked,
-        tokens: Tokens::Remembered,
+        tokens: SessionTokens::TrackedByProxy,
         crossings_cost: false,
         positions: true,
         limits: Limits {
@@ -55,17 +55,17 @@
             peers: true,
             retry_after: true,
             max_retry_after: 1_000 * MS,
-            second_copies: false,
+            hedging: false,
             max_attempts: 10,
         },
         safety: Safety {
             drain_grace: 500 * MS,
             only_draining_binds: false,
             start_capacity: 0.2,
-            cold: 15_000 * MS,
-            tip_multiple: 3.0,
-            overload_for: 1_000 * MS,
-            ask_within: 10_000 * MS,
+            cold_duration: 15_000 * MS,
+            overload_multiple: 3.0,
+            overload_duration: 1_000 * MS,
+            max_list_age: 10_000 * MS,
         },
         quotas: Vec::new(),
         over_quota_worth: 1.0,
@@ -81,10 +81,10 @@
 
 impl Model {
     /// One of so many, with so many servers in groups of this size.
-    fn start(proxies: u32, servers: u32, members: u32) -> Model {
+    fn start(proxies: u32, hosts: u32, members: u32) -> Model {
         let mut model = Model { router: Router::new(settings(proxies), 1), now: T0, requests: 0 };
-        let entries = (0..servers).map(|server| entry(server, members, Listed::Ready)).collect();
-        model.tell(Event::List { kind: ListKind::Full, entries });
+        let entries = (0..hosts).map(|host| entry(host, members, HostStatus::Ready)).collect();
+        model.tell(Event::List { kind: ListUpdate::Full, entries });
         model
     }
 
@@ -94,45 +94,45 @@
         actions
     }
 
-    fn arrival(&mut self, class: u8, group: GroupId) -> Arrival {
+    fn arrival(&mut self, class: u8, group: GroupId) -> RequestInfo {
         self.requests += 1;
         let give_up_at = self.now + 2_000 * MS;
-        Arrival { id: self.requests, class, group, give_up_at, ..Arrival::default() }
+        RequestInfo { id: self.requests, class, group, give_up_at, ..RequestInfo::default() }
     }
 
     /// Where a read of this group goes; it is answered there.
-    fn read_goes_to(&mut self, group: GroupId) -> Option<ServerId> {
+    fn read_goes_to(&mut self, group: GroupId) -> Option<HostId> {
         let arrival = self.arrival(0, group);
         let id = arrival.id;
         let actions = self.tell(Event::Request(arrival));
-        let server = actions.iter().find_map(|action| match action {
-            Action::Send { server, .. } => Some(*server),
+        let host = actions.iter().find_map(|action| match action {
+            Action::Send { host, .. } => Some(*host),
             _ => None,
         })?;
         self.now += MS;
-        self.tell(Event::Outcome(Returned {
+        self.tell(Event::Outcome(AttemptResult {
             id,
             attempt: 0,
-            server,
+            host,
             outcome: Outcome::Ok,
             latency: MS,
             finished: true,
-            note: Report::default(),
-            report: Report::default(),
+            note: HostReport::default(),
+            report: HostReport::default(),
         }));
-        Some(server)
+        Some(host)
     }
 }
 
-fn entry(server: ServerId, members: u32, state: Listed) -> Entry {
-    Entry {
-        server,
+fn entry(host: HostId, members: u32, state: HostStatus) -> HostEntry {
+    HostEntry {
+        host,
         zone: 0,
         kind: 0,
-        group: server / members,
+        group: host / members,
         state,
         weight: 1.0,
-        primary: server.is_multiple_of(members),
+        primary: host.is_multiple_of(members),
         started: 0,
     }
 }
@@ -140,16 +140,16 @@
 /// Each server in turn is the only one of its group that takes work.
 #[test]
 fn every_server_of_a_large_list_is_routable() {
-    for (proxies, servers) in DEPLOYMENTS {
-        let mut model = Model::start(proxies, servers, MEMBERS);
-        assert_eq!(model.router.hosts(), (servers as usize, 0));
-        for server in 0..servers {
-            let group = server / MEMBERS;
-            let members = group * MEMBERS..((group + 1) * MEMBERS).min(servers);
-            let state = |member| if member == server { Listed::Ready } else { Listed::Draining };
+    for (proxies, hosts) in DEPLOYMENTS {
+        let mut model = Model::start(proxies, hosts, MEMBERS);
+        assert_eq!(model.router.hosts(), (hosts as usize, 0));
+        for host in 0..hosts {
+            let group = host / MEMBERS;
+            let members = group * MEMBERS..((group + 1) * MEMBERS).min(hosts);
+            let state = |member| if member == host { HostStatus::Ready } else { HostStatus::Draining };
             let entries = members.map(|member| entry(member, MEMBERS, state(member))).collect();
-            model.tell(Event::List { kind: ListKind::Delta, entries });
-            assert_eq!(model.read_goes_to(group), Some(server), "{proxies} proxies, {servers} servers");
+            model.tell(Event::List { kind: ListUpdate::Delta, entries });
+            assert_eq!(model.read_goes_to(group), Some(host), "{proxies} proxies, {hosts} servers");
         }
     }
 }
@@ -157,14 +157,14 @@
 /// The same, where all are members of one group.
 #[test]
 fn every_server_of_a_large_group_is_routable() {
-    for (proxies, servers) in DEPLOYMENTS {
-        let mut model = Model::start(proxies, servers, servers);
+    for (proxies, hosts) in DEPLOYMENTS {
+        let mut model = Model::start(proxies, hosts, hosts);
         let mut routed = BTreeSet::new();
-        for _ in 0..servers {
-            let server = model.read_goes_to(0).expect("one takes it");
-            assert!(routed.insert(server), "{server} drains");
-            let entries = [entry(server, servers, Listed::Draining)].into();
-            model.tell(Event::List { kind: ListKind::Delta, entries });
+        for _ in 0..hosts {
+            let host = model.read_goes_to(0).expect("one takes it");
+            assert!(routed.insert(host), "{host} drains");
+            let entries = [entry(host, hosts, HostStatus::Draining)].into();
+            model.tell(Event::List { kind: ListUpdate::Delta, entries });
         }
         assert_eq!(model.read_goes_to(0), None);
     }
@@ -173,38 +173,38 @@
 /// Requests pay for what is said; those of a class that nobody knows pay too, and cost the model little.
 #[test]
 fn the_position_of_every_server_is_told_to_the_other_proxies() {
-    for (proxies, servers) in DEPLOYMENTS {
-        let mut model = Model::start(proxies, servers, MEMBERS);
-        for server in 0..servers {
-            let report = Report { position: Some(model.now - MS), ..Report::default() };
-            model.tell(Event::Probed { server, ok: true, report });
+    for (proxies, hosts) in DEPLOYMENTS {
+        let mut model = Model::start(proxies, hosts, MEMBERS);
+        for host in 0..hosts {
+            let report = HostReport { position: Some(model.now - MS), ..HostReport::default() };
+            model.tell(Event::Probed { host, ok: true, report });
         }
         let (mut told, mut longest) = (BTreeSet::new(), 0);
-        for _ in 0..servers {
+        for _ in 0..hosts {
             model.now += PERIOD;
             for _ in 0..proxies * 12 {
                 let arrival = model.arrival(u8::MAX, 0);
                 for action in model.tell(Event::Request(arrival)) {
-                    let Action::TellAll(news) = action else { continue };
+                    let Action::Broadcast(news) = action else { continue };
                     longest = longest.max(datagram_length(&news));
                     told.extend(news.iter().filter_map(|news| match news {
-                        News::Stands { server, .. } => Some(*server),
-                        News::Asked { .. } => None,
+                        PeerUpdate::HostPosition { host, .. } => Some(*host),
+                        PeerUpdate::TenantRate { .. } => None,
                     }));
                 }
             }
-            if told.len() == servers as usize {
+            if told.len() == hosts as usize {
                 break;
             }
         }
-        assert_eq!(told.len(), servers as usize, "{proxies} proxies");
-        println!("{proxies} proxies, {servers} servers: the longest datagram has {longest} bytes");
+        assert_eq!(told.len(), hosts as usize, "{proxies} proxies");
+        println!("{proxies} proxies, {hosts} servers: the longest datagram has {longest} bytes");
     }
 }
 
 /// The length of the one datagram that holds all of it.
-fn datagram_length(news: &[News]) -> usize {
-    let shared = |server| Some(u32::MAX - server);
+fn datagram_length(news: &[PeerUpdate]) -> usize {
+    let shared = |host| Some(u32::MAX - host);
     let items: Vec<Item> = news.iter().filter_map(|&news| talk::item(news, shared)).collect();
     let sender = Sender { ordinal: u16::MAX, incarnation: unix_ms(), number: u32::MAX };
     let (datagram, packed) = Datagram::pack(sender, &items);
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -18,29 +18,29 @@
 /// What an answer takes.
 const TAKES: Micros = 20 * MS;
 
-fn settings(routers: u32) -> Settings {
-    let class = |need, effect| Class {
-        need,
-        effect,
-        aim: 300 * MS,
+fn settings(proxy_count: u32) -> Settings {
+    let class = |access, idempotency| Class {
+        access,
+        idempotency,
+        latency_target: 300 * MS,
         deadline: 2_000 * MS,
         worth: 3.0,
         late_worth: 0.3,
-        aim_stretch: 0.0,
+        latency_target_stretch: 0.0,
     };
     Settings {
-        routers,
+        proxy_count,
         ordinal: 0,
         zone: 0,
         classes: vec![
-            class(Need::Bounded(800 * MS), Effect::Safe),
-            class(Need::Any, Effect::Safe),
-            class(Need::Write, Effect::Keyed(DedupScope::Group, 1_200 * MS)),
+            class(Access::BoundedRead(800 * MS), Idempotency::Idempotent),
+            class(Access::AnyRead, Idempotency::Idempotent),
+            class(Access::Write, Idempotency::Keyed(DedupScope::Group, 1_200 * MS)),
         ],
         list_mode: ListMode::Pushed,
-        list_role: ListRole::Late,
+        list_role: ListRole::Delayed,
         lag_check: LagCheck::Wait(100 * MS),
-        tokens: Tokens::Carried,
+        tokens: SessionTokens::FromClient,
         crossings_cost: false,
         positions: true,
         limits: Limits {
@@ -49,17 +49,17 @@
             peers: false,
             retry_after: true,
             max_retry_after: 1_000 * MS,
-            second_copies: false,
+            hedging: false,
             max_attempts: 10,
         },
         safety: Safety {
             drain_grace: 500 * MS,
             only_draining_binds: false,
             start_capacity: START,
-            cold: COLD,
-            tip_multiple: TIP,
-            overload_for: WINDOW,
-            ask_within: 10_000 * MS,
+            cold_duration: COLD,
+            overload_multiple: TIP,
+            overload_duration: WINDOW,
+            max_list_age: 10_000 * MS,
         },
         quotas: Vec::new(),
         over_quota_worth: 1.0,
@@ -70,7 +70,7 @@
 enum Happens {
     Arrives,
     Wakes(u64),
-    Answered { id: RequestId, attempt: u8, server: ServerId, sent: Micros },
+    Answered { id: RequestId, attempt: u8, host: HostId, sent: Micros },
 }
 
 /// The worst second of a server that starts anew: what it was sent over what it could be sent.
@@ -85,8 +85,8 @@
 
 /// So many routers, of which one gets several times the mean and most little, ask a group for so many times what it can
 /// do; all members but the primary, or so many of them, start anew.
-fn day(routers: u32, load: f64, anew: u32, seed: u64) -> Worst {
-    day_with_clocks(routers, load, anew, seed, 0, Told::AsNews)
+fn day(proxy_count: u32, load: f64, anew: u32, seed: u64) -> Worst {
+    day_with_clocks(proxy_count, load, anew, seed, 0, Told::AsNews)
 }
 
 /// How routers hear of a start.
@@ -99,22 +99,22 @@
 }
 
 /// The same, where the clock by which starts are told differs from the routers' by so much.
-fn day_with_clocks(routers: u32, load: f64, anew: u32, seed: u64, ahead: i64, by: Told) -> Worst {
-    let mut lots = oorandom::Rand64::new(u128::from(seed) * 1_000 + u128::from(routers));
-    let mut all: Vec<Router> = (0..routers)
-        .map(|n| Router::new(Settings { ordinal: n, ..settings(routers) }, seed * 10_007 + u64::from(n)))
+fn day_with_clocks(proxy_count: u32, load: f64, anew: u32, seed: u64, ahead: i64, by: Told) -> Worst {
+    let mut lots = oorandom::Rand64::new(u128::from(seed) * 1_000 + u128::from(proxy_count));
+    let mut all: Vec<Router> = (0..proxy_count)
+        .map(|n| Router::new(Settings { ordinal: n, ..settings(proxy_count) }, seed * 10_007 + u64::from(n)))
         .collect();
-    let mut parts: Vec<f64> = (0..routers).map(|n| 1.0 / f64::from(n + 2)).collect();
+    let mut parts: Vec<f64> = (0..proxy_count).map(|n| 1.0 / f64::from(n + 2)).collect();
     let sum: f64 = parts.iter().sum();
     parts.iter_mut().for_each(|p| *p /= sum);
-    let entry = |server: ServerId, started: Micros| Entry {
-        server,
+    let entry = |host: HostId, started: Micros| HostEntry {
+        host,
         zone: 0,
         kind: 0,
         group: 0,
-        state: Listed::Ready,
+        state: HostStatus::Ready,
         weight: 1.0,
-        primary: server == 1,
+        primary: host == 1,
         started,
     };
     let start = if by == Told::AsNews { T0 + 2_000 * MS } else { T0 };
@@ -135,26 +135,26 @@
     }
     let (mut ids, mut told) = (0, by == Told::ByTheFirstList);
     let mut out = Vec::new();
-    let started = |server| if told && server + anew > MEMBERS { told_start } else { 0 };
-    let known: Vec<Entry> = (1..=MEMBERS).map(|server| entry(server, started(server))).collect();
+    let started = |host| if told && host + anew > MEMBERS { told_start } else { 0 };
+    let known: Vec<HostEntry> = (1..=MEMBERS).map(|host| entry(host, started(host))).collect();
     for router in &mut all {
-        router.handle(T0, &[Event::List { kind: ListKind::Full, entries: known.clone().into() }], &mut out);
+        router.handle(T0, &[Event::List { kind: ListUpdate::Full, entries: known.clone().into() }], &mut out);
         out.clear();
     }
-    let mut recent: BTreeMap<ServerId, VecDeque<Micros>> = BTreeMap::new();
+    let mut recent: BTreeMap<HostId, VecDeque<Micros>> = BTreeMap::new();
     let mut worst = Worst { sent: 0, budget: 1.0, cold: 0, all: 0 };
-    let mut attempts: Vec<BTreeMap<RequestId, u8>> = (0..routers).map(|_| BTreeMap::new()).collect();
+    let mut attempts: Vec<BTreeMap<RequestId, u8>> = (0..proxy_count).map(|_| BTreeMap::new()).collect();
     while let Some(((now, _), (n, what))) = due.pop_first() {
         if now > start + COLD {
             break;
         }
         if now >= start && !told {
             told = true;
-            let news: Vec<Entry> = (0..anew).map(|k| entry(MEMBERS - k, told_start)).collect();
+            let news: Vec<HostEntry> = (0..anew).map(|k| entry(MEMBERS - k, told_start)).collect();
             for router in &mut all {
                 router.handle(
                     now,
-                    &[Event::List { kind: ListKind::Delta, entries: news.clone().into() }],
+                    &[Event::List { kind: ListUpdate::Delta, entries: news.clone().into() }],
                     &mut out,
                 );
                 out.clear();
@@ -166,26 +166,27 @@
                 ids += 1;
                 let lot = lots.rand_float();
                 let class = if lot < 0.5 { 0 } else { u8::from(lot < 0.9) + 2 * u8::from(lot >= 0.9) };
-                let arrival = Arrival { id: ids, class, give_up_at: now + 2_000 * MS, ..Arrival::default() };
+                let arrival =
+                    RequestInfo { id: ids, class, give_up_at: now + 2_000 * MS, ..RequestInfo::default() };
                 Event::Request(arrival)
             }
             Happens::Wakes(mark) => Event::Timer(mark),
-            Happens::Answered { id, attempt, server, sent } => {
-                let primary = server == 1;
-                let note = Report {
+            Happens::Answered { id, attempt, host, sent } => {
+                let primary = host == 1;
+                let note = HostReport {
                     role: Some(if primary { Role::Primary } else { Role::Replica }),
                     position: Some(now - if primary { 0 } else { 10 * MS }),
                     in_flight: None,
                 };
-                Event::Outcome(Returned {
+                Event::Outcome(AttemptResult {
                     id,
                     attempt,
-                    server,
+                    host,
                     outcome: Outcome::Ok,
                     latency: now - sent,
                     finished: true,
                     note,
-                    report: Report::default(),
+                    report: HostReport::default(),
                 })
             }
         };
@@ -193,24 +194,24 @@
         for action in out.drain(..) {
             match action {
                 Action::Timer { at, mark } => put(&mut due, at.max(now + 1), n, Happens::Wakes(mark)),
-                Action::Send { id, server, .. } => {
+                Action::Send { id, host, .. } => {
                     let attempt = attempts[n].entry(id).or_insert(0);
                     put(
                         &mut due,
                         now + TAKES,
                         n,
-                        Happens::Answered { id, attempt: *attempt, server, sent: now },
+                        Happens::Answered { id, attempt: *attempt, host, sent: now },
                     );
                     *attempt += 1;
                     if now < start {
                         continue;
                     }
                     worst.all += 1;
-                    if server + anew <= MEMBERS {
+                    if host + anew <= MEMBERS {
                         continue;
                     }
                     worst.cold += 1;
-                    let sent = recent.entry(server).or_default();
+                    let sent = recent.entry(host).or_default();
                     sent.push_back(now);
                     while sent.front().is_some_and(|at| at + WINDOW <= now) {
                         sent.pop_front();
@@ -233,12 +234,12 @@
 /// Beyond what tips a cold server over only chance is allowed, and no more of it with thirty routers than with one.
 #[test]
 fn a_cold_server_is_sent_no_more_than_it_can_take_by_any_number_of_routers() {
-    for routers in [1, 3, 8, 9, 20, 30, 300] {
+    for proxy_count in [1, 3, 8, 9, 20, 30, 300] {
         for (load, anew) in [(1.0, 1), (1.0, 4), (1.5, 1), (1.5, 2), (2.2, 1)] {
-            let seed = u64::from(routers) + anew as u64;
-            let worst = day(routers, load, anew, seed);
-            eprintln!("seed {seed}: {routers} routers, load {load}, {anew} of {MEMBERS} anew: {worst:?}");
-            let told = format!("{routers} routers, load {load}, {anew} anew: {worst:?}");
+            let seed = u64::from(proxy_count) + anew as u64;
+            let worst = day(proxy_count, load, anew, seed);
+            eprintln!("seed {seed}: {proxy_count} routers, load {load}, {anew} of {MEMBERS} anew: {worst:?}");
+            let told = format!("{proxy_count} routers, load {load}, {anew} anew: {worst:?}");
             assert!(worst.sent as f64 <= worst.budget, "{told}");
             // Nor is it left out: then it would stay cold wherever work is what warms.
             assert!(worst.cold * 100 > worst.all, "{told}");
@@ -251,10 +252,11 @@
 #[test]
 fn a_server_whose_start_is_told_by_another_clock_is_cold() {
     for ahead_ms in [-3_600_000, -5_000, 2, 5_000, 3_600_000] {
-        for (routers, load, anew) in [(1, 1.0, 1), (3, 1.5, 2), (30, 1.5, 1)] {
-            let seed = u64::from(routers) + 40;
-            let worst = day_with_clocks(routers, load, anew, seed, ahead_ms * MS as i64, Told::AsNews);
-            let told = format!("seed {seed}: {routers} routers, {ahead_ms} ms ahead, {anew} anew: {worst:?}");
+        for (proxy_count, load, anew) in [(1, 1.0, 1), (3, 1.5, 2), (30, 1.5, 1)] {
+            let seed = u64::from(proxy_count) + 40;
+            let worst = day_with_clocks(proxy_count, load, anew, seed, ahead_ms * MS as i64, Told::AsNews);
+            let told =
+                format!("seed {seed}: {proxy_count} routers, {ahead_ms} ms ahead, {anew} anew: {worst:?}");
             assert!(worst.sent as f64 <= worst.budget, "{told}");
             assert!(worst.cold * 100 > worst.all, "{told}");
         }
@@ -266,11 +268,12 @@
 #[test]
 fn a_server_that_started_just_before_a_router_with_a_clock_ahead_is_cold() {
     for ahead_ms in [-3_600_000, -60_000, 0, 3_600_000] {
-        for (routers, load, anew) in [(1, 1.0, 1), (3, 1.5, 2), (30, 1.5, 1)] {
-            let seed = u64::from(routers) + 60;
+        for (proxy_count, load, anew) in [(1, 1.0, 1), (3, 1.5, 2), (30, 1.5, 1)] {
+            let seed = u64::from(proxy_count) + 60;
             let by = Told::ByTheFirstList;
-            let worst = day_with_clocks(routers, load, anew, seed, ahead_ms * MS as i64, by);
-            let told = format!("seed {seed}: {routers} routers, {ahead_ms} ms ahead, {anew} anew: {worst:?}");
+            let worst = day_with_clocks(proxy_count, load, anew, seed, ahead_ms * MS as i64, by);
+            let told =
+                format!("seed {seed}: {proxy_count} routers, {ahead_ms} ms ahead, {anew} anew: {worst:?}");
             assert!(worst.sent as f64 <= worst.budget, "{told}");
         }
     }
