--- a/crates/conf/src/lib.rs
+++ b/crates/conf/src/lib.rs
@@ -13,7 +13,7 @@
 const MOST_BYTES: u64 = 16 << 20;
 
 /// Reads a file as text; the error names the file.
-pub fn text(path: &Path) -> Result<String, String> {
+pub fn read_text(path: &Path) -> Result<String, String> {
     let text = std::fs::metadata(path).and_then(|m| match m.len() {
         0..=MOST_BYTES => std::fs::read_to_string(path),
         n => Err(std::io::Error::other(format!("{n} bytes; the most is {MOST_BYTES}"))),
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -44,7 +44,7 @@
 }
 
 fn read<T: sillfold_conf::Configuration>(path: &Path) -> io::Result<T> {
-    let text = sillfold_conf::text(path).map_err(io::Error::other)?;
+    let text = sillfold_conf::read_text(path).map_err(io::Error::other)?;
     sillfold_conf::parse(&path.display().to_string(), &text).map_err(|e| io::Error::other(e.join("; ")))
 }
 
--- a/crates/lab/src/sim/forged_peer.rs
+++ b/crates/lab/src/sim/forged_peer.rs
@@ -24,14 +24,14 @@
         let names: Vec<String> = fleet.hosts.borrow().iter().map(|h| h.name.clone()).collect();
         let mut items: Vec<Item> = names
             .iter()
-            .map(|name| Item::Stands {
+            .map(|name| Item::HostPosition {
                 host: shared_name(name),
                 position_ms: now,
                 primary: fleet.world.lot() < 0.5,
             })
             .collect();
-        items.push(Item::Asked { tenant: 0, tenths_per_s: u32::MAX });
-        let sender = Sender { ordinal: ordinal as u16, incarnation: begun, number };
+        items.push(Item::TenantRate { tenant: 0, tenths_per_s: u32::MAX });
+        let sender = Sender { ordinal: ordinal as u16, incarnation: begun, sequence: number };
         let (datagram, _) = Datagram::pack(sender, &items);
         all.iter().for_each(|to| fleet.world.forge(all[ordinal], *to, datagram.bytes()));
         world::after(INTERVAL).await;
--- a/crates/lab/src/sim/plan.rs
+++ b/crates/lab/src/sim/plan.rs
@@ -307,7 +307,7 @@
 
     /// Reads a plan from a JSON5 file.
     pub fn read(path: &std::path::Path) -> Result<Plan, String> {
-        let text = sillfold_conf::text(path)?;
+        let text = sillfold_conf::read_text(path)?;
         sillfold_conf::parse(&path.display().to_string(), &text).map_err(|e| e.join("; "))
     }
 
--- a/crates/planner/src/main.rs
+++ b/crates/planner/src/main.rs
@@ -150,7 +150,7 @@
 }
 
 fn read_fleet(path: &Path) -> Result<Fleet, Vec<String>> {
-    let text = sillfold_conf::text(path).map_err(one)?;
+    let text = sillfold_conf::read_text(path).map_err(one)?;
     let name = path.display().to_string();
     let fleet: Fleet = sillfold_conf::parse(&name, &text)?;
     let place = |fault: &String| {
@@ -201,7 +201,7 @@
         let fleet = read_fleet(&self.fleet)?;
         let mut load = match &self.load {
             Some(path) => {
-                let text = sillfold_conf::text(path).map_err(one)?;
+                let text = sillfold_conf::read_text(path).map_err(one)?;
                 sillfold_conf::parse(&path.display().to_string(), &text)?
             }
             None => captured(&self.capture, self.side_by_side, &mut notes)?,
--- a/crates/talk/src/lib.rs
+++ b/crates/talk/src/lib.rs
@@ -2,8 +2,8 @@
 //! whether they are whole, whether they are news. Pure: no clock, no socket, no lots. It must never hold what a message
 //! says beyond the call, nor make a datagram that is too long: there is no way to.
 
-pub mod door;
+pub mod channel;
 pub mod message;
 
-pub use door::{Door, Figures, Refused};
-pub use message::{Datagram, Item, Message, Sender, Unreadable};
+pub use channel::{Counters, DropReason, PeerChannel};
+pub use message::{Datagram, DecodeError, Item, Message, Sender};
--- a/src/bin/sillfold-benchlink/main.rs
+++ b/src/bin/sillfold-benchlink/main.rs
@@ -213,8 +213,9 @@
             let n = usize::from(c.u16("HEARD.bytes length")?);
             // What cannot be read says nothing.
             let said = Message::read(c.take(n, "HEARD.bytes")?);
-            let news = said
-                .map_or(Vec::new(), |m| m.items.into_iter().filter_map(|i| talk::news(i, Some)).collect());
+            let news = said.map_or(Vec::new(), |m| {
+                m.items.into_iter().filter_map(|i| talk::from_item(i, Some)).collect()
+            });
             Event::Peer { from, news }
         }
         other => return Err(WireError(format!("unknown record code {other}"))),
@@ -291,8 +292,8 @@
         }
         Action::Broadcast(news) => {
             // Here all instances have the same numbers for hosts.
-            let items: Vec<Item> = news.into_iter().filter_map(|n| talk::item(n, Some)).collect();
-            let (datagram, _) = Datagram::pack(Sender { ordinal: 0, incarnation: 0, number: 0 }, &items);
+            let items: Vec<Item> = news.into_iter().filter_map(|n| talk::to_item(n, Some)).collect();
+            let (datagram, _) = Datagram::pack(Sender { ordinal: 0, incarnation: 0, sequence: 0 }, &items);
             reply.record(8, who).u32(u32::MAX).blob(datagram.bytes());
         }
         Action::Subscribe => {
--- a/src/net/core.rs
+++ b/src/net/core.rs
@@ -421,7 +421,7 @@
         let news = {
             let inner = self.inner.borrow();
             let own = |host| inner.shared.get(&host).copied().flatten();
-            items.iter().filter_map(|item| talk::news(*item, own)).collect()
+            items.iter().filter_map(|item| talk::from_item(*item, own)).collect()
         };
         self.feed(Event::Peer { from, news });
     }
@@ -568,7 +568,7 @@
                 Action::Broadcast(news) => {
                     if let Some(says) = self.says.borrow().as_ref() {
                         let shared = |id| inner.names.get(&id).map(|name| shared_name(name));
-                        let items = news.into_iter().filter_map(|n| talk::item(n, shared)).collect();
+                        let items = news.into_iter().filter_map(|n| talk::to_item(n, shared)).collect();
                         // A door that is shut, or behind, says newer things later.
                         let _ = says.try_send(items);
                     }
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -11,8 +11,8 @@
 use super::world::{self, Post};
 use async_channel::{Receiver, Sender};
 use futures_lite::future;
-use sillfold_talk::message::MOST;
-use sillfold_talk::{Door, Figures, Item};
+use sillfold_talk::message::MAX_DATAGRAM_BYTES;
+use sillfold_talk::{Counters, Item, PeerChannel};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::io::ErrorKind;
@@ -34,7 +34,7 @@
     talk: Talk,
     /// The number of the proxy at each address.
     numbers: BTreeMap<SocketAddr, u16>,
-    door: RefCell<Door>,
+    door: RefCell<PeerChannel>,
     said: Receiver<Vec<Item>>,
     /// Closed once the proxy is told to stop.
     stopping: (Sender<()>, Receiver<()>),
@@ -44,7 +44,7 @@
     /// A door that is still shut; from now on the core's news come here.
     pub fn new(core: Rc<Core>, talk: Talk) -> Peers {
         let started_ms = core.clock.now() / 1_000;
-        let door = RefCell::new(Door::new(talk.ordinal, talk.each.len(), started_ms));
+        let door = RefCell::new(PeerChannel::new(talk.ordinal, talk.each.len(), started_ms));
         let (say, said) = async_channel::bounded(WAITING);
         core.talks_to(say);
         // Of two proxies at one address the first counts.
@@ -53,8 +53,8 @@
     }
 
     /// What is counted since the start.
-    pub fn figures(&self) -> Figures {
-        self.door.borrow().figures
+    pub fn figures(&self) -> Counters {
+        self.door.borrow().counters
     }
 
     /// The address is given back at once, and nothing is said or heard any more.
@@ -133,17 +133,17 @@
                 others.fold(true, |sent, (_, to)| one(*to) && sent)
             }
         };
-        door.sent(&datagram, sent);
+        door.record_sent(&datagram, sent);
         packed
     }
 
     /// Takes in what comes, so much in a second.
     async fn hear(&self, post: &Post) {
         // One byte more than any of ours: a longer one shows.
-        let mut bytes = [0; MOST + 1];
+        let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             let now = self.core.clock.now();
-            let may = self.door.borrow_mut().may_read(now);
+            let may = self.door.borrow_mut().reserve_read(now);
             if let Err(from) = may {
                 world::at(self.core.clock.instant(from)).await;
                 continue;
@@ -158,7 +158,7 @@
                 }
             };
             let who = self.numbers.get(&from).copied();
-            let taken = self.door.borrow_mut().take(who, &bytes[..n], self.core.clock.now() / 1_000);
+            let taken = self.door.borrow_mut().receive(who, &bytes[..n], self.core.clock.now() / 1_000);
             if let Ok(message) = taken {
                 self.core.heard(message.sender.ordinal, &message.items);
             }
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -332,7 +332,7 @@
 impl File {
     /// Reads and checks a file; with the platform's classes, where they are known, also against them.
     pub fn load(path: &Path, classes: Option<&Classes>) -> (Option<File>, Findings) {
-        match sillfold_conf::text(path) {
+        match sillfold_conf::read_text(path) {
             Ok(text) => File::parse(&path.display().to_string(), &text, classes),
             Err(what) => (None, Findings { errors: vec![what], notes: Vec::new() }),
         }
--- a/src/talk.rs
+++ b/src/talk.rs
@@ -5,25 +5,25 @@
 use sillfold_talk::Item;
 
 /// What is said on the wire; nothing where the others have no name for the host.
-pub fn item(news: PeerUpdate, shared: impl Fn(HostId) -> Option<u32>) -> Option<Item> {
+pub fn to_item(news: PeerUpdate, shared: impl Fn(HostId) -> Option<u32>) -> Option<Item> {
     Some(match news {
         PeerUpdate::HostPosition { host, position, primary } => {
-            Item::Stands { host: shared(host)?, position_ms: position / 1_000, primary }
+            Item::HostPosition { host: shared(host)?, position_ms: position / 1_000, primary }
         }
         PeerUpdate::TenantRate { tenant, per_s } => {
-            Item::Asked { tenant, tenths_per_s: (per_s * 10.0) as u32 }
+            Item::TenantRate { tenant, tenths_per_s: (per_s * 10.0) as u32 }
         }
     })
 }
 
 /// What an item says here; nothing where nobody here is called so.
-pub fn news(item: Item, own: impl Fn(u32) -> Option<HostId>) -> Option<PeerUpdate> {
+pub fn from_item(item: Item, own: impl Fn(u32) -> Option<HostId>) -> Option<PeerUpdate> {
     Some(match item {
-        Item::Stands { host, position_ms, primary } => {
+        Item::HostPosition { host, position_ms, primary } => {
             let position: Micros = position_ms.saturating_mul(1_000);
             PeerUpdate::HostPosition { host: own(host)?, position, primary }
         }
-        Item::Asked { tenant, tenths_per_s } => {
+        Item::TenantRate { tenant, tenths_per_s } => {
             PeerUpdate::TenantRate { tenant, per_s: f64::from(tenths_per_s) / 10.0 }
         }
     })
--- a/tests/sizes.rs
+++ b/tests/sizes.rs
@@ -5,7 +5,7 @@
 mod support;
 
 use sillfold::*;
-use sillfold_talk::{Datagram, Door, Item, Message, Sender};
+use sillfold_talk::{Datagram, Item, Message, PeerChannel, Sender};
 use std::collections::BTreeSet;
 use std::net::{SocketAddr, UdpSocket};
 use std::time::{Duration, Instant};
@@ -205,8 +205,8 @@
 /// The length of the one datagram that holds all of it.
 fn datagram_length(news: &[PeerUpdate]) -> usize {
     let shared = |host| Some(u32::MAX - host);
-    let items: Vec<Item> = news.iter().filter_map(|&news| talk::item(news, shared)).collect();
-    let sender = Sender { ordinal: u16::MAX, incarnation: unix_ms(), number: u32::MAX };
+    let items: Vec<Item> = news.iter().filter_map(|&news| talk::to_item(news, shared)).collect();
+    let sender = Sender { ordinal: u16::MAX, incarnation: unix_ms(), sequence: u32::MAX };
     let (datagram, packed) = Datagram::pack(sender, &items);
     assert_eq!(packed, news.len());
     datagram.bytes().len()
@@ -218,19 +218,19 @@
 #[test]
 fn the_words_of_every_proxy_are_read_however_many_there_are() {
     for (proxies, _) in DEPLOYMENTS {
-        let mut doors: Vec<Door> =
-            (1..proxies).map(|n| Door::new(n as u16, proxies as usize, 1_000)).collect();
-        let mut own = Door::new(0, proxies as usize, 1_000);
+        let mut doors: Vec<PeerChannel> =
+            (1..proxies).map(|n| PeerChannel::new(n as u16, proxies as usize, 1_000)).collect();
+        let mut own = PeerChannel::new(0, proxies as usize, 1_000);
         let periods = 1_000_000 / PERIOD;
         for period in 0..periods {
             let now = T0 + period * PERIOD;
             for (n, door) in (1..).zip(&mut doors) {
-                let (datagram, _) = door.pack(&[Item::Asked { tenant: 0, tenths_per_s: 5 }]);
-                assert_eq!(own.may_read(now), Ok(()), "period {period}, proxy {n} of {proxies}");
-                assert!(own.take(Some(n), datagram.bytes(), now / MS).is_ok());
+                let (datagram, _) = door.pack(&[Item::TenantRate { tenant: 0, tenths_per_s: 5 }]);
+                assert_eq!(own.reserve_read(now), Ok(()), "period {period}, proxy {n} of {proxies}");
+                assert!(own.receive(Some(n), datagram.bytes(), now / MS).is_ok());
             }
         }
-        assert_eq!(own.figures.heard, periods * u64::from(proxies - 1));
+        assert_eq!(own.counters.heard, periods * u64::from(proxies - 1));
     }
 }
 
@@ -345,8 +345,8 @@
         for round in 1..=3 {
             proxy.freeze();
             for (n, socket) in (1..).zip(&others) {
-                let sender = Sender { ordinal: n, incarnation, number: round };
-                let item = Item::Asked { tenant: 0, tenths_per_s: 5 };
+                let sender = Sender { ordinal: n, incarnation, sequence: round };
+                let item = Item::TenantRate { tenant: 0, tenths_per_s: 5 };
                 socket.send_to(Datagram::pack(sender, &[item]).0.bytes(), listen).expect("sent");
             }
             proxy.thaw();
@@ -388,7 +388,7 @@
         let mut bytes = [0; 512];
         let length = socket.recv(&mut bytes).unwrap_or_else(|e| panic!("proxy {n}: {e}"));
         let message = Message::read(&bytes[..length]).expect("a datagram");
-        assert!(matches!(message.items[..], [Item::Stands { primary: true, .. }]), "{message:?}");
+        assert!(matches!(message.items[..], [Item::HostPosition { primary: true, .. }]), "{message:?}");
     }
 }
 
@@ -409,8 +409,8 @@
         while let Ok(length) = others[0].recv(&mut bytes) {
             let message = Message::read(&bytes[..length]).expect("a datagram");
             told.extend(message.items.iter().filter_map(|item| match item {
-                Item::Asked { tenant, .. } => Some(*tenant),
-                Item::Stands { .. } => None,
+                Item::TenantRate { tenant, .. } => Some(*tenant),
+                Item::HostPosition { .. } => None,
             }));
         }
         if told.len() == TENANTS {
--- a/tests/talk.rs
+++ b/tests/talk.rs
@@ -101,8 +101,8 @@
     let listen = free();
     let proxy = start(&host, 0, &[listen, at(&own)]);
     proxy.logged("talks with");
-    let sender = Sender { ordinal: 1, incarnation: unix_ms(), number: 1 };
-    let (word, _) = Datagram::pack(sender, &[Item::Asked { tenant: 0, tenths_per_s: 5 }]);
+    let sender = Sender { ordinal: 1, incarnation: unix_ms(), sequence: 1 };
+    let (word, _) = Datagram::pack(sender, &[Item::TenantRate { tenant: 0, tenths_per_s: 5 }]);
     stranger.send_to(word.bytes(), listen).expect("sent");
     until(&proxy, "foreign", |n| n == 1);
     own.send_to(word.bytes(), listen).expect("sent");
@@ -139,7 +139,7 @@
         loop {
             let n = own.recv(&mut bytes).expect("something is said");
             let message = Message::read(&bytes[..n]).expect("it can be read");
-            if let Some(Item::Stands { host, position_ms, primary }) = message.items.first().copied() {
+            if let Some(Item::HostPosition { host, position_ms, primary }) = message.items.first().copied() {
                 return (n, message.sender.ordinal, host, position_ms, primary);
             }
         }
@@ -170,7 +170,7 @@
     new.agent.line(&list(43, true, &[(&host, "SERVING")]));
     new.logged("serves on");
     let say = |number| {
-        let sender = Sender { ordinal: 1, incarnation: 5, number };
+        let sender = Sender { ordinal: 1, incarnation: 5, sequence: number };
         own.send_to(Datagram::pack(sender, &[]).0.bytes(), listen).expect("sent");
     };
     say(1);
