--- a/crates/lab/src/sim/mod.rs
+++ b/crates/lab/src/sim/mod.rs
@@ -331,7 +331,7 @@
             text["peers"] = (0..self.plan.proxies).map(|q| address(4, q, 7946).to_string()).collect();
         }
         let started = seam::with(self.world.seen_by(machine), || {
-            let mut config = Config::of(text.to_string().as_bytes(), Some("/tmp/proxy".into()))?;
+            let mut config = Config::from_text(text.to_string().as_bytes(), Some("/tmp/proxy".into()))?;
             Proxy::start(&mut config, &Default::default(), &Spawner::of(&executor))
         });
         let proxy = match started {
--- a/src/bin/sillfold-benchlink/main.rs
+++ b/src/bin/sillfold-benchlink/main.rs
@@ -3,7 +3,7 @@
 
 mod wire;
 
-use sillfold::settings::{self, Dialect};
+use sillfold::settings::{self, ProgramSettings};
 use sillfold::talk;
 use sillfold::{
     Action, AttemptResult, Event, HostEntry, HostReport, HostStatus, ListUpdate, Outcome, RequestInfo, Role,
@@ -18,7 +18,7 @@
 
 struct Instance {
     router: Router,
-    dialect: Dialect,
+    program_settings: ProgramSettings,
     events: Vec<Event>,
 }
 
@@ -96,10 +96,10 @@
         if code == 1 {
             let seed = c.u64("ATTACH.initSeed")?;
             let len = c.u32("ATTACH.conf length")? as usize;
-            let (settings, dialect) =
+            let (settings, program_settings) =
                 settings::parse(c.take(len, "ATTACH.conf")?).map_err(|e| WireError(e.0))?;
             let router = Router::new(settings, seed);
-            self.instances.insert(who, Instance { router, dialect, events: Vec::new() });
+            self.instances.insert(who, Instance { router, program_settings, events: Vec::new() });
             return Ok(());
         }
         let Some(instance) = self.instances.get_mut(&who) else {
@@ -109,7 +109,7 @@
             self.instances.remove(&who);
             return Ok(());
         }
-        let event = read_event(c, code, &instance.dialect, &self.tables)?;
+        let event = read_event(c, code, &instance.program_settings, &self.tables)?;
         instance.events.push(event);
         self.busy.insert(who);
         Ok(())
@@ -139,7 +139,7 @@
 }
 
 fn read_event(
-    c: &mut Cursor, code: u8, dialect: &Dialect, tables: &BTreeMap<u16, Arc<[HostEntry]>>,
+    c: &mut Cursor, code: u8, program_settings: &ProgramSettings, tables: &BTreeMap<u16, Arc<[HostEntry]>>,
 ) -> Result<Event> {
     Ok(match code {
         2 => {
@@ -196,8 +196,8 @@
             let outcome = read_outcome(c.u8("RETURNED.stateCode")?)?;
             let latency = u64::from(c.u32("RETURNED.latencyUs")?);
             let finished = c.u8("RETURNED.complete")? != 0;
-            let note = read_note(c.u32("RETURNED.mark")?, dialect);
-            let report = read_report(c, dialect)?;
+            let note = read_note(c.u32("RETURNED.mark")?, program_settings);
+            let report = read_report(c, program_settings)?;
             Event::Outcome(AttemptResult { id, attempt, host, outcome, latency, finished, note, report })
         }
         6 => Event::ClientGone(c.u32("CANCELLED_BY_CLIENT.ticket")?),
@@ -206,7 +206,7 @@
             let host = c.u32("PONG.host")?;
             let ok = read_outcome(c.u8("PONG.stateCode")?)? == Outcome::Ok;
             c.u32("PONG.latencyUs")?;
-            Event::Probed { host, ok, report: read_report(c, dialect)? }
+            Event::Probed { host, ok, report: read_report(c, program_settings)? }
         }
         9 => {
             let from = c.u16("HEARD.neighbour")?;
@@ -237,10 +237,10 @@
     })
 }
 
-fn read_note(mark: u32, dialect: &Dialect) -> HostReport {
+fn read_note(mark: u32, program_settings: &ProgramSettings) -> HostReport {
     let position = u64::from(mark >> 2);
     HostReport {
-        position: (position > 0).then(|| dialect.zero_us.saturating_add(position * 1000)),
+        position: (position > 0).then(|| program_settings.zero_us.saturating_add(position * 1000)),
         role: match mark & 3 {
             1 => Some(Role::Primary),
             2 => Some(Role::Replica),
@@ -250,7 +250,7 @@
     }
 }
 
-fn read_report(c: &mut Cursor, dialect: &Dialect) -> Result<HostReport> {
+fn read_report(c: &mut Cursor, program_settings: &ProgramSettings) -> Result<HostReport> {
     let n = usize::from(c.u8("report count")?);
     let mut values = Vec::with_capacity(n);
     for _ in 0..n {
@@ -259,9 +259,10 @@
     let get =
         |i: Option<usize>| i.and_then(|i| values.get(i)).copied().filter(|v| v.is_finite() && *v >= 0.0);
     Ok(HostReport {
-        position: get(dialect.position).map(|s| dialect.zero_us.saturating_add((s * 1e6).floor() as u64)),
-        role: get(dialect.role).map(|r| if r > 0.5 { Role::Primary } else { Role::Replica }),
-        in_flight: get(dialect.in_flight),
+        position: get(program_settings.position_index)
+            .map(|s| program_settings.zero_us.saturating_add((s * 1e6).floor() as u64)),
+        role: get(program_settings.role_index).map(|r| if r > 0.5 { Role::Primary } else { Role::Replica }),
+        in_flight: get(program_settings.in_flight_index),
     })
 }
 
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -135,14 +135,14 @@
             };
         }
         let Some(path) = &self.file else { return ExitCode::from(2) };
-        let platform = match self.platform.as_deref().map(Config::read).transpose() {
+        let platform = match self.platform.as_deref().map(Config::from_file).transpose() {
             Ok(platform) => platform,
             Err(what) => {
                 eprintln!("sillfold: {what}");
                 return ExitCode::from(2);
             }
         };
-        let known = platform.map(|p| classes(&p.settings, &p.dialect.classes));
+        let known = platform.map(|p| classes(&p.settings, &p.program_settings.class_names));
         let (file, findings) = File::load(path, known.as_ref());
         print_findings(&findings);
         match file {
--- a/src/config.rs
+++ b/src/config.rs
@@ -9,7 +9,7 @@
 use crate::net::core::fnv1a;
 use crate::net::endpoints::{CONSOLE_CONNECTIONS, Talk};
 use crate::net::listing::Listing;
-use crate::settings::{self, Dialect};
+use crate::settings::{self, ProgramSettings};
 use crate::{Micros, Settings};
 use serde::Deserialize;
 use std::env;
@@ -41,23 +41,23 @@
     /// Where operators call; none, no door.
     pub console: Option<SocketAddr>,
     /// Where what outlasts an upgrade is kept: `TMPDIR`.
-    pub tmp: Option<PathBuf>,
+    pub state_dir: Option<PathBuf>,
     pub seed: u64,
     /// The list as this proxy last had it, maybe old.
-    pub known: Option<Listing>,
+    pub known_list: Option<Listing>,
     pub settings: Settings,
-    pub dialect: Dialect,
+    pub program_settings: ProgramSettings,
     /// Client connections that may be open at once.
-    pub most_clients: usize,
+    pub max_clients: usize,
     /// Bytes that all clients together may have sent and not been answered.
-    pub most_client_bytes: usize,
+    pub max_client_bytes: usize,
     /// Connections to database hosts that may be open at once.
-    pub most_host_connections: usize,
+    pub max_host_connections: usize,
     /// Where proxies talk to each other; none where the settings do not allow it, or no address is named.
     pub talk: Option<Talk>,
     /// For how long clients are still taken in after SIGTERM.
     pub linger: Duration,
-    pub way_back: Micros,
+    pub response_margin: Micros,
     /// The seed by which system calls fail, in tests.
     #[cfg(feature = "faults")]
     pub faults: Option<u64>,
@@ -97,14 +97,14 @@
     }
 
     /// Reads and checks another platform file, whatever the environment says.
-    pub fn read(path: &Path) -> Result<Config, String> {
+    pub fn from_file(path: &Path) -> Result<Config, String> {
         let text = std::fs::read(path).map_err(|e| format!("{}: {e}", path.display()))?;
         Config::parse(&text, |_| None)
     }
 
     /// Checks a text, whatever the environment says, but for where what outlasts the process is kept.
-    pub fn of(text: &[u8], tmp: Option<PathBuf>) -> Result<Config, String> {
-        Ok(Config { tmp, ..Config::parse(text, |_| None)? })
+    pub fn from_text(text: &[u8], tmp: Option<PathBuf>) -> Result<Config, String> {
+        Ok(Config { state_dir: tmp, ..Config::parse(text, |_| None)? })
     }
 
     /// Reads the file again, whole. The discovery that counts from now on is taken over; returned are
@@ -149,15 +149,16 @@
         };
         let known = file.known.take().map(|v| Listing::from_value(v).map_err(|e| format!("known: {e}")));
         let settings = file.settings.as_ref().ok_or("settings: missing")?.to_string();
-        let (settings, dialect) = settings::parse(settings.as_bytes()).map_err(|e| e.to_string())?;
-        for (key, value) in
-            [("dialTimeoutUs", dialect.dial_timeout_us), ("keepaliveUs", dialect.keepalive_us)]
-        {
+        let (settings, program_settings) = settings::parse(settings.as_bytes()).map_err(|e| e.to_string())?;
+        for (key, value) in [
+            ("dialTimeoutUs", program_settings.dial_timeout_us),
+            ("keepaliveUs", program_settings.keepalive_us),
+        ] {
             if value == 0 {
                 return Err(format!("settings: ceilings.{key}: must be over 0"));
             }
         }
-        if dialect.classes.iter().any(String::is_empty) {
+        if program_settings.class_names.iter().any(String::is_empty) {
             return Err("settings: classes: every class needs a name".into());
         }
         if settings.limits.hedging {
@@ -177,24 +178,24 @@
         }
         let talk = talk(&file, &settings)?;
         let spare = SPARE_SOCKETS + console.map_or(0, |_| CONSOLE_CONNECTIONS) + usize::from(talk.is_some());
-        let most_host_connections = (sockets - spare) * 2 / 5;
-        let most_clients = sockets - spare - most_host_connections;
+        let max_host_connections = (sockets - spare) * 2 / 5;
+        let max_clients = sockets - spare - max_host_connections;
         Ok(Config {
             name,
             listen,
             discovery,
             console,
-            tmp: var("TMPDIR").filter(|t| !t.is_empty()).map(PathBuf::from),
+            state_dir: var("TMPDIR").filter(|t| !t.is_empty()).map(PathBuf::from),
             seed,
-            known: known.transpose()?,
+            known_list: known.transpose()?,
             settings,
-            dialect,
-            most_clients,
-            most_client_bytes: memory_mb * (1 << 20) / CLIENT_BYTES_SHARE,
-            most_host_connections,
+            program_settings,
+            max_clients,
+            max_client_bytes: memory_mb * (1 << 20) / CLIENT_BYTES_SHARE,
+            max_host_connections,
             talk,
             linger: Duration::from_millis(linger_ms),
-            way_back: WAY_BACK,
+            response_margin: WAY_BACK,
             #[cfg(feature = "mutants")]
             mutant: var("SILLFOLD_MUTANT"),
             #[cfg(feature = "faults")]
--- a/src/main.rs
+++ b/src/main.rs
@@ -18,7 +18,7 @@
 use sillfold::net::statements::Statements;
 use sillfold::net::world::Spawner;
 use sillfold::operator::{self, File};
-use sillfold::settings::Dialect;
+use sillfold::settings::ProgramSettings;
 use sillfold_route::Classes;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -74,7 +74,7 @@
 impl Operator {
     /// Reads the file, if there is one.
     fn load(path: Option<PathBuf>, config: &Config) -> Result<Operator, String> {
-        let classes = operator::classes(&config.settings, &config.dialect.classes);
+        let classes = operator::classes(&config.settings, &config.program_settings.class_names);
         let mut operator = Operator { path, file: File::default(), classes };
         operator.file = operator.read()?.unwrap_or_default();
         Ok(operator)
@@ -92,8 +92,8 @@
 async fn serve(
     mut config: Config, mut operator: Operator, signals: Signals, executor: &Rc<LocalExecutor<'static>>,
 ) -> Result<(), String> {
-    let (dialect, proxy) =
-        (config.dialect.clone(), Proxy::start(&mut config, &operator.file, &Spawner::of(executor))?);
+    let (program_settings, proxy) =
+        (config.program_settings.clone(), Proxy::start(&mut config, &operator.file, &Spawner::of(executor))?);
     let (moves, served) = (proxy.moves.clone(), proxy.clients.clone());
 
     // A task of its own, so that a SIGHUP during the stop is still a reload and not the program's end.
@@ -101,7 +101,7 @@
     let follow_signals = async move {
         let reload = || {
             reload(&mut config, &moves);
-            reload_operator(&mut operator, &served, &dialect);
+            reload_operator(&mut operator, &served, &program_settings);
         };
         signals::follow(signals, reload, &stop).await;
     };
@@ -127,7 +127,7 @@
 
 /// Takes in the operator's file as it is now; a bad one changes nothing. What was learnt of shapes stays, where
 /// their verdicts do.
-fn reload_operator(operator: &mut Operator, clients: &Clients, dialect: &Dialect) {
+fn reload_operator(operator: &mut Operator, clients: &Clients, program_settings: &ProgramSettings) {
     match operator.read() {
         Ok(None) => {}
         Ok(Some(file)) => {
@@ -144,8 +144,10 @@
             }
             let rules = file.statements.rules.len();
             match clients.statements() {
-                Some(statements) if file.statements.enabled => statements.replace(&file.statements, dialect),
-                _ => clients.serve_plain(Statements::of(&file.statements, dialect)),
+                Some(statements) if file.statements.enabled => {
+                    statements.replace(&file.statements, program_settings)
+                }
+                _ => clients.serve_plain(Statements::of(&file.statements, program_settings)),
             }
             let on = if file.statements.enabled { "on" } else { "off" };
             info!(target: "sillfold", "the operator's file is taken: plain statements are {on}, {rules} rules");
--- a/src/net/capture.rs
+++ b/src/net/capture.rs
@@ -16,7 +16,7 @@
 /// Records load for as long as the future is kept; nothing where the operator's file names no file.
 pub async fn run(core: Rc<Core>, conf: CaptureConf, name: String) {
     let Some(file) = conf.file.as_ref().map(PathBuf::from) else { return };
-    core.record(Some(Recorder::new(core.dialect.classes.clone(), conf.sample)));
+    core.record(Some(Recorder::new(core.program_settings.class_names.clone(), conf.sample)));
     info!(target: "capture", "load is recorded to {}", file.display());
     let started_ms = core.clock.now() / 1_000;
     let header = Header { sillfold_capture: VERSION, name, started_ms, sample: conf.sample };
--- a/src/net/client.rs
+++ b/src/net/client.rs
@@ -273,7 +273,7 @@
             if self.line.overrun {
                 return self.line.over(Came::TooMuch).await;
             }
-            if !self.line.inbox.is_empty() {
+            if !self.line.read_buffer.is_empty() {
                 // Where hundreds of commands come at once, others have their turn between two.
                 future::yield_now().await;
             }
@@ -287,7 +287,7 @@
             return Ok(Some(held));
         }
         loop {
-            match pg::decode_frontend(&mut self.line.inbox) {
+            match pg::decode_frontend(&mut self.line.read_buffer) {
                 Ok(Some(message)) => return Ok(Some(Next::Message(message, self.came()))),
                 Ok(None) => match self.line.flush_and_read().await? {
                     Came::Bytes => {}
@@ -309,13 +309,13 @@
                 self.ready();
             }
             Frontend::Flush => {}
-            Frontend::Extended if *skipping => {}
-            Frontend::Extended => {
+            Frontend::ExtendedQuery if *skipping => {}
+            Frontend::ExtendedQuery => {
                 // As in PostgreSQL, what follows up to the next Sync is skipped.
                 *skipping = true;
                 self.line.error(code::FEATURE_NOT_SUPPORTED, "only simple queries are served here");
             }
-            Frontend::Unreadable(e) => {
+            Frontend::Invalid(e) => {
                 self.line.error(code::UNTRANSLATABLE, &e.0);
                 self.ready();
             }
@@ -497,8 +497,8 @@
     /// Takes the requests that have come behind an open one, as far as there is room; all else is held, and so is what
     /// comes behind it.
     fn take_behind(&mut self) {
-        while self.held.is_none() && !self.line.inbox.is_empty() && self.has_room() {
-            let message = match pg::decode_frontend(&mut self.line.inbox) {
+        while self.held.is_none() && !self.line.read_buffer.is_empty() && self.has_room() {
+            let message = match pg::decode_frontend(&mut self.line.read_buffer) {
                 Ok(Some(message)) => message,
                 Ok(None) => return,
                 Err(e) => {
@@ -532,7 +532,8 @@
     /// Whether a statement depends on nothing that its session did before. Plain ones do: what a session wrote, and a
     /// transaction that was refused, count for those behind.
     fn is_independent(&self, text: &str) -> bool {
-        self.block != Block::Refused && (self.all.statements().is_none() || Statement::is_commented(text))
+        self.block != Block::Refused
+            && (self.all.statements().is_none() || Statement::has_request_comment(text))
     }
 
     fn begin_behind(&mut self, call: Call, statement: Statement, claim: Claim<'a>) {
@@ -578,7 +579,7 @@
         self.line.flush().await?;
         while left > 0 {
             match self.line.more().await? {
-                Came::Bytes => left -= self.line.inbox.skip(left),
+                Came::Bytes => left -= self.line.read_buffer.discard(left),
                 other => return self.line.over(other).await.map(|()| false),
             }
         }
@@ -656,7 +657,7 @@
         };
         match met {
             Met::Passes => return false,
-            Met::Ended => pg::put_complete(&mut self.line.out, "ROLLBACK"),
+            Met::Ended => pg::put_command_complete(&mut self.line.out, "ROLLBACK"),
             Met::Inside => {
                 let what = "the transaction was refused, and so is all in it, up to COMMIT or ROLLBACK";
                 self.line.error(code::FAILED_TRANSACTION, what);
@@ -695,10 +696,10 @@
             |code: &str, message: String| ErrorFields { code: code.into(), message, ..Default::default() };
         let error = |code: &str, message: String| Turned::from(fields(code, message));
         let core = &self.all.core;
-        let statements = self.all.statements().filter(|_| !Statement::is_commented(&text));
+        let statements = self.all.statements().filter(|_| !Statement::has_request_comment(&text));
         let (class, statement, plain) = match statements {
             Some(_) if left > 0 => {
-                let what = format!("a plain statement of over {} bytes", pg::MOST_BYTES);
+                let what = format!("a plain statement of over {} bytes", pg::MAX_MESSAGE_BYTES);
                 return Err(error(code::LIMIT_EXCEEDED, what));
             }
             Some(statements) => {
@@ -709,7 +710,7 @@
             }
             None => {
                 let statement = Statement::parse(text).map_err(|what| error(code::SYNTAX_ERROR, what))?;
-                let class = core.dialect.classes.iter().position(|c| *c == statement.class);
+                let class = core.program_settings.class_names.iter().position(|c| *c == statement.class);
                 let class = class.and_then(|i| u8::try_from(i).ok());
                 let no_class = || format!("no class {:?} here", statement.class);
                 let class = class.ok_or_else(|| error(code::UNDEFINED_OBJECT, no_class()))?;
@@ -735,14 +736,14 @@
         };
         let call = Call {
             class,
-            session: if plain.is_some() { 0 } else { fnv1a(statement.key()) },
+            session: if plain.is_some() { 0 } else { fnv1a(statement.session_key()) },
             group: statement.group,
             give_up_at: give_up_at(&statement, came, self.all.way_back),
             after: match plain {
                 Some(_) => self.own.after(),
                 None => statement.after_ms.map(Clock::from_unix_ms),
             },
-            again: statement.again,
+            again: statement.client_retry,
             tenant: statement.tenant.as_deref().and_then(|t| core.tenant(t)),
             // A write whose comment names no key is never repeated either.
             plain: plain.is_some() || !statement.keyed && core.is_keyed(class),
@@ -786,7 +787,7 @@
     /// Opens the session; false if it ends instead.
     async fn startup(&mut self) -> io::Result<bool> {
         loop {
-            match pg::decode_startup(&mut self.line.inbox) {
+            match pg::decode_startup(&mut self.line.read_buffer) {
                 Ok(None) => match self.line.flush_and_read().await? {
                     Came::Bytes => {}
                     other => return self.line.over(other).await.map(|()| false),
@@ -796,7 +797,7 @@
                 Ok(Some(Startup::Session { minor, options, user, database })) => {
                     self.who = self.all.statements().map(|_| Box::new((user, database)));
                     if minor > 0 || !options.is_empty() {
-                        pg::put_negotiate(&mut self.line.out, &options);
+                        pg::put_negotiate_protocol_version(&mut self.line.out, &options);
                     }
                     pg::put_welcome(&mut self.line.out);
                     return Ok(true);
--- a/src/net/core.rs
+++ b/src/net/core.rs
@@ -9,7 +9,7 @@
 use super::world;
 use crate::invariants::RequestStart;
 use crate::mutants;
-use crate::settings::Dialect;
+use crate::settings::ProgramSettings;
 use crate::talk;
 use crate::{
     Access, Action, AttemptResult, Event, GroupId, HostEntry, HostId, HostReport, HostStatus, Idempotency,
@@ -180,7 +180,7 @@
 /// Owner of the decision module.
 pub struct Core {
     pub clock: Clock,
-    pub dialect: Dialect,
+    pub program_settings: ProgramSettings,
     /// When to come again after a refusal that is none of the module's; 0 where the settings allow no advice.
     pub retry_in: Micros,
     inner: RefCell<Inner>,
@@ -211,7 +211,7 @@
 
 impl Core {
     /// A core that knows nothing yet; what the hosts' owner must do comes out of the receiver.
-    pub fn new(settings: Settings, dialect: Dialect, seed: u64) -> (Core, Receiver<Chore>) {
+    pub fn new(settings: Settings, program_settings: ProgramSettings, seed: u64) -> (Core, Receiver<Chore>) {
         let (chores, todo) = unbounded();
         let limits = &settings.limits;
         let retry_in = if limits.retry_after { limits.max_retry_after / 4 } else { 0 };
@@ -231,11 +231,11 @@
             shared: BTreeMap::new(),
             left: BTreeMap::new(),
             groups: BTreeSet::new(),
-            calls: vec![Calls::default(); dialect.classes.len()],
+            calls: vec![Calls::default(); program_settings.class_names.len()],
         };
         let core = Core {
             clock: Clock::start(),
-            dialect,
+            program_settings,
             retry_in,
             inner: RefCell::new(inner),
             events: Rc::default(),
@@ -285,7 +285,13 @@
         let inner = self.inner.borrow();
         let (hosts_listed, hosts_down) = inner.router.hosts();
         Figures {
-            calls: self.dialect.classes.iter().cloned().zip(inner.calls.iter().cloned()).collect(),
+            calls: self
+                .program_settings
+                .class_names
+                .iter()
+                .cloned()
+                .zip(inner.calls.iter().cloned())
+                .collect(),
             backend_calls: inner.calls.iter().map(|c| c.backend_calls).sum(),
             inflight: inner.open.values().filter(|o| !o.coming).count(),
             hosts_listed,
@@ -345,7 +351,7 @@
 
     /// The number of a tenant that the settings name.
     pub fn tenant(&self, name: &str) -> Option<u16> {
-        self.dialect.tenants.iter().position(|t| t == name).and_then(|n| u16::try_from(n).ok())
+        self.program_settings.tenant_names.iter().position(|t| t == name).and_then(|n| u16::try_from(n).ok())
     }
 
     /// Whether any list has named this group.
@@ -471,8 +477,8 @@
             self.inner.borrow_mut().groups.insert(e.group);
             entries.push(HostEntry {
                 host,
-                zone: place(&self.dialect.zones, &e.zone),
-                kind: place(&self.dialect.kinds, &e.kind),
+                zone: place(&self.program_settings.zone_names, &e.zone),
+                kind: place(&self.program_settings.host_type_names, &e.kind),
                 group: e.group,
                 state: match e.status {
                     Status::Serving => HostStatus::Ready,
--- a/src/net/hosts.rs
+++ b/src/net/hosts.rs
@@ -11,7 +11,7 @@
 use super::{Budget, Held, by, complain, read};
 use crate::invariants::{self, Denial, RequestStart, Start, Started};
 use crate::mutants;
-use crate::pg::{self, Backend, Column, ErrorFields, Passed, Passing, PlainError, Statement};
+use crate::pg::{self, AnswerForwarder, Backend, Column, ErrorFields, ForwardStep, PlainError, Statement};
 use crate::{HostId, HostReport, Micros, Outcome, Role};
 use async_channel::Receiver;
 pub use connection::Attempted;
@@ -101,15 +101,15 @@
     /// Appends what has come of the value; 0 at its end, an error where it breaks off.
     pub async fn piece(&mut self, out: &mut Vec<u8>) -> io::Result<usize> {
         let c = &mut self.opened.connection;
-        if self.left > 0 && c.inbox.is_empty() {
+        if self.left > 0 && c.read_buffer.is_empty() {
             let stalled = world::now() + STALLED;
             let until = if self.left == self.value { stalled.min(self.until) } else { stalled };
-            let read = by(until, read(&c.stream, &mut c.inbox)).await;
+            let read = by(until, read(&c.stream, &mut c.read_buffer)).await;
             if read.unwrap_or_else(|| Err(ErrorKind::TimedOut.into()))? == 0 {
                 return Err(ErrorKind::UnexpectedEof.into());
             }
         }
-        let n = c.inbox.move_to(out, self.left);
+        let n = c.read_buffer.move_to(out, self.left);
         self.left -= n;
         Ok(n)
     }
@@ -118,7 +118,7 @@
 /// The answer to a plain statement, of which a part is still to come.
 pub struct PlainAnswer {
     opened: Opened,
-    passing: Passing,
+    forwarder: AnswerForwarder,
     /// What the answer tells of its server, so far.
     pub note: HostReport,
     /// What has come and is for the client.
@@ -137,8 +137,8 @@
 
 impl PlainAnswer {
     fn new(opened: Opened) -> PlainAnswer {
-        let (passing, note, beginning) = Default::default();
-        PlainAnswer { opened, passing, note, beginning, changed: false }
+        let (forwarder, note, beginning) = Default::default();
+        PlainAnswer { opened, forwarder, note, beginning, changed: false }
     }
 
     /// Takes what is here of the answer, or waits for more where nothing is; up to so many bytes in `out`.
@@ -146,16 +146,18 @@
         let c = &mut self.opened.connection;
         let mut some = false;
         while out.len() < most {
-            match self.passing.pass(&mut c.inbox, out).map_err(|e| Broken::Nonsense(e.0))? {
-                Passed::Some => some = true,
-                Passed::Starved if some => break,
-                Passed::Starved => match read(&c.stream, &mut c.inbox).await {
+            match self.forwarder.forward(&mut c.read_buffer, out).map_err(|e| Broken::Nonsense(e.0))? {
+                ForwardStep::Forwarded => some = true,
+                ForwardStep::NeedsInput if some => break,
+                ForwardStep::NeedsInput => match read(&c.stream, &mut c.read_buffer).await {
                     Ok(1..) => some = true,
                     _ => return Err(Broken::Ended),
                 },
-                Passed::Note { name, value } => self.changed |= !note_from(&mut self.note, &name, &value),
-                Passed::Refused(e) => return Ok(Step::Refused(e)),
-                Passed::Ready(idle) => {
+                ForwardStep::ParameterStatus { name, value } => {
+                    self.changed |= !note_from(&mut self.note, &name, &value)
+                }
+                ForwardStep::Error(e) => return Ok(Step::Refused(e)),
+                ForwardStep::Ready(idle) => {
                     self.changed |= !idle;
                     return Ok(Step::Ready);
                 }
@@ -203,8 +205,8 @@
             hosts: RefCell::default(),
             open: Rc::default(),
             most: Budget::new(most),
-            dial_timeout: Duration::from_micros(core.dialect.dial_timeout_us),
-            fresh: Duration::from_micros(core.dialect.keepalive_us).mul_f64(FRESH),
+            dial_timeout: Duration::from_micros(core.program_settings.dial_timeout_us),
+            fresh: Duration::from_micros(core.program_settings.keepalive_us).mul_f64(FRESH),
             drain_grace,
             core,
         }
@@ -282,7 +284,7 @@
         let extra = if mutants::on("patience grows") { 1_000 } else { 0 };
         let patience_ms = until.saturating_sub(start.at).div_ceil(1_000).max(1) + extra;
         let mut query = Vec::new();
-        pg::put_query(&mut query, &statement.with_patience(patience_ms));
+        pg::put_query(&mut query, &statement.with_deadline(patience_ms));
         // Its last byte must not go when the time that its head tells is true no longer; without it, nothing has run.
         let told_until = self.core.clock.instant(invariants::write_until(start.at));
         match by(deadline.min(told_until), opened.connection.stream.write_all(&query)).await {
@@ -332,7 +334,7 @@
                 let stream = Some(Box::new(answer));
                 Attempted { note, stream, ..Attempted::without_answer(Outcome::Ok) }
             }
-            Ok(Step::Ready) if answer.passing.begun() => {
+            Ok(Step::Ready) if answer.forwarder.started() => {
                 self.give_back_plain(answer);
                 Attempted { note, plain: Some(held), ..Attempted::without_answer(Outcome::Ok) }
             }
@@ -353,9 +355,9 @@
                 if by(world::now() + AFTERMATH, ready).await == Some(true) {
                     self.give_back_plain(answer);
                 }
-                let outcome = match pg::plain_error(&e.code, writes) {
-                    PlainError::Miss => Outcome::Unsuitable,
-                    PlainError::Full => Outcome::Overloaded,
+                let outcome = match pg::classify_plain_error(&e.code, writes) {
+                    PlainError::Unsuitable => Outcome::Unsuitable,
+                    PlainError::Overloaded => Outcome::Overloaded,
                     PlainError::Failed => Outcome::Error,
                     PlainError::Answer => {
                         let rejected = Some(e);
@@ -377,7 +379,7 @@
     /// Keeps the connection of an answer that has ended, if its session is as it was.
     pub fn give_back_plain(&self, answer: PlainAnswer) {
         // Guards against a setting, or an open transaction, that the next client's statement would meet.
-        if !answer.changed && answer.opened.connection.inbox.is_empty() {
+        if !answer.changed && answer.opened.connection.read_buffer.is_empty() {
             self.give_back(answer.opened.host_id, answer.opened.connection);
         }
     }
@@ -470,7 +472,7 @@
             // The value was read long before: where it stood then says nothing of how far it is behind.
             self.core.noted(host_id, HostReport { position: None, ..note });
         }
-        if ready == Some(Backend::ReadyForQuery) && connection.inbox.is_empty() {
+        if ready == Some(Backend::ReadyForQuery) && connection.read_buffer.is_empty() {
             self.give_back(host_id, connection);
         }
         Some(tag)
@@ -503,16 +505,16 @@
 
     /// Reads `x0=1767225600.123,x1=1,util=0.61`.
     fn report(&self, text: &str) -> HostReport {
-        let d = &self.core.dialect;
+        let d = &self.core.program_settings;
         let get = |index: Option<usize>| {
-            let name = d.fields.get(index?)?;
+            let name = d.report_fields.get(index?)?;
             let value = text.split(',').filter_map(|p| p.split_once('=')).find(|p| p.0.trim() == name)?.1;
             value.trim().parse::<f64>().ok().filter(|v| v.is_finite() && *v >= 0.0)
         };
         HostReport {
-            position: get(d.position).map(Clock::from_unix_s),
-            role: get(d.role).map(|r| if r > 0.5 { Role::Primary } else { Role::Replica }),
-            in_flight: get(d.in_flight),
+            position: get(d.position_index).map(Clock::from_unix_s),
+            role: get(d.role_index).map(|r| if r > 0.5 { Role::Primary } else { Role::Replica }),
+            in_flight: get(d.in_flight_index),
         }
     }
 
--- a/src/net/hosts/connection.rs
+++ b/src/net/hosts/connection.rs
@@ -6,7 +6,7 @@
 use crate::net::core::Clock;
 use crate::net::world::{self, Stream};
 use crate::net::{by, complain, read};
-use crate::pg::{self, Backend, Column, ErrorFields, Inbox, Row, code};
+use crate::pg::{self, Backend, Column, ErrorFields, ReadBuffer, Row, code};
 use crate::{HostReport, Outcome, Role};
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -34,7 +34,7 @@
 pub(super) struct Connection {
     pub(super) stream: Stream,
     pub(super) address: SocketAddr,
-    pub(super) inbox: Inbox,
+    pub(super) read_buffer: ReadBuffer,
     pub(super) idle_since: Instant,
     _slot: Slot,
 }
@@ -118,8 +118,8 @@
         shortage.set(false);
         stream.no_delay().map_err(|_| Outcome::ConnectFailed)?;
         stream.bound_receiving();
-        let (inbox, idle_since) = (Inbox::default(), world::now());
-        let mut connection = Connection { stream, address, inbox, idle_since, _slot: slot };
+        let (read_buffer, idle_since) = (ReadBuffer::default(), world::now());
+        let mut connection = Connection { stream, address, read_buffer, idle_since, _slot: slot };
         connection.stream.write_all(startup).await.map_err(|_| Outcome::ConnectFailed)?;
         loop {
             match connection.message().await {
@@ -127,7 +127,7 @@
                 Ok(Backend::Error(e)) if e.code == code::TOO_MANY_CONNECTIONS => {
                     return Err(Outcome::Overloaded);
                 }
-                Ok(Backend::AuthenticationOk | Backend::ParameterStatus { .. } | Backend::Skipped) => {}
+                Ok(Backend::AuthenticationOk | Backend::ParameterStatus { .. } | Backend::Ignored) => {}
                 Ok(other) => {
                     complain(|| format!("hosts: {address}: {other:?} at a session's start"));
                     return Err(Outcome::ConnectFailed);
@@ -143,7 +143,7 @@
 
     /// Whether it is young enough, and neither ended nor spoken on while nobody asked.
     pub(super) fn usable(&self, fresh: Duration) -> bool {
-        self.stream.quiet() && self.inbox.is_empty() && world::since(self.idle_since) < fresh
+        self.stream.quiet() && self.read_buffer.is_empty() && world::since(self.idle_since) < fresh
     }
 
     pub(super) async fn message(&mut self) -> Result<Backend, Broken> {
@@ -155,12 +155,12 @@
         &mut self, when: Option<Instant>, waits: impl Fn(),
     ) -> Result<Backend, Broken> {
         loop {
-            match pg::decode_backend(&mut self.inbox) {
+            match pg::decode_backend(&mut self.read_buffer) {
                 Ok(Some(message)) => return Ok(message),
                 Ok(None) => waits(),
                 Err(e) => return Err(Broken::Nonsense(e.0)),
             }
-            let more = read(&self.stream, &mut self.inbox);
+            let more = read(&self.stream, &mut self.read_buffer);
             let more = match when {
                 Some(when) => by(when, more).await.ok_or(Broken::Silent)?,
                 None => more.await,
@@ -176,7 +176,7 @@
         loop {
             match self.message().await.ok()? {
                 Backend::ParameterStatus { name, value } => drop(note_from(note, &name, &value)),
-                Backend::Skipped => {}
+                Backend::Ignored => {}
                 other => return Some(other),
             }
         }
@@ -214,7 +214,7 @@
                     _ => break Some(Broken::Nonsense(format!("{tag} without one row of one column"))),
                 },
                 Ok(Backend::Error(e)) => refused = Some(e),
-                Ok(Backend::Skipped) => {}
+                Ok(Backend::Ignored) => {}
                 Ok(other) => break Some(Broken::Nonsense(format!("{other:?} in an answer"))),
                 Err(broken) => break Some(broken),
             }
@@ -228,7 +228,7 @@
                 code::TOO_MANY_CONNECTIONS => Outcome::Overloaded,
                 // Guards against a statement that makes no sense being tried at one host after the
                 // other, and being held against each of them.
-                other if code::blames_statement(other) => {
+                other if code::is_statement_error(other) => {
                     rejected = refused.take();
                     Outcome::NotSent
                 }
@@ -243,7 +243,7 @@
         };
         let row = row.filter(|_| outcome == Outcome::Ok);
         // Guards against something unasked passing for the answer to the next request.
-        let reusable = ended.is_none() && self.inbox.is_empty();
+        let reusable = ended.is_none() && self.read_buffer.is_empty();
         Answered::Whole(Attempted { note, row, rejected, ..Attempted::without_answer(outcome) }, reusable)
     }
 }
--- a/src/net/life.rs
+++ b/src/net/life.rs
@@ -57,7 +57,7 @@
         match self {
             Answer::Whole(Verdict::Served(row)) => row.value.as_ref().map_or(0, Vec::len),
             Answer::Whole(Verdict::Plain(bytes)) => bytes.len(),
-            Answer::Whole(Verdict::Rejected(fields)) => fields.whole.len(),
+            Answer::Whole(Verdict::Rejected(fields)) => fields.raw.len(),
             Answer::Whole(Verdict::Passed | Verdict::Refused { .. } | Verdict::Failed) => 0,
             // What has come of them waits at their connections.
             Answer::Long(_) | Answer::Stream(_) => 0,
@@ -167,7 +167,7 @@
 /// When the client of a statement whose last byte came then gives it up, less the way back: the
 /// answer has to be there by then, not only on its way.
 pub fn give_up_at(statement: &Statement, came: Micros, way_back: Micros) -> Micros {
-    let patience = statement.patience_ms.min(MOST_PATIENCE_MS) * 1_000;
+    let patience = statement.deadline_ms.min(MOST_PATIENCE_MS) * 1_000;
     came + patience.saturating_sub(way_back).max(patience / 2)
 }
 
@@ -508,7 +508,7 @@
                 Err(_) => return Err(Upload::BrokenOff),
             }
             piece.clear();
-            *self.left -= line.inbox.move_to(&mut piece, *self.left);
+            *self.left -= line.read_buffer.move_to(&mut piece, *self.left);
             self.write(&piece).await?;
         }
         Ok(())
@@ -555,7 +555,7 @@
     }
     match hosts.finish(long).await {
         Some(tag) => {
-            pg::put_complete(&mut line.out, &tag);
+            pg::put_command_complete(&mut line.out, &tag);
             PassedOn::Whole
         }
         None => PassedOn::BrokenOff { missing: 0 },
--- a/src/net/line.rs
+++ b/src/net/line.rs
@@ -9,7 +9,7 @@
 use super::{by, read};
 use crate::invariants::CloseReason;
 use crate::mutants;
-use crate::pg::{self, ErrorFields, Inbox, code};
+use crate::pg::{self, ErrorFields, ReadBuffer, code};
 use async_channel::{Receiver, Sender};
 use futures_lite::future;
 use std::collections::VecDeque;
@@ -95,7 +95,7 @@
     /// Why it ends, where it does.
     ends: Option<CloseReason>,
     begun: Instant,
-    pub inbox: Inbox,
+    pub read_buffer: ReadBuffer,
     /// How many bytes have come.
     received: u64,
     /// When those came that were read behind an open request.
@@ -127,7 +127,7 @@
             stream,
             ends: None,
             begun: world::now(),
-            inbox: Inbox::default(),
+            read_buffer: ReadBuffer::default(),
             received: 0,
             arrivals: VecDeque::new(),
             taken_bytes: 0,
@@ -150,7 +150,7 @@
 
     /// Whether its client has sent something that is not taken yet.
     pub fn has_more(&self) -> bool {
-        !self.inbox.is_empty() || !self.stream.quiet()
+        !self.read_buffer.is_empty() || !self.stream.quiet()
     }
 
     /// Why it ends: its client has ended it where nothing else is known.
@@ -160,10 +160,10 @@
 
     /// Bytes of a message that has begun, those that wait or the next.
     pub async fn more(&mut self) -> io::Result<Came> {
-        if !self.inbox.is_empty() {
+        if !self.read_buffer.is_empty() {
             return Ok(Came::Bytes);
         }
-        match by(world::now() + PROMPT, read(&self.stream, &mut self.inbox)).await {
+        match by(world::now() + PROMPT, read(&self.stream, &mut self.read_buffer)).await {
             Some(Ok(n @ 1..)) => {
                 self.received += n as u64;
                 self.heard = world::now();
@@ -247,7 +247,7 @@
     pub async fn flush_and_read(&mut self) -> io::Result<Came> {
         self.flush().await?;
         let now = world::now();
-        let resting = self.inbox.is_empty();
+        let resting = self.read_buffer.is_empty();
         if resting && !self.arrivals.is_empty() {
             self.arrivals = VecDeque::new();
         }
@@ -287,7 +287,7 @@
         let _ = go.try_recv();
         let _seat = (resting || !self.asked).then(|| all.seat(self.asked, self.go.0.clone()));
         // Reading comes first: a request that is here already is still served.
-        let read = async { Some(read(&self.stream, &mut self.inbox).await) };
+        let read = async { Some(read(&self.stream, &mut self.read_buffer).await) };
         // Whoever came that late hears its refusal, and rests no longer than others of its kind.
         let late = self.all.is_late(self.begun);
         let mut stops = false;
@@ -337,13 +337,13 @@
 
     /// Whether what this client has sent, beside what all others have, fits into the memory.
     pub fn affordable(&mut self) -> bool {
-        self.share.set((self.inbox.held() + self.taken_bytes).saturating_sub(OWN_BYTES));
+        self.share.set((self.read_buffer.capacity() + self.taken_bytes).saturating_sub(OWN_BYTES));
         self.share.is_empty() || self.all.fits()
     }
 
     /// When the last byte came of the message that was decoded last.
     pub fn came(&mut self) -> Instant {
-        let end = self.received - self.inbox.len() as u64;
+        let end = self.received - self.read_buffer.len() as u64;
         while self.arrivals.front().is_some_and(|a| a.upto < end) {
             self.arrivals.pop_front();
         }
@@ -396,7 +396,7 @@
         if mutants::on("departures are not seen") {
             return future::pending().await;
         }
-        let too_much = self.inbox.len() > MAX_READ_AHEAD_BYTES || !self.affordable();
+        let too_much = self.read_buffer.len() > MAX_READ_AHEAD_BYTES || !self.affordable();
         if too_much && ahead == Ahead::Bounded && !self.overrun {
             self.hung_up().await;
             return false;
@@ -405,7 +405,7 @@
         let read = match self.overrun {
             true => self.stream.read_with(|_| ()).await,
             false => {
-                let read = read(&self.stream, &mut self.inbox).await;
+                let read = read(&self.stream, &mut self.read_buffer).await;
                 if let Ok(n) = read {
                     self.arrived(n);
                 }
@@ -417,7 +417,7 @@
 
     /// Keeps when these bytes came, which were read behind an open request.
     fn arrived(&mut self, count: usize) {
-        if self.arrivals.is_empty() && self.inbox.len() > count {
+        if self.arrivals.is_empty() && self.read_buffer.len() > count {
             self.arrivals.push_back(RequestInfo { upto: self.received, at: self.heard });
         }
         self.received += count as u64;
@@ -450,7 +450,7 @@
         if mutants::on("closes at once") || self.stream.shutdown().is_err() {
             return;
         }
-        self.inbox.clear();
+        self.read_buffer.clear();
         self.share.set(0);
         let drained = async {
             while let Some(Ok(n)) = by(world::now() + FAREWELL, self.stream.read_with(|_| ())).await
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -34,7 +34,7 @@
 pub mod upgrade;
 pub mod world;
 
-use crate::pg::Inbox;
+use crate::pg::ReadBuffer;
 use futures_lite::future;
 use serde::{Deserialize, Serialize};
 use std::cell::Cell;
@@ -93,9 +93,9 @@
     }
 }
 
-/// Waits for bytes and puts them into the inbox; 0 at the end of the connection.
-async fn read(stream: &Stream, inbox: &mut Inbox) -> io::Result<usize> {
-    stream.read_with(|bytes| inbox.put(bytes)).await
+/// Waits for bytes and puts them into the read_buffer; 0 at the end of the connection.
+async fn read(stream: &Stream, read_buffer: &mut ReadBuffer) -> io::Result<usize> {
+    stream.read_with(|bytes| read_buffer.append(bytes)).await
 }
 
 /// The future's result, or nothing once the time has come; the future is then dropped.
--- a/src/net/proxy.rs
+++ b/src/net/proxy.rs
@@ -57,22 +57,23 @@
         let door = door.map_err(|e| format!("console: cannot listen there: {e}"))?;
         let drain_grace = config.settings.safety.drain_grace;
         let longest = config.settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
-        let (core, todo) = Core::new(config.settings.clone(), config.dialect.clone(), config.seed);
+        let (core, todo) = Core::new(config.settings.clone(), config.program_settings.clone(), config.seed);
         let core = Rc::new(core);
         let (user, database) = (&file.hosts.user, &file.hosts.database);
-        let hosts = Hosts::new(core.clone(), config.most_host_connections, drain_grace, user, database);
+        let hosts = Hosts::new(core.clone(), config.max_host_connections, drain_grace, user, database);
         let hosts = Rc::new(hosts);
-        let (most, bytes) = (config.most_clients, config.most_client_bytes);
+        let (most, bytes) = (config.max_clients, config.max_client_bytes);
         let admission = Admission::new(core.clone(), most, bytes, executor.clone());
-        let clients = Clients::new(core.clone(), hosts.clone(), admission, config.way_back, executor.clone());
+        let clients =
+            Clients::new(core.clone(), hosts.clone(), admission, config.response_margin, executor.clone());
         let clients = Rc::new(clients);
-        clients.serve_plain(Statements::of(&file.statements, &config.dialect));
+        clients.serve_plain(Statements::of(&file.statements, &config.program_settings));
 
-        if let Some(known) = &config.known {
+        if let Some(known) = &config.known_list {
             hosts.listed(&core.list(known, true), known);
         }
         let upgrade =
-            Upgrade::new(config.tmp.clone(), core.clone(), clients.admission.clone(), hosts.clone());
+            Upgrade::new(config.state_dir.clone(), core.clone(), clients.admission.clone(), hosts.clone());
         let upgrade = Rc::new(upgrade);
         let peers = config.talk.clone().map(|talk| Rc::new(Peers::new(core.clone(), talk)));
         peers.iter().for_each(|peers| executor.spawn(peers.clone().run()));
@@ -82,7 +83,7 @@
             executor.spawn(console.run(door, executor.clone()));
         }
         upgrade.meet(executor);
-        let known = config.known.take().map(|k| k.index);
+        let known = config.known_list.take().map(|k| k.index);
         executor.spawn(hosts.clone().run_chores(todo, executor.clone()));
         executor.spawn({
             let hosts = hosts.clone();
--- a/src/net/statements.rs
+++ b/src/net/statements.rs
@@ -5,7 +5,7 @@
 use crate::Micros;
 use crate::operator::Statements as Conf;
 use crate::pg::{ErrorFields, code};
-use crate::settings::Dialect;
+use crate::settings::ProgramSettings;
 use serde::Serialize;
 use sillfold_route::sql::{Control, Unreadable};
 use sillfold_route::{Desk, Refusal, Shape};
@@ -65,19 +65,19 @@
 
 impl Statements {
     /// What the operator's file sets, if it switches them on.
-    pub fn of(conf: &Conf, dialect: &Dialect) -> Option<Rc<Statements>> {
+    pub fn of(conf: &Conf, program_settings: &ProgramSettings) -> Option<Rc<Statements>> {
         let statements = || Statements {
             desk: RefCell::new(Desk::new(conf.options())),
-            classes: RefCell::new(numbers(conf, dialect)),
+            classes: RefCell::new(numbers(conf, program_settings)),
             refused: Cell::default(),
         };
         conf.enabled.then(|| Rc::new(statements()))
     }
 
     /// Other rules, from now on.
-    pub fn replace(&self, conf: &Conf, dialect: &Dialect) {
+    pub fn replace(&self, conf: &Conf, program_settings: &ProgramSettings) {
         self.desk.borrow_mut().replace(conf.options());
-        *self.classes.borrow_mut() = numbers(conf, dialect);
+        *self.classes.borrow_mut() = numbers(conf, program_settings);
     }
 
     /// The terms of a statement; nothing if there is none in the text.
@@ -141,8 +141,8 @@
 }
 
 /// The classes of the rules; one that is not known has a number that no class has.
-fn numbers(conf: &Conf, dialect: &Dialect) -> Vec<u8> {
-    let number = |name: &String| dialect.classes.iter().position(|c| c == name);
+fn numbers(conf: &Conf, program_settings: &ProgramSettings) -> Vec<u8> {
+    let number = |name: &String| program_settings.class_names.iter().position(|c| c == name);
     conf.rules
         .iter()
         .map(|r| number(&r.class).and_then(|i| u8::try_from(i).ok()).unwrap_or(u8::MAX))
--- a/src/pg.rs
+++ b/src/pg.rs
@@ -5,17 +5,17 @@
 use std::borrow::Cow;
 
 /// The longest message that is taken whole: a value of 64 KiB as hexadecimal text, with room around it.
-pub const MOST_BYTES: usize = 160 * 1024;
+pub const MAX_MESSAGE_BYTES: usize = 160 * 1024;
 /// The longest value; in a row beyond the first length, it is passed on in pieces.
 const MOST_VALUE: i64 = 4 << 20;
 const WHOLE_VALUE: i64 = 64 << 10;
-/// The longest statement, with the longest value as hexadecimal text. Beyond `MOST_BYTES` it is passed on
+/// The longest statement, with the longest value as hexadecimal text. Beyond `MAX_MESSAGE_BYTES` it is passed on
 /// in pieces; what names class, group and key stands in its first bytes, so many.
-const MOST_STATEMENT: usize = 2 * MOST_VALUE as usize + MOST_BYTES;
+const MOST_STATEMENT: usize = 2 * MOST_VALUE as usize + MAX_MESSAGE_BYTES;
 const HEAD_BYTES: usize = 4 * 1024;
 /// The longest message of a database host that holds no row.
 const MOST_OTHER: i64 = 16 * 1024;
-/// An inbox that has been emptied keeps this much of its memory.
+/// An read_buffer that has been emptied keeps this much of its memory.
 const KEPT_BYTES: usize = 4 * 1024;
 /// The longest startup packet accepted, as in PostgreSQL itself.
 const MOST_STARTUP: usize = 10_000;
@@ -39,7 +39,7 @@
 
     /// Whether a code says that the statement itself was wrong: not read, not supported, bad data,
     /// bad syntax or names.
-    pub fn blames_statement(code: &str) -> bool {
+    pub fn is_statement_error(code: &str) -> bool {
         code == PROTOCOL_VIOLATION || ["0A", "22", "42"].iter().any(|class| code.starts_with(class))
     }
 }
@@ -48,9 +48,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlainError {
     /// The host turned it away untouched: not the primary, or too far behind.
-    Miss,
+    Unsuitable,
     /// The host is full.
-    Full,
+    Overloaded,
     /// The host failed; it may have run.
     Failed,
     /// The statement's own answer, whichever host is asked.
@@ -58,10 +58,10 @@
 }
 
 /// Reads an error's code, as PostgreSQL's appendix on error codes has them.
-pub fn plain_error(code: &str, writes: bool) -> PlainError {
+pub fn classify_plain_error(code: &str, writes: bool) -> PlainError {
     match code {
-        code::READ_ONLY | code::SNAPSHOT_TOO_OLD => PlainError::Miss,
-        code::TOO_MANY_CONNECTIONS => PlainError::Full,
+        code::READ_ONLY | code::SNAPSHOT_TOO_OLD => PlainError::Unsuitable,
+        code::TOO_MANY_CONNECTIONS => PlainError::Overloaded,
         // A replica cancels a read that is in the way of the log; elsewhere it may succeed.
         "40001" | "40P01" if !writes => PlainError::Failed,
         "57P01" | "57P02" | "57P03" | "57P05" => PlainError::Failed,
@@ -82,15 +82,15 @@
 
 /// Bytes of a connection that have come and are not decoded yet.
 #[derive(Default)]
-pub struct Inbox {
+pub struct ReadBuffer {
     bytes: Vec<u8>,
     /// How much of them is decoded already. Guards against moving the rest once for every message,
     /// where hundreds come at once.
     taken: usize,
 }
 
-impl Inbox {
-    pub fn put(&mut self, bytes: &[u8]) {
+impl ReadBuffer {
+    pub fn append(&mut self, bytes: &[u8]) {
         self.bytes.drain(..self.taken);
         self.taken = 0;
         self.bytes.extend_from_slice(bytes);
@@ -109,13 +109,13 @@
         n
     }
     /// Drops bytes that are not decoded, so many at most.
-    pub fn skip(&mut self, most: usize) -> usize {
+    pub fn discard(&mut self, most: usize) -> usize {
         let n = self.len().min(most);
         self.take(n);
         n
     }
     /// The memory that it holds.
-    pub fn held(&self) -> usize {
+    pub fn capacity(&self) -> usize {
         self.bytes.capacity()
     }
     pub fn clear(&mut self) {
@@ -154,12 +154,12 @@
     /// The beginning of a long statement, and how many bytes of its message are still to come.
     LongQuery(String, usize),
     /// A whole message whose contents make no sense; the stream goes on behind it.
-    Unreadable(Malformed),
+    Invalid(Malformed),
     Terminate,
     Sync,
     Flush,
     /// A message of the extended query protocol.
-    Extended,
+    ExtendedQuery,
 }
 
 /// What a database host may say.
@@ -179,7 +179,7 @@
     Error(ErrorFields),
     ReadyForQuery,
     /// Notices and the like, which change nothing here.
-    Skipped,
+    Ignored,
 }
 
 /// The description of a column.
@@ -203,7 +203,7 @@
     pub retry_in_ms: Option<u64>,
     pub fatal: bool,
     /// The body of the message as a database host wrote it, to be passed on; empty where this side speaks.
-    pub whole: Vec<u8>,
+    pub raw: Vec<u8>,
 }
 
 /// A result of one row of one column, and the tag of the command that gave it.
@@ -223,7 +223,7 @@
 /// The answer to a plain statement on its way through. Its messages are told apart by their heads; what is in
 /// them is passed on as it comes, so that no row is ever held whole.
 #[derive(Default)]
-pub struct Passing {
+pub struct AnswerForwarder {
     /// Bytes of the present message that are still to come.
     left: usize,
     /// A result has begun.
@@ -234,39 +234,39 @@
 
 /// One step of an answer on its way through.
 #[derive(Debug, PartialEq)]
-pub enum Passed {
+pub enum ForwardStep {
     /// Something was passed on.
-    Some,
+    Forwarded,
     /// Nothing more is here.
-    Starved,
+    NeedsInput,
     /// A note of the host's.
-    Note { name: String, value: String },
+    ParameterStatus { name: String, value: String },
     /// An error before any result.
-    Refused(ErrorFields),
+    Error(ErrorFields),
     /// The end; false if the session has kept something open.
     Ready(bool),
 }
 
-impl Passing {
+impl AnswerForwarder {
     /// Whether a result has begun, so that an error is a part of the answer.
-    pub fn begun(&self) -> bool {
+    pub fn started(&self) -> bool {
         self.begun
     }
 
     /// Takes the next part off the front; what the client is to have goes to the end of `out`.
-    pub fn pass(&mut self, inbox: &mut Inbox, out: &mut Vec<u8>) -> Result<Passed, Malformed> {
+    pub fn forward(&mut self, input: &mut ReadBuffer, out: &mut Vec<u8>) -> Result<ForwardStep, Malformed> {
         if self.left > 0 {
-            let n = inbox.move_to(out, self.left);
+            let n = input.move_to(out, self.left);
             self.left -= n;
-            return Ok(if n > 0 { Passed::Some } else { Passed::Starved });
+            return Ok(if n > 0 { ForwardStep::Forwarded } else { ForwardStep::NeedsInput });
         }
-        let Some(&[kind, a, b, c, d]) = inbox.rest().first_chunk::<5>() else {
+        let Some(&[kind, a, b, c, d]) = input.rest().first_chunk::<5>() else {
             // An unknown type is told before its length is waited for.
-            return match inbox.rest().first() {
+            return match input.rest().first() {
                 Some(kind) if !b"RSKTDCIEZNAtnv".contains(kind) => {
                     bad(format!("a message of the unknown type {kind:#04x}"))
                 }
-                _ => Ok(Passed::Starved),
+                _ => Ok(ForwardStep::NeedsInput),
             };
         };
         let len = usize::try_from(i32::from_be_bytes([a, b, c, d])).unwrap_or(0);
@@ -284,7 +284,9 @@
         }
         match kind {
             b'T' | b'D' => {
-                let Some(&[.., x, y]) = inbox.rest().first_chunk::<7>() else { return Ok(Passed::Starved) };
+                let Some(&[.., x, y]) = input.rest().first_chunk::<7>() else {
+                    return Ok(ForwardStep::NeedsInput);
+                };
                 let columns = i16::from_be_bytes([x, y]);
                 if kind == b'T' {
                     self.columns = Some(columns);
@@ -292,28 +294,28 @@
                     return bad(format!("a row of {columns} columns where there are {:?}", self.columns));
                 }
             }
-            b'S' | b'A' | b'Z' => return self.own(inbox, kind, len),
-            b'E' if !self.begun => return self.own(inbox, kind, len),
+            b'S' | b'A' | b'Z' => return self.own(input, kind, len),
+            b'E' if !self.begun => return self.own(input, kind, len),
             b'C' | b'I' | b'E' => self.columns = None,
             _ => {}
         }
         self.begun |= kind != b'N';
         self.left = 1 + len;
-        self.pass(inbox, out)
+        self.forward(input, out)
     }
 
     /// A message that this side reads itself.
-    fn own(&mut self, inbox: &mut Inbox, kind: u8, len: usize) -> Result<Passed, Malformed> {
-        let Some(bytes) = inbox.rest().get(5..=len) else { return Ok(Passed::Starved) };
+    fn own(&mut self, input: &mut ReadBuffer, kind: u8, len: usize) -> Result<ForwardStep, Malformed> {
+        let Some(bytes) = input.rest().get(5..=len) else { return Ok(ForwardStep::NeedsInput) };
         let mut body = Body(bytes);
         let passed = match kind {
-            b'S' => Passed::Note { name: body.text()?, value: body.text()? },
-            b'E' => Passed::Refused(ErrorFields { whole: bytes.to_vec(), ..error_fields(&mut body)? }),
-            b'Z' => Passed::Ready(body.take(1)? == b"I"),
+            b'S' => ForwardStep::ParameterStatus { name: body.text()?, value: body.text()? },
+            b'E' => ForwardStep::Error(ErrorFields { raw: bytes.to_vec(), ..error_fields(&mut body)? }),
+            b'Z' => ForwardStep::Ready(body.take(1)? == b"I"),
             // A notification, which nobody here listens for.
-            _ => Passed::Some,
+            _ => ForwardStep::Forwarded,
         };
-        inbox.take(1 + len);
+        input.take(1 + len);
         Ok(passed)
     }
 }
@@ -354,8 +356,8 @@
 }
 
 /// Takes one startup packet off the front, once it is whole.
-pub fn decode_startup(inbox: &mut Inbox) -> Decoded<Startup> {
-    let Some(head) = inbox.rest().first_chunk::<8>() else { return Ok(None) };
+pub fn decode_startup(input: &mut ReadBuffer) -> Decoded<Startup> {
+    let Some(head) = input.rest().first_chunk::<8>() else { return Ok(None) };
     let (len, version) = head.split_at(4);
     let len = Body(len).i32()?;
     let code = Body(version).i32()?;
@@ -367,7 +369,7 @@
     if code >> 16 != 3 && !(80_877_102..=80_877_104).contains(&code) {
         return bad(format!("protocol version {}.{}, this is 3.0", code >> 16, code & 0xffff));
     }
-    let Some(packet) = inbox.rest().get(8..len) else { return Ok(None) };
+    let Some(packet) = input.rest().get(8..len) else { return Ok(None) };
     let mut body = Body(packet);
     let startup = match code {
         80_877_102 => Startup::Cancel,
@@ -391,64 +393,64 @@
             Startup::Session { minor: (code & 0xffff) as u16, options, user, database }
         }
     };
-    inbox.take(len);
+    input.take(len);
     Ok(Some(startup))
 }
 
 /// Finds the message at the front, once it is whole: its type and its body.
-fn whole_message(inbox: &Inbox) -> Decoded<(u8, &[u8])> {
-    let Some(head) = inbox.rest().first_chunk::<5>() else { return Ok(None) };
+fn whole_message(input: &ReadBuffer) -> Decoded<(u8, &[u8])> {
+    let Some(head) = input.rest().first_chunk::<5>() else { return Ok(None) };
     let len = Body(&head[1..]).i32()?;
     match usize::try_from(len) {
-        Ok(len) if (4..=MOST_BYTES).contains(&len) => {
-            Ok(inbox.rest().get(5..=len).map(|body| (head[0], body)))
+        Ok(len) if (4..=MAX_MESSAGE_BYTES).contains(&len) => {
+            Ok(input.rest().get(5..=len).map(|body| (head[0], body)))
         }
-        _ => bad(format!("a message of {len} bytes; the most is {MOST_BYTES}")),
+        _ => bad(format!("a message of {len} bytes; the most is {MAX_MESSAGE_BYTES}")),
     }
 }
 
 /// Takes one message of a client's session.
-pub fn decode_frontend(inbox: &mut Inbox) -> Decoded<Frontend> {
+pub fn decode_frontend(input: &mut ReadBuffer) -> Decoded<Frontend> {
     // An unknown type is told before its length is believed: this may be another protocol.
-    if let Some(kind) = inbox.rest().first().filter(|k| !b"QXSHPBEDCdcfFp".contains(k)) {
+    if let Some(kind) = input.rest().first().filter(|k| !b"QXSHPBEDCdcfFp".contains(k)) {
         return bad(format!("a message of the unknown type {kind:#04x}"));
     }
-    if let Some((b'Q', len)) = inbox.rest().first_chunk::<5>().and_then(|h| Some((h[0], long(h)?))) {
-        return Ok(long_query(inbox, len));
+    if let Some((b'Q', len)) = input.rest().first_chunk::<5>().and_then(|h| Some((h[0], long(h)?))) {
+        return Ok(long_query(input, len));
     }
-    let Some((kind, bytes)) = whole_message(inbox)? else { return Ok(None) };
+    let Some((kind, bytes)) = whole_message(input)? else { return Ok(None) };
     let mut body = Body(bytes);
     let message = match kind {
         b'Q' => match body.text().and_then(|text| body.end().map(|()| text)) {
             Ok(text) => Frontend::Query(text),
-            Err(e) => Frontend::Unreadable(e),
+            Err(e) => Frontend::Invalid(e),
         },
         b'X' => Frontend::Terminate,
         b'S' => Frontend::Sync,
         b'H' => Frontend::Flush,
-        b'P' | b'B' | b'E' | b'D' | b'C' | b'F' => Frontend::Extended,
+        b'P' | b'B' | b'E' | b'D' | b'C' | b'F' => Frontend::ExtendedQuery,
         _ => return bad(format!("a message of type {:?}, which nothing asked for", kind as char)),
     };
     let len = 5 + bytes.len();
-    inbox.take(len);
+    input.take(len);
     Ok(Some(message))
 }
 
 /// The length of a statement that is too long to be taken whole, and not too long to be passed on.
 fn long(head: &[u8; 5]) -> Option<usize> {
     let len = usize::try_from(Body(&head[1..]).i32().ok()?).ok()?;
-    (MOST_BYTES + 1..=MOST_STATEMENT).contains(&len).then_some(len)
+    (MAX_MESSAGE_BYTES + 1..=MOST_STATEMENT).contains(&len).then_some(len)
 }
 
 /// Takes the beginning of a long statement, up to a whole character.
-fn long_query(inbox: &mut Inbox, len: usize) -> Option<Frontend> {
-    let head = inbox.rest().get(5..5 + HEAD_BYTES)?;
+fn long_query(input: &mut ReadBuffer, len: usize) -> Option<Frontend> {
+    let head = input.rest().get(5..5 + HEAD_BYTES)?;
     let end = match std::str::from_utf8(head) {
         Err(e) if e.error_len().is_none() => e.valid_up_to(),
         _ => head.len(),
     };
     let text = String::from_utf8_lossy(&head[..end]).into_owned();
-    inbox.take(5 + end);
+    input.take(5 + end);
     Some(Frontend::LongQuery(text, len - 4 - end))
 }
 
@@ -480,16 +482,16 @@
 }
 
 /// Takes one message of a database host.
-pub fn decode_backend(inbox: &mut Inbox) -> Decoded<Backend> {
-    check_backend_head(inbox.rest())?;
-    if let Some(&[b'D', _, _, _, _, 0, 1, a, b, c, d]) = inbox.rest().first_chunk::<11>() {
+pub fn decode_backend(input: &mut ReadBuffer) -> Decoded<Backend> {
+    check_backend_head(input.rest())?;
+    if let Some(&[b'D', _, _, _, _, 0, 1, a, b, c, d]) = input.rest().first_chunk::<11>() {
         let value = i32::from_be_bytes([a, b, c, d]);
         if i64::from(value) > WHOLE_VALUE {
-            inbox.take(11);
+            input.take(11);
             return Ok(Some(Backend::LongRow(value as usize)));
         }
     }
-    let Some((kind, bytes)) = whole_message(inbox)? else { return Ok(None) };
+    let Some((kind, bytes)) = whole_message(input)? else { return Ok(None) };
     let mut body = Body(bytes);
     let message = match kind {
         b'R' => match body.i32()? {
@@ -518,12 +520,12 @@
         }
         _ => {
             body = Body(&[]);
-            Backend::Skipped
+            Backend::Ignored
         }
     };
     body.end()?;
     let len = 5 + bytes.len();
-    inbox.take(len);
+    input.take(len);
     Ok(Some(message))
 }
 
@@ -588,7 +590,7 @@
 }
 
 /// Tells a client with a newer minor version, or with options of it, what this side speaks.
-pub fn put_negotiate(out: &mut Vec<u8>, options: &[String]) {
+pub fn put_negotiate_protocol_version(out: &mut Vec<u8>, options: &[String]) {
     message(out, b'v', |b| {
         b.extend(0u32.to_be_bytes());
         b.extend((options.len() as u32).to_be_bytes());
@@ -641,7 +643,7 @@
     out.extend((value as u32).to_be_bytes());
 }
 
-pub fn put_complete(out: &mut Vec<u8>, tag: &str) {
+pub fn put_command_complete(out: &mut Vec<u8>, tag: &str) {
     message(out, b'C', |b| put_text(b, tag));
 }
 
@@ -671,12 +673,12 @@
             None => b.extend((-1i32).to_be_bytes()),
         }
     });
-    put_complete(out, &row.tag);
+    put_command_complete(out, &row.tag);
 }
 
 pub fn put_error(out: &mut Vec<u8>, fields: &ErrorFields) {
-    if !fields.whole.is_empty() {
-        return message(out, b'E', |b| b.extend(&fields.whole));
+    if !fields.raw.is_empty() {
+        return message(out, b'E', |b| b.extend(&fields.raw));
     }
     let severity = if fields.fatal { "FATAL" } else { "ERROR" };
     let detail = fields.retry_in_ms.map(|ms| ms.to_string());
@@ -700,12 +702,12 @@
     pub keyed: bool,
     pub id: String,
     pub class: String,
-    pub patience_ms: u64,
+    pub deadline_ms: u64,
     pub group: u32,
     /// Unix milliseconds that the read must see, where the session carries its last commit.
     pub after_ms: Option<u64>,
     /// The client marks it as a repeat of its own.
-    pub again: bool,
+    pub client_retry: bool,
     /// Whose it is, where the comment says so.
     pub tenant: Option<String>,
 }
@@ -717,7 +719,7 @@
         let open = text[lead..].strip_prefix("/*").ok_or("no comment leads the statement")?;
         let end = open.find("*/").ok_or("the comment is not closed")?;
         let (mut id, mut class, mut patience, mut group, mut after) = (None, None, None, None, None);
-        let (mut keyed, mut again, mut tenant) = (false, false, None);
+        let (mut keyed, mut client_retry, mut tenant) = (false, false, None);
         let mut at = lead + 2;
         for part in open[..end].split(',') {
             let (name, value) = part.split_once('=').ok_or(format!("the comment holds {part:?}"))?;
@@ -737,41 +739,41 @@
                 }
                 "after" => after = Some(number()?),
                 "k" => keyed = !value.is_empty(),
-                "r" => again = value == "1",
+                "r" => client_retry = value == "1",
                 "t" => tenant = Some(value.to_string()),
                 _ => {}
             }
             at += part.len() + 1;
         }
-        let (patience_ms, d_at) = patience.ok_or("the comment has no d")?;
+        let (deadline_ms, d_at) = patience.ok_or("the comment has no d")?;
         Ok(Statement {
             id: id.ok_or("the comment has no id")?,
             class: class.ok_or("the comment has no c")?,
             group: group.ok_or("the comment has no cluster")?,
-            patience_ms,
+            deadline_ms,
             after_ms: after,
             d_at: Some(d_at),
             keyed,
-            again,
+            client_retry,
             tenant,
             text,
         })
     }
 
     /// A statement whose terms were found otherwise.
-    pub fn plain(text: String, patience_ms: u64, group: u32) -> Statement {
+    pub fn plain(text: String, deadline_ms: u64, group: u32) -> Statement {
         let (id, class) = Default::default();
-        let (keyed, again) = (false, false);
+        let (keyed, client_retry) = (false, false);
         Statement {
             text,
             d_at: None,
             keyed,
             id,
             class,
-            patience_ms,
+            deadline_ms,
             group,
             after_ms: None,
-            again,
+            client_retry,
             tenant: None,
         }
     }
@@ -783,7 +785,7 @@
 
     /// Whether a text begins with a comment that is meant to name terms, right or wrong. Guards against a request
     /// with a fault in its comment being taken for a plain statement, and losing its terms.
-    pub fn is_commented(text: &str) -> bool {
+    pub fn has_request_comment(text: &str) -> bool {
         let Some(comment) = text.trim_start().strip_prefix("/*") else { return false };
         let comment = comment.split("*/").next().unwrap_or("");
         let names: Vec<&str> = comment.split(',').filter_map(|p| Some(p.split_once('=')?.0.trim())).collect();
@@ -796,7 +798,7 @@
     }
 
     /// The text with `d` set to what the proxy itself will wait; all else unchanged.
-    pub fn with_patience(&self, ms: u64) -> Cow<'_, str> {
+    pub fn with_deadline(&self, ms: u64) -> Cow<'_, str> {
         match &self.d_at {
             Some(at) => format!("{}{ms}{}", &self.text[..at.start], &self.text[at.end..]).into(),
             None => Cow::Borrowed(&self.text),
@@ -804,7 +806,7 @@
     }
 
     /// The first quoted literal, which names the session.
-    pub fn key(&self) -> &str {
+    pub fn session_key(&self) -> &str {
         let from = self.d_at.as_ref().map_or(0, |at| at.end);
         self.text[from..].split('\'').nth(1).unwrap_or("")
     }
@@ -817,12 +819,12 @@
     /// Guards against a first ask that makes way as a repeat does, or the other way round.
     #[test]
     fn a_repeat_is_what_the_client_marks_as_one() {
-        let again = |mark: &str| {
+        let client_retry = |mark: &str| {
             let text = format!("/* id=1,c=browse,d=9{mark},cluster=3 */ SELECT 1");
-            Statement::parse(text).map(|s| s.again)
+            Statement::parse(text).map(|s| s.client_retry)
         };
         assert_eq!(
-            ["", ",r=1", ",r=1 ", ",r=0", ",r=", ",rr=1"].map(again),
+            ["", ",r=1", ",r=1 ", ",r=0", ",r=", ",rr=1"].map(client_retry),
             [false, true, true, false, false, false].map(Ok)
         );
     }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,7 +1,7 @@
 //! Reads the settings object that a deployment hands to every router, for both programs.
 //!
 //! It owns the names and units of that object and turns them into the module's own [`Settings`],
-//! beside a [`Dialect`]: what a program must know to speak, and the module need not. It takes text
+//! beside a [`ProgramSettings`]: what a program must know to speak, and the module need not. It takes text
 //! and returns values; it must never read a file or the environment, nor decide anything.
 
 use crate::api::{
@@ -149,25 +149,25 @@
 
 /// What a program itself needs, beside the module's settings, to speak with the rest.
 #[derive(Clone, Debug)]
-pub struct Dialect {
+pub struct ProgramSettings {
     /// Clock time from which positions are measured.
     pub zero_us: u64,
     /// Index of the position among the report's values.
-    pub position: Option<usize>,
+    pub position_index: Option<usize>,
     /// Index of the role.
-    pub role: Option<usize>,
+    pub role_index: Option<usize>,
     /// Index of the requests in hand.
-    pub in_flight: Option<usize>,
+    pub in_flight_index: Option<usize>,
     /// Names of a report's values, in the order of the wire.
-    pub fields: Vec<String>,
+    pub report_fields: Vec<String>,
     /// Names of the classes, by the module's index.
-    pub classes: Vec<String>,
+    pub class_names: Vec<String>,
     /// Names of the tenants, by the module's index.
-    pub tenants: Vec<String>,
+    pub tenant_names: Vec<String>,
     /// Names of the zones, by index.
-    pub zones: Vec<String>,
+    pub zone_names: Vec<String>,
     /// Names of the machine types, by index.
-    pub kinds: Vec<String>,
+    pub host_type_names: Vec<String>,
     /// A connection that is not up by then has failed.
     pub dial_timeout_us: u64,
     /// A server closes a connection that has stood idle for this long.
@@ -179,7 +179,7 @@
 }
 
 /// Parses the settings text.
-pub fn parse(text: &[u8]) -> Result<(Settings, Dialect)> {
+pub fn parse(text: &[u8]) -> Result<(Settings, ProgramSettings)> {
     let text = std::str::from_utf8(text)
         .map_err(|e| SettingsError(format!("settings: not UTF-8 at byte {}", e.valid_up_to())))?;
     let conf: Conf = serde_json::from_str(text).map_err(|e| SettingsError(format!("settings: {e}")))?;
@@ -240,16 +240,16 @@
     let s = &conf.safety;
     let l = &conf.ceilings;
     let field = |name: &str| conf.load_info.fields.iter().position(|f| f == name);
-    let dialect = Dialect {
+    let program_settings = ProgramSettings {
         zero_us: family.zero_us,
-        position: field("x0"),
-        role: field("x1"),
-        in_flight: field("inflight"),
-        fields: conf.load_info.fields.clone(),
-        classes: conf.classes.iter().map(|c| c.name.clone()).collect(),
-        tenants: conf.tenants.iter().map(|t| t.name.clone()).collect(),
-        zones: conf.azs.clone(),
-        kinds: conf.host_types.clone(),
+        position_index: field("x0"),
+        role_index: field("x1"),
+        in_flight_index: field("inflight"),
+        report_fields: conf.load_info.fields.clone(),
+        class_names: conf.classes.iter().map(|c| c.name.clone()).collect(),
+        tenant_names: conf.tenants.iter().map(|t| t.name.clone()).collect(),
+        zone_names: conf.azs.clone(),
+        host_type_names: conf.host_types.clone(),
         dial_timeout_us: l.dial_timeout_us as u64,
         keepalive_us: l.keepalive_us as u64,
     };
@@ -305,5 +305,5 @@
         quotas: conf.tenants.iter().map(|t| t.quota_rps).collect(),
         over_quota_worth: conf.over_share_worth,
     };
-    Ok((settings, dialect))
+    Ok((settings, program_settings))
 }
