--- a/crates/talk/src/channel.rs
+++ b/crates/talk/src/channel.rs
@@ -1,113 +1,124 @@
-//! Whom to believe, and how much to read. It owns what is known of each sender's process and order, the budget of
-//! reading, and the counters. Times are handed in, in microseconds.
+//! One proxy's state for exchanging datagrams with its peers: the sequence numbers that it sends, the newest process and
+//! the received sequence numbers of each peer, the budget of reads per second, and the counters. The caller passes in
+//! the time: microseconds for the budget of reads, Unix milliseconds for received datagrams.
 //!
-//! Believed is a datagram from an address of the list, that names the sender of that address, of the newest process
-//! heard of there, and not heard before. All else is counted and says nothing.
+//! A datagram is accepted if it comes from the address of a peer, names that peer as its sender, belongs to the peer's
+//! newest known process and was not received before. Any other datagram is counted and dropped.
 
 use crate::message::{Datagram, DecodeError, Item, Message, Sender};
 
-/// Datagrams read in a second: so many at least, and for each proxy as many as one says at most. Beyond that they wait,
-/// and the machine drops what it has no room for.
-const LEAST_READS: u32 = 2_000;
-const READS_PER_PROXY: u32 = 20;
-/// Of one sender, so many that come late, in another order, are still taken: each is a bit.
-const WINDOW: u32 = 64;
-/// A process that claims to have started this much after the present is not believed, in milliseconds: it would shut out
-/// the true one for as long.
-const AHEAD_MS: u64 = 60_000;
+/// Lower bound of the datagrams that are read per second. Datagrams beyond the budget wait in the socket's buffer; the
+/// kernel drops those that do not fit.
+const MIN_READS_PER_SECOND: u32 = 2_000;
+/// Datagrams that are read per second and proxy of the fleet: as many as one proxy sends at most.
+const READS_PER_SECOND_AND_PROXY: u32 = 20;
+/// How far a datagram's sequence number may lie behind the highest one of its sender: one bit of `received_before` each.
+const REORDER_WINDOW: u32 = 64;
+/// How far ahead of the local clock a sender's start time may lie. A process with a later one is not believed: it would
+/// lock out the peer's real process until that time.
+const MAX_START_AHEAD_MS: u64 = 60_000;
 
-/// Why a datagram is not taken.
+/// Why a datagram is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DropReason {
-    /// From an address that is no proxy's, or another proxy's than it says.
+    /// The address is no peer's, or another peer's than the datagram names.
     UnknownSender,
-    /// It cannot be read.
+    /// The datagram cannot be decoded.
     Unreadable(DecodeError),
-    /// Of a process that a newer one has replaced, or that is still to come.
+    /// The sender's process was replaced by a newer one, or its start time lies too far in the future.
     Outdated,
-    /// Heard before, or so late that nobody can say.
+    /// The datagram was received before, or is too late to tell.
     Duplicate,
-    /// The proxy's own.
+    /// This proxy's own datagram, for example a broadcast that came back. It is not counted.
     Own,
 }
 
-/// What is counted since the start.
+/// Counts since the start of the process. The field names are the keys in the console's figures.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
 pub struct Counters {
     /// Datagrams sent.
     pub sent: u64,
-    /// Those that the machine would not send at once: dropped, nothing waits for them.
+    /// Datagrams dropped because the kernel would not send them at once; they are not sent later.
     pub unsent: u64,
-    /// Bytes sent, by datagram once, however many receive it.
+    /// Bytes sent. A datagram counts once, however many peers it goes to.
     pub bytes: u64,
-    /// Datagrams taken.
+    /// Datagrams received and accepted.
     pub heard: u64,
-    /// Not taken: from elsewhere.
+    /// Datagrams dropped as `DropReason::UnknownSender`.
     pub foreign: u64,
-    /// Not taken: damaged, of another version, nonsense.
+    /// Datagrams dropped as `DropReason::Unreadable`.
     pub unreadable: u64,
-    /// Not taken: of a process that is gone.
+    /// Datagrams dropped as `DropReason::Outdated`.
     pub outdated: u64,
-    /// Not taken: heard before.
+    /// Datagrams dropped as `DropReason::Duplicate`.
     pub repeated: u64,
-    /// Times that reading paused, since too many came.
+    /// Times that a read was denied because the budget of the second was used up.
     pub floods: u64,
 }
 
+/// What was received from one peer.
 #[derive(Clone, Copy, Default)]
-struct Heard {
+struct ReceivedFrom {
+    /// Start time of the peer's newest known process, in Unix milliseconds.
     incarnation: u64,
-    /// The highest number heard, and which of those before it were.
-    last: u32,
-    before: u64,
+    /// The highest sequence number received from that process.
+    highest: u32,
+    /// Which of the `REORDER_WINDOW` numbers before `highest` were received: bit 0 is the number just before it.
+    received_before: u64,
 }
 
-impl Heard {
-    /// Takes a number of the present process in; false if it was heard, or may have been.
-    fn accepts(&mut self, sequence: u32) -> bool {
-        if sequence > self.last {
-            let ahead = sequence - self.last;
-            // The last one keeps its bit up to the very end of the window, where all before it have left.
-            let before = self.before.checked_shl(ahead).unwrap_or(0);
-            self.before = if ahead <= WINDOW { before | 1 << (ahead - 1) } else { 0 };
-            self.last = sequence;
+impl ReceivedFrom {
+    /// Records a sequence number of the known process; returns false if it was received before, or may have been.
+    fn record(&mut self, sequence: u32) -> bool {
+        if sequence > self.highest {
+            let ahead = sequence - self.highest;
+            // At a distance of the whole window only the bit of the previous highest number is left; a shift by 64 would
+            // overflow.
+            let shifted = self.received_before.checked_shl(ahead).unwrap_or(0);
+            self.received_before = if ahead <= REORDER_WINDOW { shifted | 1 << (ahead - 1) } else { 0 };
+            self.highest = sequence;
             return true;
         }
-        let behind = self.last - sequence;
+        let behind = self.highest - sequence;
         let bit = match behind {
-            1..=WINDOW => 1 << (behind - 1),
+            1..=REORDER_WINDOW => 1 << (behind - 1),
             _ => return false,
         };
-        let new = self.before & bit == 0;
-        self.before |= bit;
-        new
+        let is_new = self.received_before & bit == 0;
+        self.received_before |= bit;
+        is_new
     }
 }
 
-/// One proxy's end of the talk.
+/// One proxy's side of the exchange with its peers.
 pub struct PeerChannel {
+    /// This proxy, and the sequence number of its last datagram.
     own: Sender,
-    heard: Vec<Option<Heard>>,
-    /// Reads allowed in a second, those left in this one, and when it began.
+    /// What was received from each proxy, by ordinal.
+    received: Vec<Option<ReceivedFrom>>,
+    /// The budget of reads per second.
     reads_per_second: u32,
-    left: (u32, u64),
-    /// What is counted.
+    /// Reads left in the present second, and the start of that second in microseconds.
+    reads_left: (u32, u64),
+    /// Counts since the start.
     pub counters: Counters,
 }
 
 impl PeerChannel {
-    /// For this proxy among so many, whose process started at this time.
+    /// For proxy `ordinal` of a fleet of `proxies`; `incarnation` is the start time of its process in Unix milliseconds.
     pub fn new(ordinal: u16, proxies: usize, incarnation: u64) -> PeerChannel {
         let own = Sender { ordinal, incarnation, sequence: 0 };
-        let all = u32::try_from(proxies).unwrap_or(u32::MAX).saturating_mul(READS_PER_PROXY);
-        let reads_per_second = all.max(LEAST_READS);
-        let (heard, left) = (vec![None; proxies], (reads_per_second, 0));
-        PeerChannel { own, heard, reads_per_second, left, counters: Counters::default() }
+        let proxy_count = u32::try_from(proxies).unwrap_or(u32::MAX);
+        let reads_of_all = proxy_count.saturating_mul(READS_PER_SECOND_AND_PROXY);
+        let reads_per_second = reads_of_all.max(MIN_READS_PER_SECOND);
+        let received = vec![None; proxies];
+        let reads_left = (reads_per_second, 0);
+        PeerChannel { own, received, reads_per_second, reads_left, counters: Counters::default() }
     }
 
-    /// The next datagram, with as many of these items as fit, and how many those are.
+    /// Encodes the leading items that fit into the next datagram, and returns their number.
     pub fn pack(&mut self, items: &[Item]) -> (Datagram, usize) {
-        // A process that ran long enough for that begins anew, as another.
+        // When the sequence numbers run out, they start again under a later incarnation, as if the process had restarted.
         if self.own.sequence == u32::MAX {
             (self.own.sequence, self.own.incarnation) = (0, self.own.incarnation + 1);
         }
@@ -115,7 +126,7 @@
         Datagram::pack(self.own, items)
     }
 
-    /// What became of it.
+    /// Counts a datagram as sent, or as dropped if `ok` is false.
     pub fn record_sent(&mut self, datagram: &Datagram, ok: bool) {
         if ok {
             self.counters.sent += 1;
@@ -125,54 +136,56 @@
         }
     }
 
-    /// Whether one more datagram may be read now; if not, from when on.
+    /// Takes one read from the budget; if none is left, returns the time in microseconds at which the next second starts.
     pub fn reserve_read(&mut self, now_us: u64) -> Result<(), u64> {
-        if now_us >= self.left.1.saturating_add(1_000_000) {
-            self.left = (self.reads_per_second, now_us);
+        if now_us >= self.reads_left.1.saturating_add(1_000_000) {
+            self.reads_left = (self.reads_per_second, now_us);
         }
-        if self.left.0 == 0 {
+        if self.reads_left.0 == 0 {
             self.counters.floods += 1;
-            return Err(self.left.1 + 1_000_000);
+            return Err(self.reads_left.1 + 1_000_000);
         }
-        self.left.0 -= 1;
+        self.reads_left.0 -= 1;
         Ok(())
     }
 
-    /// Takes in a datagram that came from the address of this proxy, or from none of the list.
+    /// Decodes, checks and counts a received datagram. `from` is the ordinal of the proxy at the source address, or none
+    /// if the address is not on the list of proxies.
     pub fn receive(&mut self, from: Option<u16>, bytes: &[u8], now_ms: u64) -> Result<Message, DropReason> {
-        let judged = self.judge(from, bytes, now_ms);
-        let f = &mut self.counters;
-        *match &judged {
-            Ok(_) => &mut f.heard,
-            Err(DropReason::UnknownSender) => &mut f.foreign,
-            Err(DropReason::Unreadable(_)) => &mut f.unreadable,
-            Err(DropReason::Outdated) => &mut f.outdated,
-            Err(DropReason::Duplicate) => &mut f.repeated,
-            Err(DropReason::Own) => return judged,
+        let checked = self.check(from, bytes, now_ms);
+        let counters = &mut self.counters;
+        *match &checked {
+            Ok(_) => &mut counters.heard,
+            Err(DropReason::UnknownSender) => &mut counters.foreign,
+            Err(DropReason::Unreadable(_)) => &mut counters.unreadable,
+            Err(DropReason::Outdated) => &mut counters.outdated,
+            Err(DropReason::Duplicate) => &mut counters.repeated,
+            Err(DropReason::Own) => return checked,
         } += 1;
-        judged
+        checked
     }
 
-    fn judge(&mut self, from: Option<u16>, bytes: &[u8], now_ms: u64) -> Result<Message, DropReason> {
+    /// Decodes a datagram, and decides whether it is accepted.
+    fn check(&mut self, from: Option<u16>, bytes: &[u8], now_ms: u64) -> Result<Message, DropReason> {
         let from = from.ok_or(DropReason::UnknownSender)?;
-        // What is sent to all may come back.
+        // A datagram that is sent to a broadcast or multicast address may come back to its sender.
         if from == self.own.ordinal {
             return Err(DropReason::Own);
         }
         let message = Message::read(bytes).map_err(DropReason::Unreadable)?;
         let Sender { ordinal, incarnation, sequence } = message.sender;
-        let heard = self
-            .heard
+        let received = self
+            .received
             .get_mut(usize::from(from))
             .filter(|_| ordinal == from)
             .ok_or(DropReason::UnknownSender)?;
-        let known = heard.get_or_insert_default();
-        if incarnation < known.incarnation || incarnation > now_ms.saturating_add(AHEAD_MS) {
+        let known = received.get_or_insert_default();
+        if incarnation < known.incarnation || incarnation > now_ms.saturating_add(MAX_START_AHEAD_MS) {
             return Err(DropReason::Outdated);
         }
         if incarnation > known.incarnation {
-            *known = Heard { incarnation, last: 0, before: 0 };
+            *known = ReceivedFrom { incarnation, highest: 0, received_before: 0 };
         }
-        if known.accepts(sequence) { Ok(message) } else { Err(DropReason::Duplicate) }
+        if known.record(sequence) { Ok(message) } else { Err(DropReason::Duplicate) }
     }
 }
--- a/crates/talk/src/lib.rs
+++ b/crates/talk/src/lib.rs
@@ -1,6 +1,7 @@
-//! What proxies tell each other. It owns the form of a datagram and the judgement of those that come: whose they are,
-//! whether they are whole, whether they are news. Pure: no clock, no socket, no lots. It must never hold what a message
-//! says beyond the call, nor make a datagram that is too long: there is no way to.
+//! The datagrams that proxies exchange: their encoding, and the check of those received. [`message`] encodes and decodes
+//! a datagram. [`channel`] numbers the datagrams to send, and drops those received from unknown senders, from replaced
+//! processes, or twice. The crate is pure: it uses no clock, no socket and no random numbers. It keeps nothing of a
+//! message's contents between calls, and cannot build a datagram longer than [`message::MAX_DATAGRAM_BYTES`].
 
 pub mod channel;
 pub mod message;
--- a/crates/talk/src/message.rs
+++ b/crates/talk/src/message.rs
@@ -1,68 +1,68 @@
-//! The form of a datagram: a version, who sends it and in what order, items, and a checksum. Numbers are varints
-//! (postcard). Hosts go by what all proxies share, a hash of their names, since each proxy numbers them by itself.
+//! The format of a datagram: a version byte, the sender, items and a checksum. Numbers are encoded as varints
+//! (postcard). Items name a host by the hash of its name, since each proxy assigns its own host ids.
 
 use serde::{Deserialize, Serialize};
 
-/// The longest datagram, in bytes.
+/// The length limit of a datagram, in bytes.
 pub const MAX_DATAGRAM_BYTES: usize = 256;
-/// The form of this version. One that is not known is refused whole: nothing is guessed.
+/// The format version that this crate writes, and the only one that it reads.
 pub const FORMAT_VERSION: u8 = 1;
-/// Bytes of the checksum, at the end.
+/// Length of the CRC-32 checksum at the end of a datagram, in bytes.
 const CHECKSUM_BYTES: usize = 4;
 
-/// Something that one proxy tells the others.
+/// One piece of information that a proxy sends to its peers.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Item {
-    /// How far a host had applied the log, in Unix milliseconds, and whether it called itself the primary.
+    /// How far a host has applied the replication log.
     HostPosition {
-        /// What all proxies call the host.
+        /// Hash of the host's name, the same at all proxies.
         host: u32,
-        /// Unix milliseconds.
+        /// The commit time up to which the log is applied, in Unix milliseconds.
         position_ms: u64,
-        /// Whether it took writes then.
+        /// Whether the host reported itself as the primary.
         primary: bool,
     },
-    /// What the sender is asked for by a tenant.
+    /// The rate at which a tenant's requests arrive at the sender.
     TenantRate {
-        /// The tenant, as the settings number it.
+        /// Index of the tenant in the settings.
         tenant: u16,
-        /// Tenths of a request in a second.
+        /// In tenths of a request per second.
         tenths_per_s: u32,
     },
 }
 
-/// Who sends, and where in its order a datagram stands.
+/// The sender of a datagram, and the datagram's place in the order of sending.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Sender {
-    /// Its number in the fleet.
+    /// Number of the proxy in the fleet.
     pub ordinal: u16,
-    /// When its process started, in Unix milliseconds: a later one is another.
+    /// Start time of the proxy's process, in Unix milliseconds. A later value means that the process was replaced.
     pub incarnation: u64,
-    /// Counts its datagrams.
+    /// Sequence number of the datagram within the process, from 1.
     pub sequence: u32,
 }
 
-/// A whole datagram, read.
+/// The contents of a decoded datagram.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Message {
-    /// Whose it is.
+    /// The sender, as the datagram names it.
     pub sender: Sender,
-    /// What it says.
+    /// The items, in the order of sending.
     pub items: Vec<Item>,
 }
 
-/// Why a datagram cannot be read.
+/// Why a datagram cannot be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DecodeError {
-    /// Too short, too long, or its checksum is another.
+    /// The datagram is too short or too long, or its checksum does not match.
     Corrupt,
-    /// Of a version that is not known here.
+    /// The format version is not `FORMAT_VERSION`.
     UnknownVersion(u8),
-    /// The checksum fits, and what it covers makes no sense.
+    /// The checksum matches, but the sender or an item cannot be decoded.
     InvalidContents,
 }
 
-/// Bytes to be sent: never more than `MAX_DATAGRAM_BYTES`, since only this module makes them.
+/// An encoded datagram of at most `MAX_DATAGRAM_BYTES`; only this module creates one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Datagram {
     bytes: [u8; MAX_DATAGRAM_BYTES],
@@ -70,47 +70,47 @@
 }
 
 impl Datagram {
-    /// As many of the items as fit, from the first on, and how many those are.
+    /// Encodes the leading items that fit, and returns their number.
     pub fn pack(sender: Sender, items: &[Item]) -> (Datagram, usize) {
-        let mut d = Datagram { bytes: [0; MAX_DATAGRAM_BYTES], len: 1 };
-        d.bytes[0] = FORMAT_VERSION;
-        d.put(&sender);
-        let packed = items.iter().take_while(|item| d.put(item)).count();
-        let sum = crc32fast::hash(&d.bytes[..d.len]).to_le_bytes();
-        d.bytes[d.len..d.len + CHECKSUM_BYTES].copy_from_slice(&sum);
-        d.len += CHECKSUM_BYTES;
-        (d, packed)
+        let mut datagram = Datagram { bytes: [0; MAX_DATAGRAM_BYTES], len: 1 };
+        datagram.bytes[0] = FORMAT_VERSION;
+        datagram.put(&sender);
+        let packed = items.iter().take_while(|item| datagram.put(item)).count();
+        let checksum = crc32fast::hash(&datagram.bytes[..datagram.len]).to_le_bytes();
+        datagram.bytes[datagram.len..datagram.len + CHECKSUM_BYTES].copy_from_slice(&checksum);
+        datagram.len += CHECKSUM_BYTES;
+        (datagram, packed)
     }
 
-    /// Appends a value whole, if there is room for it and the checksum.
+    /// Appends a value, and returns true, if the value and the checksum fit. Otherwise appends nothing.
     fn put(&mut self, value: &impl Serialize) -> bool {
         match postcard::to_slice(value, &mut self.bytes[self.len..MAX_DATAGRAM_BYTES - CHECKSUM_BYTES]) {
-            Ok(put) => {
-                self.len += put.len();
+            Ok(encoded) => {
+                self.len += encoded.len();
                 true
             }
             Err(_) => {
-                // What was begun is no part of it.
+                // Clears the partly encoded value.
                 self.bytes[self.len..].fill(0);
                 false
             }
         }
     }
 
-    /// The bytes.
+    /// The encoded bytes.
     pub fn bytes(&self) -> &[u8] {
         &self.bytes[..self.len]
     }
 }
 
 impl Message {
-    /// Reads a datagram; one that is not whole, or of another version, says nothing at all.
+    /// Decodes a datagram. One that is damaged, incomplete or of another version is rejected as a whole.
     pub fn read(bytes: &[u8]) -> Result<Message, DecodeError> {
         if bytes.len() > MAX_DATAGRAM_BYTES {
             return Err(DecodeError::Corrupt);
         }
-        let (body, sum) = bytes.split_last_chunk::<CHECKSUM_BYTES>().ok_or(DecodeError::Corrupt)?;
-        if crc32fast::hash(body) != u32::from_le_bytes(*sum) {
+        let (body, checksum) = bytes.split_last_chunk::<CHECKSUM_BYTES>().ok_or(DecodeError::Corrupt)?;
+        if crc32fast::hash(body) != u32::from_le_bytes(*checksum) {
             return Err(DecodeError::Corrupt);
         }
         let (version, body) = body.split_first().ok_or(DecodeError::Corrupt)?;
@@ -120,10 +120,10 @@
         let (sender, mut rest) = postcard::take_from_bytes(body).map_err(|_| DecodeError::InvalidContents)?;
         let mut items = Vec::new();
         while !rest.is_empty() {
-            let (item, left) = postcard::take_from_bytes(rest).map_err(|_| DecodeError::InvalidContents)?;
-            // Every item takes a byte at least, so this ends.
+            let (item, after) = postcard::take_from_bytes(rest).map_err(|_| DecodeError::InvalidContents)?;
+            // Each item takes at least one byte, so the loop ends.
             items.push(item);
-            rest = left;
+            rest = after;
         }
         Ok(Message { sender, items })
     }
