--- a/src/pg.rs
+++ b/src/pg.rs
@@ -1,26 +1,29 @@
-//! PostgreSQL's wire protocol, version 3: messages as small typed values, each decoded once and
-//! encoded once. It owns the layout of messages, the limits on their length and the bytes that are
-//! not decoded yet. It must never do I/O, and never decide what an answer means for a request.
+//! Encodes and decodes messages of PostgreSQL's wire protocol, version 3, as small typed values. The module owns the
+//! layout of messages, the limits on their length, and the buffer of bytes that are not decoded yet. It also parses the
+//! leading comment of a statement, which holds the terms of the request. It must not do I/O, nor decide what an answer
+//! means for a request.
 
 use std::borrow::Cow;
 
-/// The longest message that is taken whole: a value of 64 KiB as hexadecimal text, with room around it.
+/// The longest message that is buffered until it is complete: a statement with a value of 64 KiB as hexadecimal text.
 pub const MAX_MESSAGE_BYTES: usize = 160 * 1024;
-/// The longest value; in a row beyond the first length, it is passed on in pieces.
-const MOST_VALUE: i64 = 4 << 20;
-const WHOLE_VALUE: i64 = 64 << 10;
-/// The longest statement, with the longest value as hexadecimal text. Beyond `MAX_MESSAGE_BYTES` it is passed on
-/// in pieces; what names class, group and key stands in its first bytes, so many.
-const MOST_STATEMENT: usize = 2 * MOST_VALUE as usize + MAX_MESSAGE_BYTES;
-const HEAD_BYTES: usize = 4 * 1024;
-/// The longest message of a database host that holds no row.
-const MOST_OTHER: i64 = 16 * 1024;
-/// An read_buffer that has been emptied keeps this much of its memory.
-const KEPT_BYTES: usize = 4 * 1024;
-/// The longest startup packet accepted, as in PostgreSQL itself.
-const MOST_STARTUP: usize = 10_000;
-
-/// SQLSTATE codes that this program reads or writes.
+/// The longest value in a database host's answer to a request with a comment.
+const MAX_VALUE_BYTES: i64 = 4 << 20;
+/// The longest value that is buffered until it is complete; a longer one is streamed.
+const MAX_BUFFERED_VALUE_BYTES: i64 = 64 << 10;
+/// The longest statement: the longest value as hexadecimal text, and `MAX_MESSAGE_BYTES` around it. A statement beyond
+/// `MAX_MESSAGE_BYTES` is streamed.
+const MAX_STATEMENT_BYTES: usize = 2 * MAX_VALUE_BYTES as usize + MAX_MESSAGE_BYTES;
+/// The beginning of a streamed statement that is decoded; it must hold what names class, group and key.
+const STATEMENT_HEAD_BYTES: usize = 4 * 1024;
+/// The longest message of a database host that is not a row.
+const MAX_NON_ROW_BYTES: i64 = 16 * 1024;
+/// The memory that a `ReadBuffer` keeps when it becomes empty.
+const KEPT_BUFFER_BYTES: usize = 4 * 1024;
+/// The longest startup packet, the same limit as in PostgreSQL.
+const MAX_STARTUP_BYTES: usize = 10_000;
+
+/// The SQLSTATE codes that the proxy sends or checks.
 pub mod code {
     pub const PROTOCOL_VIOLATION: &str = "08P01";
     pub const FEATURE_NOT_SUPPORTED: &str = "0A000";
@@ -37,32 +40,32 @@
     pub const TOO_MANY_CONNECTIONS: &str = "53300";
     pub const CANNOT_CONNECT_NOW: &str = "57P03";
 
-    /// Whether a code says that the statement itself was wrong: not read, not supported, bad data,
-    /// bad syntax or names.
+    /// Whether a code blames the statement itself: a protocol violation, an unsupported feature, invalid data, invalid
+    /// syntax or an unknown name.
     pub fn is_statement_error(code: &str) -> bool {
         code == PROTOCOL_VIOLATION || ["0A", "22", "42"].iter().any(|class| code.starts_with(class))
     }
 }
 
-/// What an error that comes before any result means for a plain statement.
+/// What an error before any result means for a plain statement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlainError {
-    /// The host turned it away untouched: not the primary, or too far behind.
+    /// The host rejected the statement before running it: the host is not the primary, or lags too far behind.
     Unsuitable,
-    /// The host is full.
+    /// The host accepts no more connections.
     Overloaded,
-    /// The host failed; it may have run.
+    /// The host failed; the statement may have run.
     Failed,
-    /// The statement's own answer, whichever host is asked.
+    /// The error is the statement's answer, and would be the same at any host.
     Answer,
 }
 
-/// Reads an error's code, as PostgreSQL's appendix on error codes has them.
+/// Classifies an error by its SQLSTATE code, following the appendix on error codes of PostgreSQL's manual.
 pub fn classify_plain_error(code: &str, writes: bool) -> PlainError {
     match code {
         code::READ_ONLY | code::SNAPSHOT_TOO_OLD => PlainError::Unsuitable,
         code::TOO_MANY_CONNECTIONS => PlainError::Overloaded,
-        // A replica cancels a read that is in the way of the log; elsewhere it may succeed.
+        // A replica cancels a read that conflicts with the replay of the log; the read may succeed at another host.
         "40001" | "40P01" if !writes => PlainError::Failed,
         "57P01" | "57P02" | "57P03" | "57P05" => PlainError::Failed,
         _ if ["08", "53", "58", "XX"].iter().any(|class| code.starts_with(class)) => PlainError::Failed,
@@ -70,90 +73,98 @@
     }
 }
 
-/// Bytes that are no message; the text says why.
+/// The bytes are not a valid message; the text says why.
 #[derive(Debug, PartialEq)]
 pub struct Malformed(pub String);
 
+/// A decoded message; `None` as long as it is not complete.
 type Decoded<T> = Result<Option<T>, Malformed>;
 
-fn bad<T>(what: impl Into<String>) -> Result<T, Malformed> {
-    Err(Malformed(what.into()))
+fn malformed<T>(reason: impl Into<String>) -> Result<T, Malformed> {
+    Err(Malformed(reason.into()))
 }
 
-/// Bytes of a connection that have come and are not decoded yet.
+/// The bytes received on a connection and not decoded yet.
 #[derive(Default)]
 pub struct ReadBuffer {
     bytes: Vec<u8>,
-    /// How much of them is decoded already. Guards against moving the rest once for every message,
-    /// where hundreds come at once.
-    taken: usize,
+    /// How many of the bytes are decoded already. They are removed on the next `append`, since removing them after each
+    /// message would move the rest hundreds of times where hundreds of messages arrive at once.
+    consumed: usize,
 }
 
 impl ReadBuffer {
+    /// Adds received bytes.
     pub fn append(&mut self, bytes: &[u8]) {
-        self.bytes.drain(..self.taken);
-        self.taken = 0;
+        self.bytes.drain(..self.consumed);
+        self.consumed = 0;
         self.bytes.extend_from_slice(bytes);
     }
+    /// The number of bytes that are not decoded yet.
     pub fn len(&self) -> usize {
-        self.bytes.len() - self.taken
+        self.bytes.len() - self.consumed
     }
+    /// Whether all received bytes are decoded.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
-    /// Moves bytes that are not decoded, as they are, to the end of `out`, so many at most.
-    pub fn move_to(&mut self, out: &mut Vec<u8>, most: usize) -> usize {
-        let n = self.len().min(most);
+    /// Moves at most `limit` bytes unchanged to the end of `out`, and returns their number.
+    pub fn move_to(&mut self, out: &mut Vec<u8>, limit: usize) -> usize {
+        let n = self.len().min(limit);
         out.extend_from_slice(&self.rest()[..n]);
-        self.take(n);
+        self.consume(n);
         n
     }
-    /// Drops bytes that are not decoded, so many at most.
-    pub fn discard(&mut self, most: usize) -> usize {
-        let n = self.len().min(most);
-        self.take(n);
+    /// Drops at most `limit` bytes, and returns their number.
+    pub fn discard(&mut self, limit: usize) -> usize {
+        let n = self.len().min(limit);
+        self.consume(n);
         n
     }
-    /// The memory that it holds.
+    /// The memory that the buffer holds, in bytes.
     pub fn capacity(&self) -> usize {
         self.bytes.capacity()
     }
+    /// Drops all bytes.
     pub fn clear(&mut self) {
-        self.take(self.len());
+        self.consume(self.len());
     }
+    /// The bytes that are not decoded yet.
     fn rest(&self) -> &[u8] {
-        &self.bytes[self.taken..]
+        &self.bytes[self.consumed..]
     }
-    /// Marks bytes as decoded. Once all are, a large buffer is given back: guards against every
-    /// connection keeping the memory of the longest message that it ever saw.
-    fn take(&mut self, n: usize) {
-        self.taken += n;
+    /// Marks `n` bytes as decoded. Once all are, a large buffer is shrunk; otherwise each connection would keep the memory
+    /// of its longest message.
+    fn consume(&mut self, n: usize) {
+        self.consumed += n;
         if self.is_empty() {
-            self.taken = 0;
+            self.consumed = 0;
             self.bytes.clear();
-            self.bytes.shrink_to(KEPT_BYTES);
+            self.bytes.shrink_to(KEPT_BUFFER_BYTES);
         }
     }
 }
 
-/// What a client may say before its session begins.
+/// A client's packet before its session begins.
 #[derive(Debug, PartialEq)]
 pub enum Startup {
-    /// Wants encryption first: TLS or GSSAPI.
+    /// A request for encryption by TLS or GSSAPI.
     Encryption,
-    /// Asks for another session's query to be cancelled.
+    /// A request to cancel the query of another session.
     Cancel,
-    /// Opens the session; the minor version may be newer than ours.
+    /// Opens the session. The minor protocol version may be newer than the proxy's; `options` are the names of protocol
+    /// options.
     Session { minor: u16, options: Vec<String>, user: String, database: String },
 }
 
-/// What a client may say in its session.
+/// A client's message within its session.
 #[derive(Debug, PartialEq)]
 pub enum Frontend {
+    /// A statement of the simple query protocol.
     Query(String),
-    /// The beginning of a long statement, and how many bytes of its message are still to come.
+    /// The beginning of a streamed statement, and the number of bytes of its message that follow.
     LongQuery(String, usize),
-    /// A whole message whose contents make no sense; the stream goes on behind it.
+    /// A query whose text cannot be decoded. The session can continue, since the message's length is known.
     Invalid(Malformed),
     Terminate,
     Sync,
@@ -162,7 +173,7 @@
     ExtendedQuery,
 }
 
-/// What a database host may say.
+/// A database host's message.
 #[derive(Debug, PartialEq)]
 pub enum Backend {
     AuthenticationOk,
@@ -171,18 +182,20 @@
         value: String,
     },
     RowDescription(Vec<Column>),
+    /// The values of a row; none for NULL.
     DataRow(Vec<Option<Vec<u8>>>),
-    /// A row of one column whose value, so long, is still to come.
+    /// A row of one column whose value is streamed: the value's length in bytes. The value's bytes follow.
     LongRow(usize),
+    /// The end of a result, with the command tag.
     CommandComplete(String),
     EmptyQuery,
     Error(ErrorFields),
     ReadyForQuery,
-    /// Notices and the like, which change nothing here.
+    /// A message that the proxy ignores, for example a notice.
     Ignored,
 }
 
-/// The description of a column.
+/// The description of a column, as in RowDescription.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Column {
     pub name: String,
@@ -194,66 +207,71 @@
     format: i16,
 }
 
-/// The fields of an ErrorResponse that matter here.
+/// The fields of an ErrorResponse that the proxy uses.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ErrorFields {
+    /// The SQLSTATE code.
     pub code: String,
     pub message: String,
-    /// In milliseconds: when to come again.
+    /// After how many milliseconds to try again, from the DETAIL field.
     pub retry_in_ms: Option<u64>,
+    /// Whether the severity is FATAL or PANIC.
     pub fatal: bool,
-    /// The body of the message as a database host wrote it, to be passed on; empty where this side speaks.
+    /// The body of the message as the database host sent it, to be forwarded; empty for an error of the proxy's own.
     pub raw: Vec<u8>,
 }
 
-/// A result of one row of one column, and the tag of the command that gave it.
+/// A result of one row with one column.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Row {
     pub column: Column,
+    /// The value; none for NULL.
     pub value: Option<Vec<u8>>,
+    /// The command tag of the result.
     pub tag: String,
 }
 
-/// The longest message of an answer to a plain statement, by what it is: a row, and what describes or ends.
-const MOST_ROW: usize = 1 << 30;
-const MOST_PART: usize = 1 << 20;
-/// The longest that is taken whole, since this side reads it.
-const MOST_NOTE: usize = 64 * 1024;
+/// The longest row in an answer to a plain statement: 1 GiB.
+const MAX_PLAIN_ROW_BYTES: usize = 1 << 30;
+/// The longest message that describes or ends a result in an answer to a plain statement.
+const MAX_PLAIN_NON_ROW_BYTES: usize = 1 << 20;
+/// The longest message of such an answer that the proxy decodes, and so buffers until it is complete.
+const MAX_PLAIN_DECODED_BYTES: usize = 64 * 1024;
 
-/// The answer to a plain statement on its way through. Its messages are told apart by their heads; what is in
-/// them is passed on as it comes, so that no row is ever held whole.
+/// Forwards the answer to a plain statement. It decodes the type and length of each message; the contents are forwarded
+/// as they arrive, so that no row is buffered.
 #[derive(Default)]
 pub struct AnswerForwarder {
-    /// Bytes of the present message that are still to come.
+    /// Bytes of the present message that are not forwarded yet.
     left: usize,
-    /// A result has begun.
-    begun: bool,
-    /// Columns of the rows of the present result.
+    /// Whether any message other than a notice has been forwarded.
+    started: bool,
+    /// Number of columns of the present result.
     columns: Option<i16>,
 }
 
-/// One step of an answer on its way through.
+/// The result of one step of an `AnswerForwarder`.
 #[derive(Debug, PartialEq)]
 pub enum ForwardStep {
-    /// Something was passed on.
+    /// Bytes were forwarded, or a notification was dropped.
     Forwarded,
-    /// Nothing more is here.
+    /// The next step needs more bytes in the buffer.
     NeedsInput,
-    /// A note of the host's.
+    /// The host reported a parameter; it is not forwarded.
     ParameterStatus { name: String, value: String },
-    /// An error before any result.
+    /// The host reported an error before any result.
     Error(ErrorFields),
-    /// The end; false if the session has kept something open.
+    /// The answer is complete; false if the session has a transaction open.
     Ready(bool),
 }
 
 impl AnswerForwarder {
-    /// Whether a result has begun, so that an error is a part of the answer.
+    /// Whether a result has started, so that an error is part of the answer.
     pub fn started(&self) -> bool {
-        self.begun
+        self.started
     }
 
-    /// Takes the next part off the front; what the client is to have goes to the end of `out`.
+    /// Takes the next part of the answer from `input`, and appends the bytes for the client to `out`.
     pub fn forward(&mut self, input: &mut ReadBuffer, out: &mut Vec<u8>) -> Result<ForwardStep, Malformed> {
         if self.left > 0 {
             let n = input.move_to(out, self.left);
@@ -261,26 +279,26 @@
             return Ok(if n > 0 { ForwardStep::Forwarded } else { ForwardStep::NeedsInput });
         }
         let Some(&[kind, a, b, c, d]) = input.rest().first_chunk::<5>() else {
-            // An unknown type is told before its length is waited for.
+            // Rejects an unknown type before its length has arrived.
             return match input.rest().first() {
                 Some(kind) if !b"RSKTDCIEZNAtnv".contains(kind) => {
-                    bad(format!("a message of the unknown type {kind:#04x}"))
+                    malformed(format!("a message of the unknown type {kind:#04x}"))
                 }
                 _ => Ok(ForwardStep::NeedsInput),
             };
         };
         let len = usize::try_from(i32::from_be_bytes([a, b, c, d])).unwrap_or(0);
-        let most = match kind {
-            b'D' => MOST_ROW,
-            // Read here, and so taken whole.
-            b'E' if !self.begun => MOST_NOTE,
-            b'T' | b'C' | b'I' | b'N' | b'E' => MOST_PART,
-            b'S' | b'A' => MOST_NOTE,
+        let max_len = match kind {
+            b'D' => MAX_PLAIN_ROW_BYTES,
+            // Decoded here, and so buffered until it is complete.
+            b'E' if !self.started => MAX_PLAIN_DECODED_BYTES,
+            b'T' | b'C' | b'I' | b'N' | b'E' => MAX_PLAIN_NON_ROW_BYTES,
+            b'S' | b'A' => MAX_PLAIN_DECODED_BYTES,
             b'Z' => 5,
-            _ => return bad(format!("a message of type {:?} in an answer", kind as char)),
+            _ => return malformed(format!("a message of type {:?} in an answer", kind as char)),
         };
-        if !(4..=most).contains(&len) {
-            return bad(format!("a message of type {:?} with {len} bytes", kind as char));
+        if !(4..=max_len).contains(&len) {
+            return malformed(format!("a message of type {:?} with {len} bytes", kind as char));
         }
         match kind {
             b'T' | b'D' => {
@@ -291,36 +309,39 @@
                 if kind == b'T' {
                     self.columns = Some(columns);
                 } else if self.columns != Some(columns) {
-                    return bad(format!("a row of {columns} columns where there are {:?}", self.columns));
+                    return malformed(format!(
+                        "a row of {columns} columns where there are {:?}",
+                        self.columns
+                    ));
                 }
             }
-            b'S' | b'A' | b'Z' => return self.own(input, kind, len),
-            b'E' if !self.begun => return self.own(input, kind, len),
+            b'S' | b'A' | b'Z' => return self.decode(input, kind, len),
+            b'E' if !self.started => return self.decode(input, kind, len),
             b'C' | b'I' | b'E' => self.columns = None,
             _ => {}
         }
-        self.begun |= kind != b'N';
+        self.started |= kind != b'N';
         self.left = 1 + len;
         self.forward(input, out)
     }
 
-    /// A message that this side reads itself.
-    fn own(&mut self, input: &mut ReadBuffer, kind: u8, len: usize) -> Result<ForwardStep, Malformed> {
+    /// Decodes a message that is for the proxy itself, once it is complete.
+    fn decode(&mut self, input: &mut ReadBuffer, kind: u8, len: usize) -> Result<ForwardStep, Malformed> {
         let Some(bytes) = input.rest().get(5..=len) else { return Ok(ForwardStep::NeedsInput) };
         let mut body = Body(bytes);
-        let passed = match kind {
+        let step = match kind {
             b'S' => ForwardStep::ParameterStatus { name: body.text()?, value: body.text()? },
             b'E' => ForwardStep::Error(ErrorFields { raw: bytes.to_vec(), ..error_fields(&mut body)? }),
             b'Z' => ForwardStep::Ready(body.take(1)? == b"I"),
-            // A notification, which nobody here listens for.
+            // NotificationResponse: the proxy drops it.
             _ => ForwardStep::Forwarded,
         };
-        input.take(1 + len);
-        Ok(passed)
+        input.consume(1 + len);
+        Ok(step)
     }
 }
 
-/// Walks over the body of one message.
+/// The part of a message's body that is not decoded yet.
 struct Body<'a>(&'a [u8]);
 
 impl<'a> Body<'a> {
@@ -330,7 +351,7 @@
                 self.0 = rest;
                 Ok(head)
             }
-            None => bad("a message ends inside a field"),
+            None => malformed("a message ends inside a field"),
         }
     }
     fn array<const N: usize>(&mut self) -> Result<[u8; N], Malformed> {
@@ -344,38 +365,43 @@
     fn i32(&mut self) -> Result<i32, Malformed> {
         Ok(i32::from_be_bytes(self.array()?))
     }
+    /// Decodes a zero-terminated string.
     fn text(&mut self) -> Result<String, Malformed> {
-        let Some(end) = self.0.iter().position(|&b| b == 0) else { return bad("a text is not ended") };
+        let Some(end) = self.0.iter().position(|&b| b == 0) else { return malformed("a text is not ended") };
         let text = self.take(end)?;
         self.take(1)?;
-        String::from_utf8(text.to_vec()).or_else(|_| bad("a text is not UTF-8"))
+        String::from_utf8(text.to_vec()).or_else(|_| malformed("a text is not UTF-8"))
     }
+    /// Fails if bytes are left.
     fn end(&self) -> Result<(), Malformed> {
-        if self.0.is_empty() { Ok(()) } else { bad("a message is longer than its fields") }
+        if self.0.is_empty() { Ok(()) } else { malformed("a message is longer than its fields") }
     }
 }
 
-/// Takes one startup packet off the front, once it is whole.
+/// Decodes one startup packet, once it is complete.
 pub fn decode_startup(input: &mut ReadBuffer) -> Decoded<Startup> {
     let Some(head) = input.rest().first_chunk::<8>() else { return Ok(None) };
     let (len, version) = head.split_at(4);
     let len = Body(len).i32()?;
     let code = Body(version).i32()?;
-    let Ok(len) = usize::try_from(len) else { return bad("a startup packet of negative length") };
-    if !(8..=MOST_STARTUP).contains(&len) {
-        return bad(format!("a startup packet of {len} bytes"));
+    let Ok(len) = usize::try_from(len) else { return malformed("a startup packet of negative length") };
+    if !(8..=MAX_STARTUP_BYTES).contains(&len) {
+        return malformed(format!("a startup packet of {len} bytes"));
     }
-    // Told before the rest is waited for: this may be another protocol.
+    // Rejects an unknown version before the rest has arrived, since the client may speak another protocol.
     if code >> 16 != 3 && !(80_877_102..=80_877_104).contains(&code) {
-        return bad(format!("protocol version {}.{}, this is 3.0", code >> 16, code & 0xffff));
+        return malformed(format!("protocol version {}.{}, this is 3.0", code >> 16, code & 0xffff));
     }
     let Some(packet) = input.rest().get(8..len) else { return Ok(None) };
     let mut body = Body(packet);
+    // The codes that aren't protocol versions are CancelRequest, SSLRequest and GSSENCRequest.
     let startup = match code {
         80_877_102 => Startup::Cancel,
         80_877_103 | 80_877_104 => Startup::Encryption,
         _ => {
-            let (mut options, mut user, mut database) = (Vec::new(), String::new(), None);
+            let mut options = Vec::new();
+            let mut user = String::new();
+            let mut database = None;
             loop {
                 let name = body.text()?;
                 if name.is_empty() {
@@ -388,37 +414,38 @@
                     _ => options.extend(Some(name).filter(|n| n.starts_with("_pq_."))),
                 }
             }
-            // As in PostgreSQL, who names no database means the one of its own name.
+            // As in PostgreSQL, the database defaults to the user's name.
             let database = database.unwrap_or_else(|| user.clone());
             Startup::Session { minor: (code & 0xffff) as u16, options, user, database }
         }
     };
-    input.take(len);
+    input.consume(len);
     Ok(Some(startup))
 }
 
-/// Finds the message at the front, once it is whole: its type and its body.
-fn whole_message(input: &ReadBuffer) -> Decoded<(u8, &[u8])> {
+/// The type and the body of the next message, once it is complete.
+fn complete_message(input: &ReadBuffer) -> Decoded<(u8, &[u8])> {
     let Some(head) = input.rest().first_chunk::<5>() else { return Ok(None) };
     let len = Body(&head[1..]).i32()?;
     match usize::try_from(len) {
         Ok(len) if (4..=MAX_MESSAGE_BYTES).contains(&len) => {
             Ok(input.rest().get(5..=len).map(|body| (head[0], body)))
         }
-        _ => bad(format!("a message of {len} bytes; the most is {MAX_MESSAGE_BYTES}")),
+        _ => malformed(format!("a message of {len} bytes; the most is {MAX_MESSAGE_BYTES}")),
     }
 }
 
-/// Takes one message of a client's session.
+/// Decodes the next message of a client's session.
 pub fn decode_frontend(input: &mut ReadBuffer) -> Decoded<Frontend> {
-    // An unknown type is told before its length is believed: this may be another protocol.
+    // Rejects an unknown type before its length is checked, since the client may speak another protocol.
     if let Some(kind) = input.rest().first().filter(|k| !b"QXSHPBEDCdcfFp".contains(k)) {
-        return bad(format!("a message of the unknown type {kind:#04x}"));
+        return malformed(format!("a message of the unknown type {kind:#04x}"));
     }
-    if let Some((b'Q', len)) = input.rest().first_chunk::<5>().and_then(|h| Some((h[0], long(h)?))) {
-        return Ok(long_query(input, len));
+    if let Some((b'Q', len)) = input.rest().first_chunk::<5>().and_then(|h| Some((h[0], streamed_length(h)?)))
+    {
+        return Ok(decode_long_query(input, len));
     }
-    let Some((kind, bytes)) = whole_message(input)? else { return Ok(None) };
+    let Some((kind, bytes)) = complete_message(input)? else { return Ok(None) };
     let mut body = Body(bytes);
     let message = match kind {
         b'Q' => match body.text().and_then(|text| body.end().map(|()| text)) {
@@ -429,74 +456,76 @@
         b'S' => Frontend::Sync,
         b'H' => Frontend::Flush,
         b'P' | b'B' | b'E' | b'D' | b'C' | b'F' => Frontend::ExtendedQuery,
-        _ => return bad(format!("a message of type {:?}, which nothing asked for", kind as char)),
+        _ => return malformed(format!("a message of type {:?}, which nothing asked for", kind as char)),
     };
     let len = 5 + bytes.len();
-    input.take(len);
+    input.consume(len);
     Ok(Some(message))
 }
 
-/// The length of a statement that is too long to be taken whole, and not too long to be passed on.
-fn long(head: &[u8; 5]) -> Option<usize> {
+/// The length in the head of a message, if a statement of that length is streamed.
+fn streamed_length(head: &[u8; 5]) -> Option<usize> {
     let len = usize::try_from(Body(&head[1..]).i32().ok()?).ok()?;
-    (MAX_MESSAGE_BYTES + 1..=MOST_STATEMENT).contains(&len).then_some(len)
+    (MAX_MESSAGE_BYTES + 1..=MAX_STATEMENT_BYTES).contains(&len).then_some(len)
 }
 
-/// Takes the beginning of a long statement, up to a whole character.
-fn long_query(input: &mut ReadBuffer, len: usize) -> Option<Frontend> {
-    let head = input.rest().get(5..5 + HEAD_BYTES)?;
+/// Decodes the beginning of a streamed statement, up to the end of a character, once it has arrived.
+fn decode_long_query(input: &mut ReadBuffer, len: usize) -> Option<Frontend> {
+    let head = input.rest().get(5..5 + STATEMENT_HEAD_BYTES)?;
     let end = match std::str::from_utf8(head) {
         Err(e) if e.error_len().is_none() => e.valid_up_to(),
         _ => head.len(),
     };
     let text = String::from_utf8_lossy(&head[..end]).into_owned();
-    input.take(5 + end);
+    input.consume(5 + end);
     Some(Frontend::LongQuery(text, len - 4 - end))
 }
 
-/// Whether the head of a host's message can be that of one. Guards against waiting for the rest of
-/// an answer whose length is wrong: it never comes, and the attempt would take all of its time.
+/// Checks the type and the length of a database host's message as far as they have arrived. Guards against waiting for
+/// the rest of an answer whose length is wrong: the rest never arrives, and the attempt would run into its timeout.
 fn check_backend_head(rest: &[u8]) -> Result<(), Malformed> {
     let Some((&kind, rest)) = rest.split_first() else { return Ok(()) };
     if !b"RSKTDCIEZNAtnv".contains(&kind) {
-        return bad(format!("a message of the unknown type {kind:#04x}"));
+        return malformed(format!("a message of the unknown type {kind:#04x}"));
     }
     let Some((len, rest)) = rest.split_first_chunk::<4>() else { return Ok(()) };
     let len = i64::from(i32::from_be_bytes(*len));
-    let most = match kind {
-        b'D' => MOST_VALUE + 10,
+    let max_len = match kind {
+        // Before the value a row of one column has its length, the number of columns and the value's length: 10 bytes.
+        b'D' => MAX_VALUE_BYTES + 10,
         b'Z' => 5,
-        _ => MOST_OTHER,
+        _ => MAX_NON_ROW_BYTES,
     };
-    if !(4..=most).contains(&len) {
-        return bad(format!("a message of type {:?} with {len} bytes", kind as char));
+    if !(4..=max_len).contains(&len) {
+        return malformed(format!("a message of type {:?} with {len} bytes", kind as char));
     }
     if let (b'D', Some(head)) = (kind, rest.first_chunk::<6>()) {
         let mut head = Body(head);
-        let (columns, value) = (head.i16()?, i64::from(head.i32()?));
-        if columns == 1 && len != 10 + value.max(0) {
-            return bad(format!("a row of {len} bytes with a value of {value}"));
+        let columns = head.i16()?;
+        let value_len = i64::from(head.i32()?);
+        if columns == 1 && len != 10 + value_len.max(0) {
+            return malformed(format!("a row of {len} bytes with a value of {value_len}"));
         }
     }
     Ok(())
 }
 
-/// Takes one message of a database host.
+/// Decodes the next message of a database host.
 pub fn decode_backend(input: &mut ReadBuffer) -> Decoded<Backend> {
     check_backend_head(input.rest())?;
     if let Some(&[b'D', _, _, _, _, 0, 1, a, b, c, d]) = input.rest().first_chunk::<11>() {
-        let value = i32::from_be_bytes([a, b, c, d]);
-        if i64::from(value) > WHOLE_VALUE {
-            input.take(11);
-            return Ok(Some(Backend::LongRow(value as usize)));
+        let value_len = i32::from_be_bytes([a, b, c, d]);
+        if i64::from(value_len) > MAX_BUFFERED_VALUE_BYTES {
+            input.consume(11);
+            return Ok(Some(Backend::LongRow(value_len as usize)));
         }
     }
-    let Some((kind, bytes)) = whole_message(input)? else { return Ok(None) };
+    let Some((kind, bytes)) = complete_message(input)? else { return Ok(None) };
     let mut body = Body(bytes);
     let message = match kind {
         b'R' => match body.i32()? {
             0 => Backend::AuthenticationOk,
-            other => return bad(format!("authentication of kind {other} asked for")),
+            other => return malformed(format!("authentication of kind {other} asked for")),
         },
         b'S' => Backend::ParameterStatus { name: body.text()?, value: body.text()? },
         b'T' => {
@@ -525,7 +554,7 @@
     };
     body.end()?;
     let len = 5 + bytes.len();
-    input.take(len);
+    input.consume(len);
     Ok(Some(message))
 }
 
@@ -557,25 +586,27 @@
     }
 }
 
-/// Appends one message: its type, and what `fill` writes as its body.
-fn message(out: &mut Vec<u8>, kind: u8, fill: impl FnOnce(&mut Vec<u8>)) {
+/// Appends one message: its type, its length, and the body that `write_body` writes.
+fn put_message(out: &mut Vec<u8>, kind: u8, write_body: impl FnOnce(&mut Vec<u8>)) {
     out.push(kind);
     let start = out.len();
     out.extend([0; 4]);
-    fill(out);
+    write_body(out);
     let len = (out.len() - start) as u32;
     out[start..start + 4].copy_from_slice(&len.to_be_bytes());
 }
 
+/// Appends a zero-terminated string; a zero byte within the text is left out.
 fn put_text(out: &mut Vec<u8>, text: &str) {
     out.extend(text.bytes().filter(|&b| b != 0));
     out.push(0);
 }
 
-/// The startup packet of our own sessions at database hosts.
+/// Appends the startup packet of the proxy's session at a database host.
 pub fn put_startup(out: &mut Vec<u8>, user: &str, database: &str) {
     let start = out.len();
     out.extend([0; 4]);
+    // Protocol version 3.0.
     out.extend(196_608u32.to_be_bytes());
     for text in ["user", user, "database", database] {
         put_text(out, text);
@@ -585,22 +616,24 @@
     out[start..start + 4].copy_from_slice(&len.to_be_bytes());
 }
 
+/// Appends a statement of the simple query protocol.
 pub fn put_query(out: &mut Vec<u8>, statement: &str) {
-    message(out, b'Q', |b| put_text(b, statement));
+    put_message(out, b'Q', |body| put_text(body, statement));
 }
 
-/// Tells a client with a newer minor version, or with options of it, what this side speaks.
+/// Appends NegotiateProtocolVersion, the answer to a client with a newer minor version or with protocol options: the
+/// proxy speaks 3.0 and supports none of the options.
 pub fn put_negotiate_protocol_version(out: &mut Vec<u8>, options: &[String]) {
-    message(out, b'v', |b| {
-        b.extend(0u32.to_be_bytes());
-        b.extend((options.len() as u32).to_be_bytes());
-        options.iter().for_each(|o| put_text(b, o));
+    put_message(out, b'v', |body| {
+        body.extend(0u32.to_be_bytes());
+        body.extend((options.len() as u32).to_be_bytes());
+        options.iter().for_each(|o| put_text(body, o));
     });
 }
 
-/// All that welcomes a client, up to the first ReadyForQuery.
+/// Appends the messages from AuthenticationOk to the first ReadyForQuery, which open a client's session.
 pub fn put_welcome(out: &mut Vec<u8>) {
-    message(out, b'R', |b| b.extend(0u32.to_be_bytes()));
+    put_message(out, b'R', |body| body.extend(0u32.to_be_bytes()));
     let parameters = [
         ("server_version", "16.0 (sillfold)"),
         ("server_encoding", "UTF8"),
@@ -610,149 +643,164 @@
         ("standard_conforming_strings", "on"),
     ];
     for (name, value) in parameters {
-        message(out, b'S', |b| {
-            put_text(b, name);
-            put_text(b, value);
+        put_message(out, b'S', |body| {
+            put_text(body, name);
+            put_text(body, value);
         });
     }
     put_ready(out, false);
 }
 
-/// The session is ready for the next query, maybe in a transaction that has failed.
+/// Appends ReadyForQuery: idle, or in a failed transaction.
 pub fn put_ready(out: &mut Vec<u8>, failed: bool) {
-    message(out, b'Z', |b| b.push(if failed { b'E' } else { b'I' }));
+    put_message(out, b'Z', |body| body.push(if failed { b'E' } else { b'I' }));
 }
 
+/// Appends EmptyQueryResponse.
 pub fn put_empty_query(out: &mut Vec<u8>) {
-    message(out, b'I', |_| {});
+    put_message(out, b'I', |_| {});
 }
 
-/// The beginning of a statement of which so many bytes follow as they are.
+/// Appends the beginning of a statement; the caller writes the `left` bytes that follow.
 pub fn put_long_query(out: &mut Vec<u8>, beginning: &str, left: usize) {
     out.push(b'Q');
     out.extend(((4 + beginning.len() + left) as u32).to_be_bytes());
     out.extend(beginning.as_bytes());
 }
 
-/// All of a served row up to its value, of which so many bytes follow as they are.
-pub fn put_long_row(out: &mut Vec<u8>, column: &Column, value: usize) {
-    put_description(out, column);
+/// Appends a result up to the value of its only row; the caller writes the `value_len` bytes of the value that follow.
+pub fn put_long_row(out: &mut Vec<u8>, column: &Column, value_len: usize) {
+    put_row_description(out, column);
     out.push(b'D');
-    out.extend((10 + value as u32).to_be_bytes());
+    out.extend((10 + value_len as u32).to_be_bytes());
     out.extend(1i16.to_be_bytes());
-    out.extend((value as u32).to_be_bytes());
+    out.extend((value_len as u32).to_be_bytes());
 }
 
+/// Appends CommandComplete.
 pub fn put_command_complete(out: &mut Vec<u8>, tag: &str) {
-    message(out, b'C', |b| put_text(b, tag));
-}
-
-fn put_description(out: &mut Vec<u8>, c: &Column) {
-    message(out, b'T', |b| {
-        b.extend(1i16.to_be_bytes());
-        put_text(b, &c.name);
-        b.extend(c.table.to_be_bytes());
-        b.extend(c.attribute.to_be_bytes());
-        b.extend(c.type_oid.to_be_bytes());
-        b.extend(c.type_len.to_be_bytes());
-        b.extend(c.modifier.to_be_bytes());
-        b.extend(c.format.to_be_bytes());
+    put_message(out, b'C', |body| put_text(body, tag));
+}
+
+/// Appends the RowDescription of a result with one column.
+fn put_row_description(out: &mut Vec<u8>, column: &Column) {
+    put_message(out, b'T', |body| {
+        body.extend(1i16.to_be_bytes());
+        put_text(body, &column.name);
+        body.extend(column.table.to_be_bytes());
+        body.extend(column.attribute.to_be_bytes());
+        body.extend(column.type_oid.to_be_bytes());
+        body.extend(column.type_len.to_be_bytes());
+        body.extend(column.modifier.to_be_bytes());
+        body.extend(column.format.to_be_bytes());
     });
 }
 
-/// A served value: RowDescription, DataRow and CommandComplete.
+/// Appends a result of one row: RowDescription, DataRow and CommandComplete.
 pub fn put_row(out: &mut Vec<u8>, row: &Row) {
-    put_description(out, &row.column);
-    message(out, b'D', |b| {
-        b.extend(1i16.to_be_bytes());
+    put_row_description(out, &row.column);
+    put_message(out, b'D', |body| {
+        body.extend(1i16.to_be_bytes());
         match &row.value {
             Some(value) => {
-                b.extend((value.len() as i32).to_be_bytes());
-                b.extend(value);
+                body.extend((value.len() as i32).to_be_bytes());
+                body.extend(value);
             }
-            None => b.extend((-1i32).to_be_bytes()),
+            None => body.extend((-1i32).to_be_bytes()),
         }
     });
     put_command_complete(out, &row.tag);
 }
 
+/// Appends ErrorResponse: as the database host sent it, or built from the fields.
 pub fn put_error(out: &mut Vec<u8>, fields: &ErrorFields) {
     if !fields.raw.is_empty() {
-        return message(out, b'E', |b| b.extend(&fields.raw));
+        return put_message(out, b'E', |body| body.extend(&fields.raw));
     }
     let severity = if fields.fatal { "FATAL" } else { "ERROR" };
     let detail = fields.retry_in_ms.map(|ms| ms.to_string());
-    message(out, b'E', |b| {
-        let texts = [(b'S', severity), (b'V', severity), (b'C', &fields.code), (b'M', &fields.message)];
-        for (field, text) in texts.into_iter().chain(detail.as_deref().map(|d| (b'D', d))) {
-            b.push(field);
-            put_text(b, text);
+    put_message(out, b'E', |body| {
+        let required = [(b'S', severity), (b'V', severity), (b'C', &fields.code), (b'M', &fields.message)];
+        for (kind, text) in required.into_iter().chain(detail.as_deref().map(|d| (b'D', d))) {
+            body.push(kind);
+            put_text(body, text);
         }
-        b.push(0);
+        body.push(0);
     });
 }
 
-/// What a statement's leading comment says, and the statement itself.
+/// A statement and the terms of its request. The terms come from its leading comment, such as
+/// `/* id=1,c=browse,d=300,cluster=3 */`; a plain statement has no such comment.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Statement {
     text: String,
-    /// Where the figure of `d` stands in the text; nowhere in a plain statement.
-    d_at: Option<std::ops::Range<usize>>,
-    /// Whether the comment names a key by which repeats are dropped.
+    /// The position of the value of `d` in the text; none in a plain statement.
+    deadline_range: Option<std::ops::Range<usize>>,
+    /// Whether the comment names a deduplication key (`k`), by which the host drops a repeated request.
     pub keyed: bool,
+    /// The id of the request (`id`).
     pub id: String,
+    /// The name of the class (`c`).
     pub class: String,
+    /// How long the client waits for the answer, in milliseconds (`d`).
     pub deadline_ms: u64,
+    /// The group of hosts (`cluster`).
     pub group: u32,
-    /// Unix milliseconds that the read must see, where the session carries its last commit.
+    /// The commit time that a read must see, in Unix milliseconds (`after`), if the client sends its last commit.
     pub after_ms: Option<u64>,
-    /// The client marks it as a repeat of its own.
+    /// Whether the client marks the request as a retry of its own (`r=1`).
     pub client_retry: bool,
-    /// Whose it is, where the comment says so.
+    /// The name of the tenant (`t`).
     pub tenant: Option<String>,
 }
 
 impl Statement {
-    /// Reads the comment; the error says what is wrong with it.
+    /// Parses the leading comment; the error says what is wrong with it.
     pub fn parse(text: String) -> Result<Statement, String> {
         let lead = text.len() - text.trim_start().len();
         let open = text[lead..].strip_prefix("/*").ok_or("no comment leads the statement")?;
         let end = open.find("*/").ok_or("the comment is not closed")?;
-        let (mut id, mut class, mut patience, mut group, mut after) = (None, None, None, None, None);
-        let (mut keyed, mut client_retry, mut tenant) = (false, false, None);
-        let mut at = lead + 2;
+        let mut id = None;
+        let mut class = None;
+        let mut deadline = None;
+        let mut group = None;
+        let mut after_ms = None;
+        let mut keyed = false;
+        let mut client_retry = false;
+        let mut tenant = None;
+        let mut part_start = lead + 2;
         for part in open[..end].split(',') {
             let (name, value) = part.split_once('=').ok_or(format!("the comment holds {part:?}"))?;
-            let start = at + part.len() - value.len();
+            let value_start = part_start + part.len() - value.len();
             let value = value.trim_end();
             let number =
                 || value.parse::<u64>().map_err(|_| format!("{}={value:?} is no number", name.trim()));
             match name.trim() {
-                // Guards against a second id that only one of proxy and host would go by.
+                // Guards against proxy and host using different ones of two ids.
                 "id" if id.is_some() => return Err("the comment has two ids".into()),
                 "id" => id = Some(value.to_string()).filter(|id| !id.is_empty()),
                 "c" => class = Some(value.to_string()),
-                "d" => patience = Some((number()?, start..start + value.len())),
+                "d" => deadline = Some((number()?, value_start..value_start + value.len())),
                 "cluster" => {
                     let n = number()?;
                     group = Some(u32::try_from(n).map_err(|_| format!("cluster={n} is no group"))?);
                 }
-                "after" => after = Some(number()?),
+                "after" => after_ms = Some(number()?),
                 "k" => keyed = !value.is_empty(),
                 "r" => client_retry = value == "1",
                 "t" => tenant = Some(value.to_string()),
                 _ => {}
             }
-            at += part.len() + 1;
+            part_start += part.len() + 1;
         }
-        let (deadline_ms, d_at) = patience.ok_or("the comment has no d")?;
+        let (deadline_ms, deadline_range) = deadline.ok_or("the comment has no d")?;
         Ok(Statement {
             id: id.ok_or("the comment has no id")?,
             class: class.ok_or("the comment has no c")?,
             group: group.ok_or("the comment has no cluster")?,
             deadline_ms,
-            after_ms: after,
-            d_at: Some(d_at),
+            after_ms,
+            deadline_range: Some(deadline_range),
             keyed,
             client_retry,
             tenant,
@@ -760,31 +808,29 @@
         })
     }
 
-    /// A statement whose terms were found otherwise.
+    /// A plain statement; its terms come from the operator's rules.
     pub fn plain(text: String, deadline_ms: u64, group: u32) -> Statement {
-        let (id, class) = Default::default();
-        let (keyed, client_retry) = (false, false);
         Statement {
             text,
-            d_at: None,
-            keyed,
-            id,
-            class,
+            deadline_range: None,
+            keyed: false,
+            id: String::new(),
+            class: String::new(),
             deadline_ms,
             group,
             after_ms: None,
-            client_retry,
+            client_retry: false,
             tenant: None,
         }
     }
 
-    /// Whether no comment names its terms.
+    /// Whether the statement has no comment with its terms.
     pub fn is_plain(&self) -> bool {
-        self.d_at.is_none()
+        self.deadline_range.is_none()
     }
 
-    /// Whether a text begins with a comment that is meant to name terms, right or wrong. Guards against a request
-    /// with a fault in its comment being taken for a plain statement, and losing its terms.
+    /// Whether a text begins with a comment that has at least two of the required keys, valid or not. Guards against
+    /// treating a request with a faulty comment as a plain statement, which would ignore its terms.
     pub fn has_request_comment(text: &str) -> bool {
         let Some(comment) = text.trim_start().strip_prefix("/*") else { return false };
         let comment = comment.split("*/").next().unwrap_or("");
@@ -792,23 +838,23 @@
         ["id", "c", "d", "cluster"].iter().filter(|n| names.contains(n)).count() >= 2
     }
 
-    /// The text as the client wrote it.
+    /// The text as the client sent it.
     pub fn text(&self) -> &str {
         &self.text
     }
 
-    /// The text with `d` set to what the proxy itself will wait; all else unchanged.
+    /// The text with the value of `d` replaced; a plain statement is unchanged.
     pub fn with_deadline(&self, ms: u64) -> Cow<'_, str> {
-        match &self.d_at {
-            Some(at) => format!("{}{ms}{}", &self.text[..at.start], &self.text[at.end..]).into(),
+        match &self.deadline_range {
+            Some(range) => format!("{}{ms}{}", &self.text[..range.start], &self.text[range.end..]).into(),
             None => Cow::Borrowed(&self.text),
         }
     }
 
-    /// The first quoted literal, which names the session.
+    /// The first quoted literal after the value of `d`, which names the session; empty if there is none.
     pub fn session_key(&self) -> &str {
-        let from = self.d_at.as_ref().map_or(0, |at| at.end);
-        self.text[from..].split('\'').nth(1).unwrap_or("")
+        let start = self.deadline_range.as_ref().map_or(0, |range| range.end);
+        self.text[start..].split('\'').nth(1).unwrap_or("")
     }
 }
 
@@ -816,15 +862,15 @@
 mod tests {
     use super::*;
 
-    /// Guards against a first ask that makes way as a repeat does, or the other way round.
+    /// Guards against shedding a first request as if it were a client's retry, or the other way round.
     #[test]
-    fn a_repeat_is_what_the_client_marks_as_one() {
-        let client_retry = |mark: &str| {
+    fn only_r_1_marks_a_client_retry() {
+        let parsed_mark = |mark: &str| {
             let text = format!("/* id=1,c=browse,d=9{mark},cluster=3 */ SELECT 1");
             Statement::parse(text).map(|s| s.client_retry)
         };
         assert_eq!(
-            ["", ",r=1", ",r=1 ", ",r=0", ",r=", ",rr=1"].map(client_retry),
+            ["", ",r=1", ",r=1 ", ",r=0", ",r=", ",rr=1"].map(parsed_mark),
             [false, true, true, false, false, false].map(Ok)
         );
     }
