--- a/src/config.rs
+++ b/src/config.rs
@@ -1,10 +1,11 @@
-//! Configuration: the one place where the environment and the `LB_CONFIG` file are read, checked
-//! and given defaults. It owns the names of the keys; every message it returns names the faulty
-//! one. It must never open a socket, and nothing else may read the environment.
+//! The platform's configuration: reads the environment and the `LB_CONFIG` file, validates them and fills in defaults.
+//! The module owns the names of the keys, and each error message names the faulty key. It must not open a socket, and
+//! no other module may read the environment.
 //!
-//! At the start `LB_NAME`, `LB_LISTEN`, `LB_DISCOVERY` and `LB_CONSOLE` outrank the same keys of the file. On a
-//! reload the file is checked as at a start; a `discovery` that it names anew then wins, since the
-//! environment of a running program cannot change. All other keys count at the next start.
+//! At startup the variables `LB_NAME`, `LB_LISTEN`, `LB_DISCOVERY` and `LB_CONSOLE` take precedence over the same keys of
+//! the file. A reload validates the file as at startup. If its `discovery` has changed, the new value takes precedence
+//! over the variable, since the environment of a running process cannot change. All other keys take effect at the next
+//! start.
 
 use crate::net::core::fnv1a;
 use crate::net::endpoints::{CONSOLE_CONNECTIONS, Talk};
@@ -17,66 +18,79 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Descriptors kept for the listener, discovery, signals, the log and the runtime.
-const SPARE_SOCKETS: usize = 32;
-/// The fewest descriptors with which the program can work.
-const LEAST_SOCKETS: usize = 96;
-/// Memory in MB: the default, and the least with which the program can work.
-const MEMORY_MB: usize = 192;
-const LEAST_MEMORY_MB: usize = 16;
-/// One part in so many of the memory is for what clients have sent.
-const CLIENT_BYTES_SHARE: usize = 4;
-/// After SIGTERM clients still come for up to 0.4 s; served for a little longer than that.
-const LINGER_MS: u64 = 500;
-/// The longest such while that makes sense: a stop is to end some day.
-const MOST_LINGER_MS: u64 = 60_000;
-/// Kept back from a client's patience for the way back, so that the answer is there in time.
-const WAY_BACK: Micros = 4_000;
+/// Descriptors reserved for the listener, discovery, signals, the log and the runtime.
+const RESERVED_SOCKETS: usize = 32;
+/// The minimum of `limits.sockets`: with fewer descriptors the program cannot work.
+const MIN_SOCKETS: usize = 96;
+/// The default of `limits.memory_mb`.
+const DEFAULT_MEMORY_MB: usize = 192;
+/// The minimum of `limits.memory_mb`: with less memory the program cannot work.
+const MIN_MEMORY_MB: usize = 16;
+/// Unanswered bytes of clients may take a quarter of `limits.memory_mb`.
+const CLIENT_BYTES_DIVISOR: usize = 4;
+/// The default of `linger_ms`. Clients still connect up to 0.4 s after SIGTERM; this is a little longer.
+const DEFAULT_LINGER_MS: u64 = 500;
+/// The maximum of `linger_ms`, so that a stop ends in a bounded time.
+const MAX_LINGER_MS: u64 = 60_000;
+/// The time taken off the client's deadline for sending the answer back, so that it arrives in time.
+const RESPONSE_MARGIN_US: Micros = 4_000;
 
-/// Everything the program is told at its start.
+/// The configuration of a process.
 pub struct Config {
+    /// The name of this proxy.
     pub name: String,
+    /// The address for clients.
     pub listen: SocketAddr,
+    /// The address of the discovery service.
     pub discovery: SocketAddr,
-    /// Where operators call; none, no door.
+    /// The address of the operators' console; none disables the console.
     pub console: Option<SocketAddr>,
-    /// Where what outlasts an upgrade is kept: `TMPDIR`.
+    /// `TMPDIR`, the directory for state that outlasts an upgrade.
     pub state_dir: Option<PathBuf>,
+    /// The seed of this proxy's random numbers.
     pub seed: u64,
-    /// The list as this proxy last had it, maybe old.
+    /// The list of hosts that this proxy last received; it may be old.
     pub known_list: Option<Listing>,
+    /// The settings of the decision module.
     pub settings: Settings,
+    /// The settings that the program itself needs.
     pub program_settings: ProgramSettings,
-    /// Client connections that may be open at once.
+    /// The limit of open client connections.
     pub max_clients: usize,
-    /// Bytes that all clients together may have sent and not been answered.
+    /// The limit of the bytes that all clients together have sent and that are not answered yet.
     pub max_client_bytes: usize,
-    /// Connections to database hosts that may be open at once.
+    /// The limit of open connections to database hosts.
     pub max_host_connections: usize,
-    /// Where proxies talk to each other; none where the settings do not allow it, or no address is named.
+    /// The addresses for exchanging datagrams with peers; none if the settings do not permit it or addresses are missing.
     pub talk: Option<Talk>,
-    /// For how long clients are still taken in after SIGTERM.
+    /// How long the proxy still accepts clients after SIGTERM.
     pub linger: Duration,
+    /// The time taken off the client's deadline for sending the answer back.
     pub response_margin: Micros,
-    /// The seed by which system calls fail, in tests.
+    /// The seed that decides which system calls fail; for tests only.
     #[cfg(feature = "faults")]
     pub faults: Option<u64>,
-    /// The wrong line that is to be in the program, in tests of what looks for it.
+    /// The mutant that is switched on; for tests only.
     #[cfg(feature = "mutants")]
     pub mutant: Option<String>,
-    /// What the file itself says, to tell at a reload what is new.
+    /// The contents of the file, to find at a reload which keys have changed.
     file: File,
 }
 
+/// The keys of the file.
 #[derive(Clone, Deserialize)]
 struct File {
     name: Option<String>,
     listen: Option<String>,
     discovery: Option<String>,
     console: Option<String>,
+    /// The address on which this proxy receives datagrams of its peers.
     peer_listen: Option<String>,
+    /// The addresses of all proxies, by ordinal.
     peers: Option<Vec<String>>,
+    /// One address that reaches all proxies.
     peers_all: Option<String>,
+    /// Hexadecimal.
     seed: Option<String>,
     limits: Option<LimitsConf>,
     linger_ms: Option<u64>,
@@ -84,6 +98,7 @@
     settings: Option<serde_json::Value>,
 }
 
+/// Limits of the process.
 #[derive(Clone, Deserialize, PartialEq)]
 struct LimitsConf {
     sockets: Option<usize>,
@@ -91,31 +106,31 @@
 }
 
 impl Config {
-    /// Reads the environment and the file it names.
+    /// Reads the environment and the file that `LB_CONFIG` names.
     pub fn load() -> Result<Config, String> {
         Config::parse(&read_file()?, |key| env::var(key).ok())
     }
 
-    /// Reads and checks another platform file, whatever the environment says.
+    /// Reads and validates a platform file; ignores the environment.
     pub fn from_file(path: &Path) -> Result<Config, String> {
         let text = std::fs::read(path).map_err(|e| format!("{}: {e}", path.display()))?;
         Config::parse(&text, |_| None)
     }
 
-    /// Checks a text, whatever the environment says, but for where what outlasts the process is kept.
-    pub fn from_text(text: &[u8], tmp: Option<PathBuf>) -> Result<Config, String> {
-        Ok(Config { state_dir: tmp, ..Config::parse(text, |_| None)? })
+    /// Validates the text of a platform file; ignores the environment. `state_dir` stands in for `TMPDIR`.
+    pub fn from_text(text: &[u8], state_dir: Option<PathBuf>) -> Result<Config, String> {
+        Ok(Config { state_dir, ..Config::parse(text, |_| None)? })
     }
 
-    /// Reads the file again, whole. The discovery that counts from now on is taken over; returned are
-    /// the other keys that differ, which count at the next start. After an error nothing has changed.
+    /// Reads the file again. Takes over a changed `discovery`, and returns the other changed keys, which take effect at the
+    /// next start. After an error the configuration is unchanged.
     pub fn reload(&mut self) -> Result<Vec<&'static str>, String> {
         let fresh = Config::parse(&read_file()?, |key| env::var(key).ok())?;
         let (old, new) = (&self.file, &fresh.file);
         if let Some(discovery) = new.discovery.clone().filter(|d| old.discovery.as_ref() != Some(d)) {
             self.discovery = address("discovery", Some(discovery), "LB_DISCOVERY")?;
         }
-        let differs = [
+        let keys = [
             ("name", old.name != new.name),
             ("listen", old.listen != new.listen),
             ("console", old.console != new.console),
@@ -127,16 +142,16 @@
             ("settings", old.settings != new.settings),
         ];
         self.file = fresh.file;
-        Ok(differs.into_iter().filter(|d| d.1).map(|d| d.0).collect())
+        Ok(keys.into_iter().filter(|key| key.1).map(|key| key.0).collect())
     }
 
-    /// Checks the text of the file, with the variables that outrank it.
+    /// Validates the text of the file; `var` gives the environment variables that take precedence.
     fn parse(text: &[u8], var: impl Fn(&str) -> Option<String>) -> Result<Config, String> {
         let mut file: File = serde_json::from_slice(text).map_err(|e| format!("LB_CONFIG: {e}"))?;
         let listen = address("listen", var("LB_LISTEN").or(file.listen.clone()), "LB_LISTEN")?;
         let discovery = var("LB_DISCOVERY").or(file.discovery.clone());
         let discovery = address("discovery", discovery, "LB_DISCOVERY")?;
-        // Guards against an address of the file that the environment hides today and a reload would use.
+        // Validates the file's address even if the variable hides it, since a reload may use it.
         file.discovery.clone().map(|d| address("discovery", Some(d), "LB_DISCOVERY")).transpose()?;
         let console = var("LB_CONSOLE").or(file.console.clone());
         let console = console.map(|c| address("console", Some(c), "LB_CONSOLE")).transpose()?;
@@ -144,10 +159,10 @@
         let seed = match &file.seed {
             Some(text) => u64::from_str_radix(text, 16)
                 .map_err(|_| format!("seed: {text:?} is not a hexadecimal number of 64 bits"))?,
-            // No proxy may draw the same lots as another: fall back on what tells them apart.
+            // Proxies must not draw the same random numbers, so the default seed comes from the name and the process id.
             None => fnv1a(&name) ^ u64::from(std::process::id()),
         };
-        let known = file.known.take().map(|v| Listing::from_value(v).map_err(|e| format!("known: {e}")));
+        let known_list = file.known.take().map(|v| Listing::from_value(v).map_err(|e| format!("known: {e}")));
         let settings = file.settings.as_ref().ok_or("settings: missing")?.to_string();
         let (settings, program_settings) = settings::parse(settings.as_bytes()).map_err(|e| e.to_string())?;
         for (key, value) in [
@@ -165,21 +180,23 @@
             return Err("settings: ceilings.secondCopies: this proxy sends no second copies".into());
         }
         let sockets = file.limits.as_ref().and_then(|l| l.sockets).unwrap_or(1024);
-        if sockets < LEAST_SOCKETS {
-            return Err(format!("limits.sockets: {sockets} is under {LEAST_SOCKETS}"));
+        if sockets < MIN_SOCKETS {
+            return Err(format!("limits.sockets: {sockets} is under {MIN_SOCKETS}"));
         }
-        let memory_mb = file.limits.as_ref().and_then(|l| l.memory_mb).unwrap_or(MEMORY_MB);
-        if memory_mb < LEAST_MEMORY_MB {
-            return Err(format!("limits.memory_mb: {memory_mb} is under {LEAST_MEMORY_MB}"));
+        let memory_mb = file.limits.as_ref().and_then(|l| l.memory_mb).unwrap_or(DEFAULT_MEMORY_MB);
+        if memory_mb < MIN_MEMORY_MB {
+            return Err(format!("limits.memory_mb: {memory_mb} is under {MIN_MEMORY_MB}"));
         }
-        let linger_ms = file.linger_ms.unwrap_or(LINGER_MS);
-        if linger_ms > MOST_LINGER_MS {
-            return Err(format!("linger_ms: {linger_ms} is over {MOST_LINGER_MS}"));
+        let linger_ms = file.linger_ms.unwrap_or(DEFAULT_LINGER_MS);
+        if linger_ms > MAX_LINGER_MS {
+            return Err(format!("linger_ms: {linger_ms} is over {MAX_LINGER_MS}"));
         }
-        let talk = talk(&file, &settings)?;
-        let spare = SPARE_SOCKETS + console.map_or(0, |_| CONSOLE_CONNECTIONS) + usize::from(talk.is_some());
-        let max_host_connections = (sockets - spare) * 2 / 5;
-        let max_clients = sockets - spare - max_host_connections;
+        let talk = peer_addresses(&file, &settings)?;
+        let reserved =
+            RESERVED_SOCKETS + console.map_or(0, |_| CONSOLE_CONNECTIONS) + usize::from(talk.is_some());
+        // Two fifths of the other descriptors are for database hosts, the rest for clients.
+        let max_host_connections = (sockets - reserved) * 2 / 5;
+        let max_clients = sockets - reserved - max_host_connections;
         Ok(Config {
             name,
             listen,
@@ -187,15 +204,15 @@
             console,
             state_dir: var("TMPDIR").filter(|t| !t.is_empty()).map(PathBuf::from),
             seed,
-            known_list: known.transpose()?,
+            known_list: known_list.transpose()?,
             settings,
             program_settings,
             max_clients,
-            max_client_bytes: memory_mb * (1 << 20) / CLIENT_BYTES_SHARE,
+            max_client_bytes: memory_mb * (1 << 20) / CLIENT_BYTES_DIVISOR,
             max_host_connections,
             talk,
             linger: Duration::from_millis(linger_ms),
-            response_margin: WAY_BACK,
+            response_margin: RESPONSE_MARGIN_US,
             #[cfg(feature = "mutants")]
             mutant: var("SILLFOLD_MUTANT"),
             #[cfg(feature = "faults")]
@@ -205,26 +222,28 @@
     }
 }
 
-/// The addresses of the talk. They are checked wherever they are named; only where the settings allow talk, and they
-/// name where to listen and others, is there any.
-fn talk(file: &File, settings: &Settings) -> Result<Option<Talk>, String> {
-    let one = |key: &str, text: &String| {
+/// The addresses for exchanging datagrams with peers. All given addresses are validated. The result is none unless the
+/// settings permit the exchange and the file gives `peer_listen` and `peers`.
+fn peer_addresses(file: &File, settings: &Settings) -> Result<Option<Talk>, String> {
+    let parse = |key: &str, text: &String| {
         text.parse().map_err(|_| format!("{key}: {text:?} is no address and port"))
     };
-    let listen = file.peer_listen.as_ref().map(|t| one("peer_listen", t)).transpose()?;
-    let all = file.peers_all.as_ref().map(|t| one("peers_all", t)).transpose()?;
-    let each = file.peers.iter().flatten().enumerate().map(|(n, t)| one(&format!("peers[{n}]"), t));
+    let listen = file.peer_listen.as_ref().map(|t| parse("peer_listen", t)).transpose()?;
+    let all = file.peers_all.as_ref().map(|t| parse("peers_all", t)).transpose()?;
+    let each = file.peers.iter().flatten().enumerate().map(|(n, t)| parse(&format!("peers[{n}]"), t));
     let each: Vec<SocketAddr> = each.collect::<Result<_, _>>()?;
     let Some(listen) = listen.filter(|_| settings.limits.peers && !each.is_empty()) else { return Ok(None) };
     let Ok(ordinal) = u16::try_from(settings.ordinal) else { return Ok(None) };
     Ok(Some(Talk { ordinal, listen, each, all }))
 }
 
+/// Reads the file that `LB_CONFIG` names.
 fn read_file() -> Result<Vec<u8>, String> {
     let path = env::var("LB_CONFIG").map_err(|_| "LB_CONFIG: not set".to_string())?;
     std::fs::read(&path).map_err(|e| format!("LB_CONFIG: {path}: {e}"))
 }
 
+/// Parses the address of a key; the error names the key and the variable that takes precedence over it.
 fn address(key: &str, value: Option<String>, var: &str) -> Result<SocketAddr, String> {
     let text = value.ok_or_else(|| format!("{key}: missing (or set {var})"))?;
     text.parse().map_err(|_| format!("{key}: {text:?} is no address and port (key {key} or {var})"))
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -1,6 +1,8 @@
-//! The operator's own file, JSON5: what the platform does not set. It owns the names of its keys, their defaults
-//! and their checks; every message names the key and its place in the file. Everything in it is off where it is
-//! not written. It must never be read piece by piece: it is taken whole or not at all.
+//! The operator's configuration file, in JSON5, for everything that the platform's file does not set. The module owns the
+//! names of the keys, their defaults and their validation; each message names the key and its place in the file. Optional
+//! features are off by default. The file must be accepted as a whole or rejected as a whole.
+//!
+//! The names and doc comments of the types appear in the JSON schema that `check --schema` prints.
 
 use crate::{Access, Settings};
 use garde::Validate;
@@ -12,51 +14,51 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
 
-/// The whole file.
+/// The operator's configuration file.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, JsonSchema, Validate)]
 #[serde(default, deny_unknown_fields)]
 pub struct File {
-    /// How sessions at database hosts are opened.
+    /// The user and database of the sessions at database hosts.
     #[garde(dive)]
     pub hosts: Hosts,
-    /// Statements without a comment that names their terms.
+    /// Plain statements: those without a comment that states their terms.
     #[garde(dive)]
     pub statements: Statements,
-    /// The record of load for the planner.
+    /// The capture of load for the planner.
     #[garde(dive)]
     pub capture: CaptureConf,
-    /// What is left of the hosts' capacity.
+    /// The estimate of the hosts' headroom.
     #[garde(skip)]
     pub headroom: HeadroomConf,
 }
 
-/// What is left of the hosts' capacity.
+/// The estimate of the hosts' headroom: how much of their capacity is left.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, JsonSchema)]
 #[serde(default, deny_unknown_fields)]
 pub struct HeadroomConf {
-    /// Whether it is learnt, and shown among the console's figures.
+    /// Whether headroom is estimated, and shown among the console's figures.
     pub enabled: bool,
-    /// Whether requests are turned away by it at the door, those worth least for their work first.
+    /// Whether the proxy refuses requests on arrival when headroom runs out, those with the least worth per work first.
     pub shed: bool,
 }
 
-/// The record of load.
+/// The capture of load.
 #[derive(Clone, Debug, PartialEq, Deserialize, JsonSchema, Validate)]
 #[serde(default, deny_unknown_fields)]
 pub struct CaptureConf {
-    /// Where it is written; none, and nothing is recorded.
+    /// The file that the capture is written to; without it nothing is recorded.
     #[garde(inner(length(min = 1)))]
     pub file: Option<String>,
-    /// How long each record is, in milliseconds.
+    /// The span of time that each record covers, in milliseconds.
     #[garde(range(min = 100, max = 600_000))]
     pub every_ms: u64,
-    /// Kilobytes after which the file is put aside and a new one begun.
+    /// The size in kilobytes at which the file is rotated.
     #[garde(range(min = 16, max = 1_048_576))]
     pub most_kb: u64,
-    /// Files that are kept beside the present one.
+    /// The number of rotated files that are kept.
     #[garde(range(max = 100))]
     pub keep: u32,
-    /// One service time in so many is recorded.
+    /// The sampling interval of service times: with 10, one in ten is recorded.
     #[garde(range(min = 1, max = 100_000))]
     pub sample: u32,
 }
@@ -67,7 +69,8 @@
     }
 }
 
-/// As whom the proxy opens its sessions at database hosts. Every statement runs so, whoever sent it.
+/// The user and database with which the proxy opens its sessions at database hosts. Every statement runs under them,
+/// whichever client sent it.
 #[derive(Clone, Debug, PartialEq, Deserialize, JsonSchema, Validate)]
 #[serde(default, deny_unknown_fields)]
 pub struct Hosts {
@@ -89,31 +92,31 @@
 #[derive(Clone, Debug, PartialEq, Deserialize, JsonSchema, Validate)]
 #[serde(default, deny_unknown_fields)]
 pub struct Statements {
-    /// Whether they are served at all.
+    /// Whether plain statements are served.
     #[garde(skip)]
     pub enabled: bool,
-    /// What becomes of several statements in one text.
+    /// How a text with several statements is handled.
     #[garde(skip)]
     pub several: Several,
-    /// Kilobytes that the shape cache may hold.
+    /// The size limit of the shape cache, in kilobytes.
     #[garde(range(min = 16, max = 1_048_576))]
     pub cache_kb: u32,
-    /// The longest shape that is kept in the cache, in bytes.
+    /// The longest shape that is cached, in bytes.
     #[garde(range(min = 64, max = 65_536))]
     pub longest_kept: u32,
-    /// The longest shape that is parsed, in bytes; a longer one is a write.
+    /// The longest shape that is parsed, in bytes; a statement with a longer one counts as a write.
     #[garde(range(min = 64, max = 65_536))]
     pub longest_parsed: u32,
-    /// How deeply parentheses may be nested; a deeper statement is a write.
+    /// The nesting depth of parentheses up to which a statement is parsed; a deeper one counts as a write.
     #[garde(range(min = 1, max = 32))]
     pub deepest: u32,
-    /// What the simplest statement takes until better is known, in milliseconds.
+    /// The service time assumed for the simplest statement until times are measured, in milliseconds.
     #[garde(range(min = 0.001, max = 60_000.0))]
     pub start_cost_ms: f64,
-    /// What is known of functions.
+    /// Functions and names with or without effects.
     #[garde(dive)]
     pub functions: FunctionLists,
-    /// The rules; the first that matches counts.
+    /// The rules; the first that matches applies.
     #[garde(length(max = 128), dive)]
     pub rules: Vec<RuleConf>,
 }
@@ -134,27 +137,27 @@
     }
 }
 
-/// What becomes of several statements in one text.
+/// How a text with several statements is handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Several {
-    /// They go to the primary, whole.
+    /// All of them go to the primary together.
     Primary,
-    /// They are refused.
+    /// The text is refused.
     Refuse,
 }
 
-/// Functions and other names, beside the list that comes with the program.
+/// Functions and other names, in addition to the built-in list.
 #[derive(Clone, Debug, PartialEq, Deserialize, JsonSchema, Validate)]
 #[serde(default, deny_unknown_fields)]
 pub struct FunctionLists {
-    /// Functions without effects, as statements call them: `area` or `gis.area`.
+    /// Functions without side effects, named as in statements: `area` or `gis.area`.
     #[garde(length(max = 4_096), inner(length(chars, min = 1, max = 130)))]
     pub known: Vec<String>,
-    /// Names of functions, views or columns whose mention makes a statement a write.
+    /// Names of functions, views or columns; a statement that mentions one counts as a write.
     #[garde(length(max = 4_096), inner(length(chars, min = 1, max = 130)))]
     pub effects: Vec<String>,
-    /// Whether the list that comes with the program counts.
+    /// Whether the built-in list is used.
     #[garde(skip)]
     pub builtin: bool,
 }
@@ -165,78 +168,78 @@
     }
 }
 
-/// One rule. Conditions that are not written ask nothing.
+/// One rule. A condition that is left out matches every statement.
 #[derive(Clone, Debug, PartialEq, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct RuleConf {
-    /// Its name in messages.
+    /// The rule's name in messages.
     #[garde(length(chars, min = 1, max = 64))]
     pub name: String,
-    /// The effects that it takes.
+    /// The effects of the statements that match.
     #[garde(length(min = 1))]
     pub effects: BTreeSet<EffectConf>,
-    /// All tables of the statement are among these: names, `schema.name` or `schema.*`.
+    /// The patterns that all tables of the statement must match: `name`, `schema.name` or `schema.*`.
     #[serde(default)]
     #[garde(length(max = 1_024), inner(custom(table)))]
     pub tables: Vec<String>,
-    /// Its usual service time, in milliseconds.
+    /// The range of the statement's usual service time, in milliseconds.
     #[serde(default)]
     #[garde(dive)]
     pub cost_ms: BandConf,
-    /// The 95th percentile of its service time, in milliseconds.
+    /// The range of the 95th percentile of its service time, in milliseconds.
     #[serde(default)]
     #[garde(dive)]
     pub tail_ms: BandConf,
-    /// Whose statements.
+    /// The users whose statements match.
     #[serde(default)]
     #[garde(length(max = 256))]
     pub users: BTreeSet<String>,
-    /// In which databases.
+    /// The databases whose statements match.
     #[serde(default)]
     #[garde(length(max = 256))]
     pub databases: BTreeSet<String>,
-    /// The class that it gives, one of the platform's settings.
+    /// The class assigned to the statement, one of the classes in the platform's settings.
     #[garde(length(min = 1, max = 64))]
     pub class: String,
-    /// How long the client waits, in milliseconds.
+    /// The client's deadline, in milliseconds.
     #[garde(range(min = 1, max = 60_000))]
     pub deadline_ms: u64,
-    /// The group that it gives.
+    /// The group assigned to the statement.
     #[garde(dive)]
     pub group: GroupConf,
 }
 
-/// What a statement does, as a rule names it.
+/// The effect of a statement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum EffectConf {
-    /// It changes nothing.
+    /// The statement changes nothing.
     Read,
-    /// It may.
+    /// The statement may change something.
     Write,
 }
 
-/// A span of times in milliseconds.
+/// A half-open range of times, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize, JsonSchema, Validate)]
 #[serde(default, deny_unknown_fields)]
 pub struct BandConf {
-    /// The smallest that is in it.
+    /// The lower bound, which is within the range.
     #[garde(range(min = 0.0, max = 1e9))]
     pub from: f64,
-    /// The smallest beyond it.
+    /// The upper bound, which is outside the range; without it the range has no upper bound.
     #[garde(inner(range(min = 0.0, max = 1e9)))]
     pub below: Option<f64>,
 }
 
-/// Where the group comes from.
+/// How the group is determined.
 #[derive(Clone, Debug, PartialEq, Deserialize, JsonSchema, Validate)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum GroupConf {
-    /// Always this one.
+    /// Always this group.
     Constant(#[garde(skip)] u32),
-    /// That of the statement's tables, which must all have the same.
+    /// The group of the statement's tables; all of them must have the same one.
     ByTable(#[garde(length(min = 1, max = 4_096))] BTreeMap<String, u32>),
-    /// By rendezvous hash of the literal that a column is equal to.
+    /// The group is chosen by rendezvous hashing of the literal to which a column is compared for equality.
     ByKey {
         /// The column's name, without its table.
         #[garde(length(chars, min = 1, max = 63))]
@@ -247,20 +250,23 @@
     },
 }
 
+/// Validates that a text has no NUL, which ends strings in the protocol.
 fn no_nul(text: &str, (): &()) -> garde::Result {
     if text.contains('\0') { Err(garde::Error::new("holds a NUL")) } else { Ok(()) }
 }
 
+/// Validates a table pattern: `name`, `schema.name` or `schema.*`.
 fn table(text: &str, (): &()) -> garde::Result {
     let star = text.find('*');
-    let whole = !text.is_empty() && text.len() <= 130;
-    if whole && star.is_none_or(|at| at + 1 == text.len() && text.ends_with(".*") && at > 1) {
+    let has_valid_length = !text.is_empty() && text.len() <= 130;
+    if has_valid_length && star.is_none_or(|at| at + 1 == text.len() && text.ends_with(".*") && at > 1) {
         return Ok(());
     }
     Err(garde::Error::new("is no table: `name`, `schema.name` or `schema.*`"))
 }
 
 impl BandConf {
+    /// The range in microseconds.
     fn band(&self) -> Band {
         let us = |ms: f64| (ms * 1e3).round() as u64;
         Band { from: us(self.from), below: self.below.map_or(u64::MAX, us) }
@@ -268,6 +274,7 @@
 }
 
 impl RuleConf {
+    /// The rule in the form that the statement router takes.
     fn rule(&self) -> Rule {
         Rule {
             name: self.name.clone(),
@@ -294,7 +301,7 @@
 }
 
 impl Statements {
-    /// What the desk is told.
+    /// The options of the statement router.
     pub fn options(&self) -> Options {
         Options {
             rules: self.rules.iter().map(RuleConf::rule).collect(),
@@ -316,7 +323,7 @@
     }
 }
 
-/// What is wrong with a file, a line each, and what may be.
+/// The findings about a file: errors, for which it is rejected, and notes; one line each.
 #[derive(Debug, Default, PartialEq)]
 pub struct Findings {
     pub errors: Vec<String>,
@@ -330,15 +337,15 @@
 }
 
 impl File {
-    /// Reads and checks a file; with the platform's classes, where they are known, also against them.
+    /// Reads and validates a file. The rules' classes are checked against `classes`, the platform's, if given.
     pub fn load(path: &Path, classes: Option<&Classes>) -> (Option<File>, Findings) {
         match sillfold_conf::read_text(path) {
             Ok(text) => File::parse(&path.display().to_string(), &text, classes),
-            Err(what) => (None, Findings { errors: vec![what], notes: Vec::new() }),
+            Err(error) => (None, Findings { errors: vec![error], notes: Vec::new() }),
         }
     }
 
-    /// The same of a text; `name` leads every message.
+    /// The same for a text; each message begins with `name`.
     pub fn parse(name: &str, text: &str, classes: Option<&Classes>) -> (Option<File>, Findings) {
         let mut findings = Findings::default();
         let file: File = match sillfold_conf::parse(name, text) {
@@ -349,25 +356,25 @@
             }
         };
         let names: Vec<&str> = file.statements.rules.iter().map(|r| r.name.as_str()).collect();
-        let at = |rule: &str| names.iter().position(|n| *n == rule).unwrap_or(0);
-        for (i, rule) in names.iter().enumerate().filter(|(i, n)| at(n) != *i) {
+        let index_of = |rule: &str| names.iter().position(|n| *n == rule).unwrap_or(0);
+        for (i, rule) in names.iter().enumerate().filter(|(i, n)| index_of(n) != *i) {
             let key = format!("statements.rules[{i}].name");
             findings.errors.push(format!("{name}:{}: {key}: {rule:?} is another rule's", locate(text, &key)));
         }
         if file.statements.enabled && names.is_empty() {
-            let what = "no rule, so that every plain statement is refused";
-            findings.errors.push(format!("{name}:{}: statements.rules: {what}", locate(text, "statements")));
+            let error = "no rule, so that every plain statement is refused";
+            findings.errors.push(format!("{name}:{}: statements.rules: {error}", locate(text, "statements")));
         }
         let rules: Vec<Rule> = file.statements.rules.iter().map(RuleConf::rule).collect();
         for fault in faults(&rules, classes.filter(|_| file.statements.enabled)) {
             use sillfold_route::Fault::{Overlap, Shadowed, Unreachable};
             let (Unreachable(rule, _) | Shadowed(rule, _) | Overlap(_, rule)) = &fault;
-            let key = format!("statements.rules[{}]", at(rule));
+            let key = format!("statements.rules[{}]", index_of(rule));
             let line = format!("{name}:{}: {key}: {fault}", locate(text, &key));
             let list = if fault.is_error() { &mut findings.errors } else { &mut findings.notes };
             list.push(line);
         }
-        let sound = findings.errors.is_empty();
-        (sound.then_some(file), findings)
+        let valid = findings.errors.is_empty();
+        (valid.then_some(file), findings)
     }
 }
