--- a/src/bin/sillfold-benchlink/wire.rs
+++ b/src/bin/sillfold-benchlink/wire.rs
@@ -1,8 +1,9 @@
-//! Frame codec: cursor over one batch, and the records of the reply.
+//! The framing of the simulator's protocol: reads batches from the input, and builds the records of a reply. All numbers
+//! are little-endian.
 
 use std::io::{self, Read};
 
-/// What is malformed, and where.
+/// An error in the input; the text says what is malformed, and where.
 #[derive(Debug)]
 pub struct WireError(pub String);
 
@@ -12,41 +13,41 @@
     }
 }
 
-/// Shorthand for this binary.
+/// A result of the adapter.
 pub type Result<T> = std::result::Result<T, WireError>;
 
-/// Largest frame accepted; batches reach several megabytes.
-const MAX_FRAME: u32 = 1 << 30;
+/// The longest body of a frame that is accepted; batches reach several megabytes.
+const MAX_FRAME_BYTES: u32 = 1 << 30;
 
-/// Bytes of a batch header: length, clock, number of records.
-const HEADER: usize = 16;
+/// The length of a batch header: body length, clock and number of records.
+const HEADER_BYTES: usize = 16;
 
-/// One batch: its clock, its number of records and their bytes.
+/// One batch of records.
 pub struct Frame {
-    /// Clock value, microseconds.
+    /// The simulated time, in microseconds.
     pub now: u64,
-    /// Records announced.
+    /// The number of records, as the header states it.
     pub records: u32,
-    /// The bytes of the records.
+    /// The encoded records.
     pub body: Vec<u8>,
 }
 
-/// Reads one batch; `None` at the end of input between frames.
+/// Reads one batch; `None` if the input ends before its first byte.
 pub fn read_frame(input: &mut impl Read) -> Result<Option<Frame>> {
-    let mut head = Vec::new();
-    input.by_ref().take(HEADER as u64).read_to_end(&mut head)?;
-    if head.is_empty() {
+    let mut header = Vec::new();
+    input.by_ref().take(HEADER_BYTES as u64).read_to_end(&mut header)?;
+    if header.is_empty() {
         return Ok(None);
     }
-    if head.len() < HEADER {
-        return Err(WireError(format!("truncated frame: {} of {HEADER} header bytes", head.len())));
+    if header.len() < HEADER_BYTES {
+        return Err(WireError(format!("truncated frame: {} of {HEADER_BYTES} header bytes", header.len())));
     }
-    let mut c = Cursor::new(&head);
-    let len = c.u32("frame length")?;
-    let now = c.u64("clock")?;
-    let records = c.u32("record count")?;
-    if len > MAX_FRAME {
-        return Err(WireError(format!("frame length {len} is over {MAX_FRAME}")));
+    let mut cursor = Cursor::new(&header);
+    let len = cursor.u32("frame length")?;
+    let now = cursor.u64("clock")?;
+    let records = cursor.u32("record count")?;
+    if len > MAX_FRAME_BYTES {
+        return Err(WireError(format!("frame length {len} is over {MAX_FRAME_BYTES}")));
     }
     let mut body = Vec::new();
     input.take(u64::from(len)).read_to_end(&mut body)?;
@@ -56,7 +57,7 @@
     Ok(Some(Frame { now, records, body }))
 }
 
-/// A cursor over one frame.
+/// Decodes values from bytes, one after the other. The `field` of each method names the value in an error.
 pub struct Cursor<'a> {
     bytes: &'a [u8],
     at: usize,
@@ -67,7 +68,7 @@
     pub fn new(bytes: &'a [u8]) -> Self {
         Cursor { bytes, at: 0 }
     }
-    /// Offset of the next byte.
+    /// The offset of the next byte.
     pub fn at(&self) -> usize {
         self.at
     }
@@ -75,41 +76,41 @@
     pub fn done(&self) -> bool {
         self.at == self.bytes.len()
     }
-    /// The next `n` bytes.
-    pub fn take(&mut self, n: usize, what: &str) -> Result<&'a [u8]> {
+    /// Returns the next `n` bytes.
+    pub fn take(&mut self, n: usize, field: &str) -> Result<&'a [u8]> {
         let left = self.bytes.len() - self.at;
         if n > left {
             let at = self.at;
-            return Err(WireError(format!("{what} at byte {at}: needs {n} bytes, {left} left")));
+            return Err(WireError(format!("{field} at byte {at}: needs {n} bytes, {left} left")));
         }
         let out = &self.bytes[self.at..self.at + n];
         self.at += n;
         Ok(out)
     }
-    fn array<const N: usize>(&mut self, what: &str) -> Result<[u8; N]> {
+    fn array<const N: usize>(&mut self, field: &str) -> Result<[u8; N]> {
         let mut out = [0; N];
-        out.copy_from_slice(self.take(N, what)?);
+        out.copy_from_slice(self.take(N, field)?);
         Ok(out)
     }
-    /// One byte.
-    pub fn u8(&mut self, what: &str) -> Result<u8> {
-        Ok(self.array::<1>(what)?[0])
+    /// Decodes one byte.
+    pub fn u8(&mut self, field: &str) -> Result<u8> {
+        Ok(self.array::<1>(field)?[0])
     }
-    /// Two bytes.
-    pub fn u16(&mut self, what: &str) -> Result<u16> {
-        Ok(u16::from_le_bytes(self.array(what)?))
+    /// Decodes two bytes.
+    pub fn u16(&mut self, field: &str) -> Result<u16> {
+        Ok(u16::from_le_bytes(self.array(field)?))
     }
-    /// Four bytes.
-    pub fn u32(&mut self, what: &str) -> Result<u32> {
-        Ok(u32::from_le_bytes(self.array(what)?))
+    /// Decodes four bytes.
+    pub fn u32(&mut self, field: &str) -> Result<u32> {
+        Ok(u32::from_le_bytes(self.array(field)?))
     }
-    /// Eight bytes.
-    pub fn u64(&mut self, what: &str) -> Result<u64> {
-        Ok(u64::from_le_bytes(self.array(what)?))
+    /// Decodes eight bytes.
+    pub fn u64(&mut self, field: &str) -> Result<u64> {
+        Ok(u64::from_le_bytes(self.array(field)?))
     }
-    /// A four-byte float.
-    pub fn f32(&mut self, what: &str) -> Result<f32> {
-        Ok(f32::from_le_bytes(self.array(what)?))
+    /// Decodes a four-byte float.
+    pub fn f32(&mut self, field: &str) -> Result<f32> {
+        Ok(f32::from_le_bytes(self.array(field)?))
     }
 }
 
@@ -120,10 +121,10 @@
 }
 
 impl Reply {
-    /// Starts a record.
-    pub fn record(&mut self, code: u8, who: u32) -> &mut Self {
+    /// Starts a record of an instance.
+    pub fn record(&mut self, code: u8, instance_id: u32) -> &mut Self {
         self.bytes.push(code);
-        self.u32(who)
+        self.u32(instance_id)
     }
     /// Appends one byte.
     pub fn u8(&mut self, v: u8) -> &mut Self {
@@ -140,14 +141,14 @@
         self.bytes.extend_from_slice(&v.to_le_bytes());
         self
     }
-    /// Appends a counted byte string, cut at what its count can tell.
+    /// Appends a byte string after its length of two bytes; a longer string is cut at 65,535 bytes.
     pub fn blob(&mut self, v: &[u8]) -> &mut Self {
         let n = u16::try_from(v.len()).unwrap_or(u16::MAX);
         self.bytes.extend_from_slice(&n.to_le_bytes());
         self.bytes.extend_from_slice(&v[..usize::from(n)]);
         self
     }
-    /// The whole frame, header first.
+    /// The complete frame: the length, then the records.
     pub fn into_frame(self) -> Vec<u8> {
         let mut out = (self.bytes.len() as u32).to_le_bytes().to_vec();
         out.extend_from_slice(&self.bytes);
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,8 +1,9 @@
-//! The real proxy: configuration, signals and exit codes. It owns the executor; what runs on it is `net::proxy`.
-//! It must never decide about a request nor speak on a socket.
-//! SIGHUP reads the configuration again, SIGTERM and SIGINT stop the program in order.
+//! The `sillfold` program: parses the command line, loads the configuration, handles signals and sets the exit code. It
+//! owns the executor and runs `net::proxy` on it. It must not make decisions about requests nor use a socket.
 //!
-//! Exit codes: 0 after SIGTERM, 2 for a configuration that will not do.
+//! SIGHUP reloads both configuration files; SIGTERM and SIGINT stop the program gracefully.
+//!
+//! Exit codes: 0 after SIGTERM or SIGINT, 2 for an invalid configuration.
 
 mod cli;
 
@@ -36,12 +37,12 @@
     }
 }
 
-/// Serves until told to stop.
+/// Serves until SIGTERM or SIGINT.
 fn run(options: &cli::Serve) -> ExitCode {
     cli::start_log(options.log, options.log_level);
     let executor = Rc::new(LocalExecutor::new());
     let run = async {
-        // Before anything can be asked of the program, so that no early signal kills it outright.
+        // Installs the handlers first, so that an early signal doesn't kill the process at once.
         let signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup]);
         let signals = signals.map_err(|e| format!("signals: {e}"))?;
         let config = Config::load()?;
@@ -57,22 +58,23 @@
     eprintln!("faults met: {}", serde_json::json!(sillfold::net::faults::met()));
     match ended {
         Ok(()) => ExitCode::SUCCESS,
-        Err(what) => {
-            eprintln!("sillfold: {what}");
+        Err(e) => {
+            eprintln!("sillfold: {e}");
             ExitCode::from(2)
         }
     }
 }
 
-/// The operator's file, as it was last read.
+/// The operator's file in force, and what is needed to read it again.
 struct Operator {
     path: Option<PathBuf>,
     file: File,
+    /// The classes of the platform's settings.
     classes: Classes,
 }
 
 impl Operator {
-    /// Reads the file, if there is one.
+    /// Reads the file at `path`; without a path, all options have their defaults.
     fn load(path: Option<PathBuf>, config: &Config) -> Result<Operator, String> {
         let classes = operator::classes(&config.settings, &config.program_settings.class_names);
         let mut operator = Operator { path, file: File::default(), classes };
@@ -80,7 +82,7 @@
         Ok(operator)
     }
 
-    /// The file as it is now; nothing where there is none.
+    /// Reads the file again; none if there is no path.
     fn read(&self) -> Result<Option<File>, String> {
         let Some(path) = &self.path else { return Ok(None) };
         let (file, findings) = File::load(path, Some(&self.classes));
@@ -89,19 +91,21 @@
     }
 }
 
+/// Starts the proxy, and runs it until a signal stops it.
 async fn serve(
     mut config: Config, mut operator: Operator, signals: Signals, executor: &Rc<LocalExecutor<'static>>,
 ) -> Result<(), String> {
-    let (program_settings, proxy) =
-        (config.program_settings.clone(), Proxy::start(&mut config, &operator.file, &Spawner::of(executor))?);
-    let (moves, served) = (proxy.moves.clone(), proxy.clients.clone());
+    let program_settings = config.program_settings.clone();
+    let proxy = Proxy::start(&mut config, &operator.file, &Spawner::of(executor))?;
+    let discovery_changes = proxy.moves.clone();
+    let clients = proxy.clients.clone();
 
-    // A task of its own, so that a SIGHUP during the stop is still a reload and not the program's end.
+    // The task keeps running while the proxy stops, so that a SIGHUP then is still a reload and doesn't end the program.
     let (stop, stopped) = async_channel::bounded(1);
     let follow_signals = async move {
         let reload = || {
-            reload(&mut config, &moves);
-            reload_operator(&mut operator, &served, &program_settings);
+            reload(&mut config, &discovery_changes);
+            reload_operator(&mut operator, &clients, &program_settings);
         };
         signals::follow(signals, reload, &stop).await;
     };
@@ -109,37 +113,37 @@
     proxy.run(stopped).await
 }
 
-/// Takes in a changed file. What cannot change while the program runs is told; a bad file changes nothing.
-fn reload(config: &mut Config, moves: &Sender<SocketAddr>) {
+/// Reloads the platform's file, and logs the keys that take effect at the next start. An invalid file changes nothing.
+fn reload(config: &mut Config, discovery_changes: &Sender<SocketAddr>) {
     let before = config.discovery;
     match config.reload() {
-        Ok(waiting) => {
-            let waits = waiting.iter().map(|key| format!("; {key} counts at the next start"));
-            info!(target: "sillfold", "reloaded, discovery is {}{}", config.discovery, waits.collect::<String>());
+        Ok(keys) => {
+            let notes = keys.iter().map(|key| format!("; {key} takes effect at the next start"));
+            info!(target: "sillfold", "reloaded, discovery is {}{}", config.discovery, notes.collect::<String>());
             if config.discovery != before {
-                // The receiver lives as long as the program.
-                let _ = moves.try_send(config.discovery);
+                // The receiver is never dropped, so this doesn't fail.
+                let _ = discovery_changes.try_send(config.discovery);
             }
         }
-        Err(what) => error!(target: "sillfold", "the configuration stays as it was: {what}"),
+        Err(e) => error!(target: "sillfold", "the configuration stays as it was: {e}"),
     }
 }
 
-/// Takes in the operator's file as it is now; a bad one changes nothing. What was learnt of shapes stays, where
-/// their verdicts do.
+/// Reloads the operator's file; an invalid one changes nothing. The measured service times of statement shapes are kept
+/// for shapes whose analysis stays the same.
 fn reload_operator(operator: &mut Operator, clients: &Clients, program_settings: &ProgramSettings) {
     match operator.read() {
         Ok(None) => {}
         Ok(Some(file)) => {
             if file.hosts != operator.file.hosts {
-                warn!(target: "sillfold", "hosts counts at the next start");
+                warn!(target: "sillfold", "hosts takes effect at the next start");
             }
             let (old, new) = (&operator.file, &file);
-            for (key, differs) in
+            for (key, changed) in
                 [("capture", old.capture != new.capture), ("headroom", old.headroom != new.headroom)]
             {
-                if differs {
-                    warn!(target: "sillfold", "{key} counts at the next start");
+                if changed {
+                    warn!(target: "sillfold", "{key} takes effect at the next start");
                 }
             }
             let rules = file.statements.rules.len();
@@ -153,6 +157,6 @@
             info!(target: "sillfold", "the operator's file is taken: plain statements are {on}, {rules} rules");
             operator.file = file;
         }
-        Err(what) => error!(target: "sillfold", "the operator's file stays as it was: {what}"),
+        Err(e) => error!(target: "sillfold", "the operator's file stays as it was: {e}"),
     }
 }
