--- a/crates/capture/src/lib.rs
+++ b/crates/capture/src/lib.rs
@@ -81,13 +81,13 @@
 
 /// What ended an attempt, as far as a capture tells.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Tried {
+pub enum RecordedOutcome {
     /// Served after so many microseconds.
     Served(u64),
     /// Turned away, being too far behind or not the primary.
-    Missed,
+    Unsuitable,
     /// Anything else.
-    Else,
+    Other,
 }
 
 #[derive(Default)]
@@ -121,7 +121,7 @@
     }
 
     /// A request came; what it is expected to take is 0 where only its class tells.
-    pub fn arrived(&mut self, class: u8, group: u32, expected_us: u64) {
+    pub fn request_arrived(&mut self, class: u8, group: u32, expected_us: u64) {
         let c = &mut self.cell(class, group).cell;
         c.arrived += 1;
         if expected_us > 0 {
@@ -130,26 +130,26 @@
     }
 
     /// An attempt ended.
-    pub fn tried(&mut self, class: u8, group: u32, how: Tried) {
+    pub fn attempt_ended(&mut self, class: u8, group: u32, how: RecordedOutcome) {
         let sample = self.sample;
         self.seen = (self.seen + 1) % sample;
         let sampled = self.seen == 0;
         let c = self.cell(class, group);
         c.cell.tries += 1;
         match how {
-            Tried::Served(us) => {
+            RecordedOutcome::Served(us) => {
                 c.cell.served += 1;
                 if sampled {
                     *c.us.entry(bucket_of(us)).or_default() += 1;
                 }
             }
-            Tried::Missed => c.cell.missed += 1,
-            Tried::Else => {}
+            RecordedOutcome::Unsuitable => c.cell.missed += 1,
+            RecordedOutcome::Other => {}
         }
     }
 
     /// A request was refused, or failed.
-    pub fn unserved(&mut self, class: u8, group: u32, refused: bool) {
+    pub fn request_unserved(&mut self, class: u8, group: u32, refused: bool) {
         let c = &mut self.cell(class, group).cell;
         *(if refused { &mut c.refused } else { &mut c.failed }) += 1;
     }
@@ -158,7 +158,7 @@
     /// Metwally, Agrawal and El Abbadi 2005): a new one takes the place and the count of the rarest.
     /// Of all that come one in eight is looked at, and counts for as many: guards against a cost that many rare
     /// shapes would have on every request.
-    pub fn shape(&mut self, number: u64, us: u64) {
+    pub fn shape_served(&mut self, number: u64, us: u64) {
         self.shapes_seen += 1;
         // An odd stride, so that no pattern of the load falls together with it.
         if (self.shapes_seen.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 61) != 0 {
@@ -176,7 +176,7 @@
     }
 
     /// What happened since the last taking.
-    pub fn take(&mut self, at_ms: u64, for_ms: u64) -> Record {
+    pub fn take_record(&mut self, at_ms: u64, for_ms: u64) -> Record {
         let classes = &self.classes;
         let cells = std::mem::take(&mut self.cells).into_iter().map(|((class, group), counts)| Cell {
             class: classes.get(usize::from(class)).cloned().unwrap_or_default(),
@@ -196,7 +196,7 @@
 }
 
 /// A line of a capture, its end included.
-pub fn line(value: &impl Serialize) -> Result<String, serde_json::Error> {
+pub fn encode_line(value: &impl Serialize) -> Result<String, serde_json::Error> {
     let text = serde_json::to_string(value)?;
     Ok(format!("{text}\t{:08x}\n", checksum(text.as_bytes())))
 }
@@ -216,12 +216,12 @@
     /// The line, from 1 on.
     pub line: usize,
     /// What is wrong there.
-    pub what: String,
+    pub problem: String,
 }
 
 impl std::fmt::Display for Fault {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "line {}: {}", self.line, self.what)
+        write!(f, "line {}: {}", self.line, self.problem)
     }
 }
 
@@ -238,10 +238,10 @@
 
 /// Reads a capture: all that is whole, and the first fault if there is one. The error is that of something that is no
 /// capture, or none of this version.
-pub fn read(bytes: &[u8]) -> Result<(Capture, Option<Fault>), Fault> {
+pub fn parse(bytes: &[u8]) -> Result<(Capture, Option<Fault>), Fault> {
     let ended = bytes.last() == Some(&b'\n');
     let mut lines = bytes.split(|&b| b == b'\n').enumerate();
-    let fault = |line: usize, what: String| Fault { line, what };
+    let fault = |line: usize, problem: String| Fault { line, problem };
     let first = lines.next().map_or(&[][..], |l| l.1);
     let foreign = |what: String| fault(1, format!("no capture: {what}"));
     let text = object(first).map_err(foreign)?;
--- a/crates/headroom/src/lib.rs
+++ b/crates/headroom/src/lib.rs
@@ -50,13 +50,13 @@
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum AttemptOutcome {
     /// Served after so many microseconds.
     Served(Micros),
     /// Turned away, or no answer in time: the host is full, or worse.
-    Full,
+    Overloaded,
     /// Anything else, which says nothing of capacity.
-    Else,
+    Other,
 }
 
 /// What is known of one host.
@@ -95,7 +95,7 @@
 
 /// What operators see of a group.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Left {
+pub struct GroupHeadroom {
     /// The part of its capacity that is not asked for; negative where more is asked for than it can do.
     pub headroom: f64,
     /// Whether its capacity was seen; else it is at least what it did.
@@ -130,7 +130,7 @@
     }
 
     /// A request came. Whether to let it in: `lot` is drawn evenly from 0 to 1.
-    pub fn arrived(&mut self, class: u8, group: u32, lot: f64, now: Micros) -> bool {
+    pub fn admit(&mut self, class: u8, group: u32, lot: f64, now: Micros) -> bool {
         self.update(now);
         let n = self.classes.len();
         let c = usize::from(class);
@@ -147,7 +147,7 @@
     }
 
     /// An attempt ended at a host.
-    pub fn tried(&mut self, class: u8, group: u32, host: u32, ended: Ended, now: Micros) {
+    pub fn attempt_ended(&mut self, class: u8, group: u32, host: u32, ended: AttemptOutcome, now: Micros) {
         self.update(now);
         let c = usize::from(class);
         let Some(of) = self.classes.get(c).copied() else { return };
@@ -157,7 +157,7 @@
         let h = self.hosts.entry(host).or_default();
         (h.group, h.last) = (group, now);
         match ended {
-            Ended::Served(us) => {
+            AttemptOutcome::Served(us) => {
                 let took = us as f64 / 1e6;
                 let s = &mut self.service[c];
                 if self.seen[c] == 0 {
@@ -173,16 +173,16 @@
                 h.full += u32::from(took > *s * QUEUED_FACTOR);
                 h.primary |= of.writes;
             }
-            Ended::Full => {
+            AttemptOutcome::Overloaded => {
                 h.tried += 1;
                 h.full += 1;
             }
-            Ended::Else => {}
+            AttemptOutcome::Other => {}
         }
     }
 
     /// A replica is so far behind its group's log.
-    pub fn behind(&mut self, group: u32, lag: Micros, now: Micros) {
+    pub fn replica_lag(&mut self, group: u32, lag: Micros, now: Micros) {
         let Some(g) = self.groups.get_mut(&group) else { return };
         let lag = lag as f64 / 1e6;
         match g.lag {
@@ -291,7 +291,7 @@
     }
 
     /// What is left of each group.
-    pub fn left(&self) -> BTreeMap<u32, Left> {
+    pub fn by_group(&self) -> BTreeMap<u32, GroupHeadroom> {
         let one = |(&id, g): (&u32, &Group)| {
             let asked = self.offered_work(id);
             let part = |work: f64, of: f64| if of > 0.0 { 1.0 - work / of } else { 0.0 };
@@ -307,7 +307,7 @@
                 () if primary < headroom => "primary cores",
                 () => "group cores",
             };
-            (id, Left { headroom, seen, primary, apply_slack, next, admitted: g.admitted.clone() })
+            (id, GroupHeadroom { headroom, seen, primary, apply_slack, next, admitted: g.admitted.clone() })
         };
         self.groups.iter().map(one).collect()
     }
--- a/crates/headroom/tests/headroom.rs
+++ b/crates/headroom/tests/headroom.rs
@@ -45,7 +45,7 @@
                     owed[c] -= 1.0;
                     self.came[c] += 1;
                     let lot = self.draw();
-                    if self.headroom.arrived(c as u8, 7, lot, self.now) {
+                    if self.headroom.admit(c as u8, 7, lot, self.now) {
                         self.admitted[c] += 1;
                         inside.push(c);
                     }
@@ -57,11 +57,13 @@
                 let host = if c == 2 { 0 } else { (self.draw() * f64::from(self.hosts)) as u32 };
                 // Beyond what hosts can do, what is served waited, and the rest is turned away.
                 let ended = match self.work > room {
-                    false => Ended::Served((SERVICE[c] * 1e6) as Micros),
-                    true if self.draw() < room / self.work => Ended::Served((SERVICE[c] * 4e6) as Micros),
-                    true => Ended::Full,
+                    false => AttemptOutcome::Served((SERVICE[c] * 1e6) as Micros),
+                    true if self.draw() < room / self.work => {
+                        AttemptOutcome::Served((SERVICE[c] * 4e6) as Micros)
+                    }
+                    true => AttemptOutcome::Overloaded,
                 };
-                self.headroom.tried(c as u8, 7, host, ended, self.now);
+                self.headroom.attempt_ended(c as u8, 7, host, ended, self.now);
             }
         }
     }
@@ -72,11 +74,11 @@
     let mut rig = Rig::new(3, 4.0);
     rig.run([100.0, 40.0, 10.0], 5.0);
     assert_eq!(rig.admitted, rig.came);
-    let left = rig.headroom.left().remove(&7).expect("the group");
+    let left = rig.headroom.by_group().remove(&7).expect("the group");
     assert!(!left.seen && left.admitted == [1.0; 3], "{left:?}");
     // Less of the same: what it did is what it can do at least.
     rig.run([50.0, 20.0, 5.0], 10.0);
-    let left = rig.headroom.left().remove(&7).expect("the group");
+    let left = rig.headroom.by_group().remove(&7).expect("the group");
     assert!((0.4..0.6).contains(&left.headroom), "{left:?}");
     assert_eq!((rig.admitted, left.apply_slack), (rig.came, 1.0));
 }
@@ -87,7 +89,7 @@
     rig.run([100.0, 40.0, 10.0], 3.0);
     // 20 core-seconds a second for the 12 that there are.
     rig.run([300.0, 150.0, 25.0], 10.0);
-    let left = rig.headroom.left().remove(&7).expect("the group");
+    let left = rig.headroom.by_group().remove(&7).expect("the group");
     assert!(left.seen && left.headroom < -0.2, "{left:?}");
     rig.run([300.0, 150.0, 25.0], 5.0);
     let part = |c: usize| f64::from(rig.admitted[c]) / f64::from(rig.came[c]);
@@ -102,13 +104,13 @@
 fn a_host_that_can_do_more_than_was_thought_is_believed_and_an_old_end_is_forgotten() {
     let mut rig = Rig::new(2, 4.0);
     rig.run([300.0, 100.0, 20.0], 8.0);
-    assert!(rig.headroom.left()[&7].seen);
+    assert!(rig.headroom.by_group()[&7].seen);
     // Forty seconds of little: the end that was seen is too old to turn anybody away by.
     rig.run([20.0, 5.0, 1.0], 40.0);
     rig.each = 40.0;
     rig.run([300.0, 100.0, 20.0], 2.0);
     assert_eq!(rig.admitted, rig.came);
-    assert!(!rig.headroom.left()[&7].seen);
+    assert!(!rig.headroom.by_group()[&7].seen);
 }
 
 #[test]
@@ -116,15 +118,15 @@
     let mut rig = Rig::new(4, 4.0);
     rig.run([20.0, 5.0, 45.0], 5.0);
     rig.run([20.0, 5.0, 45.0], 5.0);
-    assert_eq!(rig.headroom.left()[&7].next, "primary cores");
+    assert_eq!(rig.headroom.by_group()[&7].next, "primary cores");
     // Replicas fall behind by 0.6 s each second.
     let mut lag = 100 * MS;
     for _ in 0..30 {
         rig.now += 200 * MS;
         lag += 120 * MS;
-        rig.headroom.behind(7, lag, rig.now);
+        rig.headroom.replica_lag(7, lag, rig.now);
     }
-    let left = rig.headroom.left().remove(&7).expect("the group");
+    let left = rig.headroom.by_group().remove(&7).expect("the group");
     assert!(left.next == "apply thread" && (0.3..0.5).contains(&left.apply_slack), "{left:?}");
 }
 
@@ -132,17 +134,23 @@
 fn odd_input_and_floods_of_hosts_and_groups_leave_it_sound_and_bounded() {
     let mut h = Headroom::new(vec![Class { worth: 1.0, writes: false }]);
     for i in 0..20_000u32 {
-        assert!(h.arrived((i % 3) as u8, i, 0.999, u64::from(i)));
-        h.tried((i % 3) as u8, i, i, Ended::Served(u64::from(i % 5) * (u64::MAX / 5)), u64::from(i));
-        h.behind(i, u64::MAX, u64::from(i));
+        assert!(h.admit((i % 3) as u8, i, 0.999, u64::from(i)));
+        h.attempt_ended(
+            (i % 3) as u8,
+            i,
+            i,
+            AttemptOutcome::Served(u64::from(i % 5) * (u64::MAX / 5)),
+            u64::from(i),
+        );
+        h.replica_lag(i, u64::MAX, u64::from(i));
     }
-    let left = h.left();
+    let left = h.by_group();
     assert!(
         left.len() <= 4_096 && left.values().all(|l| l.headroom.is_finite() && l.apply_slack.is_finite())
     );
     // A clock that stands or goes back, and one that leaps.
-    h.arrived(0, 1, 0.5, 5);
-    h.arrived(0, 1, 0.5, u64::MAX / 2);
-    assert!(h.left().len() <= 1);
-    assert!(Headroom::new(Vec::new()).arrived(0, 1, 0.9, 1));
+    h.admit(0, 1, 0.5, 5);
+    h.admit(0, 1, 0.5, u64::MAX / 2);
+    assert!(h.by_group().len() <= 1);
+    assert!(Headroom::new(Vec::new()).admit(0, 1, 0.9, 1));
 }
--- a/crates/lab/src/host.rs
+++ b/crates/lab/src/host.rs
@@ -6,7 +6,7 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use rand_distr::{Distribution, LogNormal};
-use sillfold_route::sql::{Analysis, Bounds, Effect, Functions, Reading, judge, literal_text};
+use sillfold_route::sql::{Analysis, Effect, Functions, ParseLimits, StatementReader, analyze, literal_text};
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{self, Read, Write};
 use std::net::{IpAddr, Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -390,16 +390,16 @@
     fn run(
         &self, text: &str, out: &mut impl Write, commit: &mut Option<u64>,
     ) -> io::Result<Result<(), (&'static str, String)>> {
-        let mut reading = Reading::default();
+        let mut reading = StatementReader::default();
         if let Err(e) = reading.read(text) {
-            return Ok(Err(("42601", e.why().into())));
+            return Ok(Err(("42601", e.message().into())));
         }
-        let analysis = judge(reading.shape(), &self.functions, &Bounds::default());
+        let analysis = analyze(reading.shape(), &self.functions, &ParseLimits::default());
         let shape = reading.shape();
-        let literal = |i: usize| reading.slots().get(i).and_then(|s| literal_text(&text[s.at.clone()]));
+        let literal = |i: usize| reading.literals().get(i).and_then(|s| literal_text(&text[s.span.clone()]));
         let key = |name: &str| {
             let key = analysis.keys.iter().find(|k| *k.column == *name)?;
-            literal(usize::from(key.slot))
+            literal(usize::from(key.literal_index))
         };
         if shape == "show usage " {
             let x1 = u8::from(self.primary.load(Ordering::Relaxed));
@@ -413,7 +413,7 @@
         }
         if shape.contains("generate_series (") {
             let numbers: Vec<usize> =
-                (0..reading.slots().len()).filter_map(|i| literal(i)?.parse().ok()).collect();
+                (0..reading.literals().len()).filter_map(|i| literal(i)?.parse().ok()).collect();
             let rows = numbers.last().copied().unwrap_or(0);
             let wide = if shape.contains("repeat (") { numbers.first().copied().unwrap_or(1) } else { 1 };
             return series(out, rows, wide).map(Ok);
@@ -434,7 +434,7 @@
     ) -> io::Result<Result<(), (&'static str, String)>> {
         if !self.primary.load(Ordering::Relaxed) {
             self.writes_turned_away.fetch_add(1, Ordering::Relaxed);
-            let what = format!("cannot execute {} in a read-only transaction", analysis.why);
+            let what = format!("cannot execute {} in a read-only transaction", analysis.reason);
             return Ok(Err(("25006", what)));
         }
         let payload = payload.unwrap_or_default();
--- a/crates/lab/src/measure.rs
+++ b/crates/lab/src/measure.rs
@@ -3,8 +3,8 @@
 
 use hdrhistogram::Histogram;
 use sillfold_lab::{Agent, Client, Entry, Group, Host, Options as HostOptions, Proxy, address, settings};
-use sillfold_route::sql::{Bounds, Functions, Reading, judge};
-use sillfold_route::{Desk, Options, Shape};
+use sillfold_route::sql::{Functions, ParseLimits, StatementReader, analyze};
+use sillfold_route::{Options, Shape, StatementRouter};
 use std::hint::black_box;
 use std::io;
 use std::path::PathBuf;
@@ -76,7 +76,7 @@
     let mean = useful.iter().map(String::len).sum::<usize>() / useful.len();
     println!("{} useful statements of {mean} bytes on average", useful.len());
 
-    let mut reading = Reading::default();
+    let mut reading = StatementReader::default();
     let lex = median_ns(31, useful.len() * 20, || {
         for text in useful.iter().cycle().take(useful.len() * 20) {
             let _ = black_box(reading.read(black_box(text)));
@@ -91,12 +91,12 @@
         .collect();
     let new = median_ns(31, useful.len(), || {
         for shape in &shapes {
-            black_box(judge(black_box(shape), &functions, &Bounds::default()));
+            black_box(analyze(black_box(shape), &functions, &ParseLimits::default()));
         }
     });
     println!("verdict on a new shape alone: {new:.0} ns a statement");
 
-    let mut desk = Desk::new(Options { cache_bytes: bytes, ..Options::default() });
+    let mut desk = StatementRouter::new(Options { cache_bytes: bytes, ..Options::default() });
     for text in useful.iter().cycle().take(useful.len() * 3) {
         let _ = desk.read(text);
     }
@@ -121,7 +121,7 @@
         let read = desk.read(text);
         let _ = known.record(begun.elapsed().as_nanos() as u64);
         hits += u32::from(read.is_ok_and(|r| r.cached));
-        most = most.max(desk.shapes().bytes());
+        most = most.max(desk.shape_cache().bytes());
     }
     let rate = 100.0 * f64::from(hits) / f64::from(flood);
     println!("flood of {flood} one-off shapes, S3-FIFO (quick_cache): {rate:.3} % of useful ones found");
@@ -129,8 +129,8 @@
     println!("  one-off ones: {}", summary(&unknown));
     println!(
         "  bytes: {most} counted at most of {bytes}, {} shapes, {} in tables; resident {} KB before, {} KB after",
-        desk.shapes().len(),
-        desk.shapes().table_bytes(),
+        desk.shape_cache().len(),
+        desk.shape_cache().table_bytes(),
         before,
         resident_kb()
     );
@@ -143,16 +143,17 @@
 fn other_cache(useful: &[String], flood: u32, bytes: usize) -> f64 {
     let weigh = |_: &String, weight: &u32| *weight;
     let mut cache = mini_moka::unsync::Cache::builder().max_capacity(bytes as u64).weigher(weigh).build();
-    let (functions, mut reading) = (Functions::default(), Reading::default());
+    let (functions, mut reading) = (Functions::default(), StatementReader::default());
     let mut hits = 0u32;
-    let mut ask = |text: &str, reading: &mut Reading| {
+    let mut ask = |text: &str, reading: &mut StatementReader| {
         if reading.read(text).is_err() {
             return false;
         }
         if cache.get(&reading.shape().to_string()).is_some() {
             return true;
         }
-        let shape = Shape::new(reading.shape(), judge(reading.shape(), &functions, &Bounds::default()));
+        let shape =
+            Shape::new(reading.shape(), analyze(reading.shape(), &functions, &ParseLimits::default()));
         cache.insert(shape.text().to_string(), shape.bytes() as u32);
         false
     };
@@ -265,11 +266,16 @@
     let (mut bytes, mut lines, begun) = (0, 0u64, Instant::now());
     for i in 0..requests {
         let (class, group) = ((i % 3) as u8, (i % 2) as u32);
-        recorder.arrived(class, group, 0);
-        recorder.tried(class, group, sillfold_capture::Tried::Served(20_000 + i * 7_919 % 90_000));
-        recorder.shape(i % 40, 30_000);
+        recorder.request_arrived(class, group, 0);
+        recorder.attempt_ended(
+            class,
+            group,
+            sillfold_capture::RecordedOutcome::Served(20_000 + i * 7_919 % 90_000),
+        );
+        recorder.shape_served(i % 40, 30_000);
         if i % 400 == 399 {
-            let line = sillfold_capture::line(&recorder.take(i, 1_000)).map_err(io::Error::other)?;
+            let line =
+                sillfold_capture::encode_line(&recorder.take_record(i, 1_000)).map_err(io::Error::other)?;
             (bytes, lines) = (bytes + line.len(), lines + 1);
         }
     }
--- a/crates/planner/src/main.rs
+++ b/crates/planner/src/main.rs
@@ -169,7 +169,7 @@
     for file in files {
         let bytes = std::fs::read(file).map_err(|e| one(format!("{}: {e}", file.display())))?;
         let (capture, fault) =
-            sillfold_capture::read(&bytes).map_err(|f| one(format!("{}: {f}", file.display())))?;
+            sillfold_capture::parse(&bytes).map_err(|f| one(format!("{}: {f}", file.display())))?;
         notes.extend(fault.map(|f| format!("{}: {f}; what is before counts", file.display())));
         let sum = capture.summary();
         seconds = if side_by_side { seconds.max(sum.seconds) } else { seconds + sum.seconds };
@@ -395,7 +395,7 @@
 fn show(file: &Path, json: bool) -> Result<ExitCode, Vec<String>> {
     let bytes = std::fs::read(file).map_err(|e| one(format!("{}: {e}", file.display())))?;
     let (capture, fault) =
-        sillfold_capture::read(&bytes).map_err(|f| one(format!("{}: {f}", file.display())))?;
+        sillfold_capture::parse(&bytes).map_err(|f| one(format!("{}: {f}", file.display())))?;
     let sum = capture.summary();
     if json {
         println!("{}", serde_json::json!({"header": capture.header, "summary": sum}));
--- a/crates/planner/tests/program.rs
+++ b/crates/planner/tests/program.rs
@@ -96,18 +96,18 @@
 
 #[test]
 fn a_capture_is_shown_and_asked_and_a_torn_one_says_where() {
-    use sillfold_capture::{Header, Recorder, Tried, VERSION, line};
+    use sillfold_capture::{Header, RecordedOutcome, Recorder, VERSION, encode_line};
     let header = Header { sillfold_capture: VERSION, name: "n0".into(), started_ms: 0, sample: 1 };
-    let mut text = line(&header).expect("a line");
+    let mut text = encode_line(&header).expect("a line");
     let mut recorder = Recorder::new(vec!["browse".into(), "ingest".into()], 1);
     for i in 0..60u64 {
         for n in 0..100u64 {
-            recorder.arrived(0, (n % 2) as u32, 0);
-            recorder.tried(0, (n % 2) as u32, Tried::Served(20_000 + n * 300));
+            recorder.request_arrived(0, (n % 2) as u32, 0);
+            recorder.attempt_ended(0, (n % 2) as u32, RecordedOutcome::Served(20_000 + n * 300));
         }
-        recorder.arrived(1, 0, 0);
-        recorder.tried(1, 0, Tried::Served(80_000));
-        text += &line(&recorder.take(i * 1_000, 1_000)).expect("a line");
+        recorder.request_arrived(1, 0, 0);
+        recorder.attempt_ended(1, 0, RecordedOutcome::Served(80_000));
+        text += &encode_line(&recorder.take_record(i * 1_000, 1_000)).expect("a line");
     }
     let whole = file("whole", text.as_bytes());
     let path = whole.to_str().expect("a path");
--- a/crates/route/src/cache.rs
+++ b/crates/route/src/cache.rs
@@ -2,7 +2,7 @@
 //! their bytes. It must never hold more bytes than it was given, and never answer for a text other than the
 //! one that it keeps: a hash finds the place, the text decides.
 
-use crate::cost::{Costs, Estimate, Sketch};
+use crate::cost::{CostModel, DurationHistogram, Estimate};
 use crate::hash::fnv1a;
 use quick_cache::unsync::{Cache, DefaultLifecycle};
 use quick_cache::{DefaultHashBuilder, Equivalent, OptionsBuilder, Weighter};
@@ -21,7 +21,7 @@
     /// What running it does, its tables and keys.
     pub analysis: Analysis,
     /// What it took.
-    pub sketch: RefCell<Sketch>,
+    pub durations: RefCell<DurationHistogram>,
     /// The last estimate, and how old the experience was then.
     estimate: Cell<Option<(u64, Estimate)>>,
 }
@@ -29,25 +29,25 @@
 impl Shape {
     /// One of which only its text tells so far.
     pub fn new(text: &str, analysis: Analysis) -> Shape {
-        Shape { text: text.into(), analysis, sketch: RefCell::default(), estimate: Cell::default() }
+        Shape { text: text.into(), analysis, durations: RefCell::default(), estimate: Cell::default() }
     }
 
     /// What it is expected to take. Made anew only when it may have changed: it costs more than the rest of a
     /// warm reading.
-    pub fn estimate(&self, costs: &Costs) -> Estimate {
+    pub fn estimate(&self, costs: &CostModel) -> Estimate {
         match self.estimate.get() {
-            Some((age, estimate)) if age == costs.age() => estimate,
+            Some((age, estimate)) if age == costs.generation() => estimate,
             _ => {
-                let estimate = costs.estimate(&self.analysis, &self.sketch.borrow());
-                self.estimate.set(Some((costs.age(), estimate)));
+                let estimate = costs.estimate(&self.analysis, &self.durations.borrow());
+                self.estimate.set(Some((costs.generation(), estimate)));
                 estimate
             }
         }
     }
 
     /// It was served in this time.
-    pub fn learn(&self, costs: &mut Costs, us: u64) {
-        costs.learn(&self.analysis, &mut self.sketch.borrow_mut(), us);
+    pub fn record_duration(&self, costs: &mut CostModel, us: u64) {
+        costs.record_duration(&self.analysis, &mut self.durations.borrow_mut(), us);
         self.estimate.set(None);
     }
 
@@ -57,13 +57,13 @@
     }
 
     /// A number for it, to compare by eye. Nothing is decided by it.
-    pub fn number(&self) -> u64 {
+    pub fn fingerprint(&self) -> u64 {
         fnv1a(&self.text)
     }
 
     /// Bytes that it takes in the cache, all counted.
     pub fn bytes(&self) -> usize {
-        ENTRY_BYTES + size_of::<Shape>() + self.text.len() + self.analysis.heap()
+        ENTRY_BYTES + size_of::<Shape>() + self.text.len() + self.analysis.heap_bytes()
     }
 }
 
@@ -111,31 +111,31 @@
 
 /// Counts of what was asked of the cache.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Asked {
+pub struct CacheStats {
     /// Found.
     pub hits: u64,
     /// Not found.
     pub misses: u64,
 }
 
-/// Shapes, so many bytes at most. Admission is S3-FIFO's: one seen once leaves by the small queue, and evicts
+/// ShapeCache, so many bytes at most. Admission is S3-FIFO's: one seen once leaves by the small queue, and evicts
 /// none that was seen again.
-pub struct Shapes<S = DefaultHashBuilder> {
+pub struct ShapeCache<S = DefaultHashBuilder> {
     kept: Cache<Key, Rc<Shape>, Bytes, S>,
     longest: usize,
-    asked: Asked,
+    stats: CacheStats,
 }
 
-impl Shapes {
+impl ShapeCache {
     /// A cache of so many bytes, for shapes no longer than this.
-    pub fn new(bytes: usize, longest: usize) -> Shapes {
-        Shapes::with_hasher(bytes, longest, DefaultHashBuilder::default())
+    pub fn new(bytes: usize, longest: usize) -> ShapeCache {
+        ShapeCache::with_hasher(bytes, longest, DefaultHashBuilder::default())
     }
 }
 
-impl<S: BuildHasher + Clone> Shapes<S> {
+impl<S: BuildHasher + Clone> ShapeCache<S> {
     /// The same with a hasher of the caller's.
-    pub fn with_hasher(bytes: usize, longest: usize, hasher: S) -> Shapes<S> {
+    pub fn with_hasher(bytes: usize, longest: usize, hasher: S) -> ShapeCache<S> {
         let usual = size_of::<Shape>() + ENTRY_BYTES + 256;
         let options = OptionsBuilder::new()
             .estimated_items_capacity((bytes / usual).max(1))
@@ -149,15 +149,15 @@
                 Cache::with((bytes / usual).max(1), bytes as u64, Bytes, hasher, DefaultLifecycle::default())
             }
         };
-        Shapes { kept, longest, asked: Asked::default() }
+        ShapeCache { kept, longest, stats: CacheStats::default() }
     }
 
     /// The shape with this text, if it is kept.
     pub fn get(&mut self, text: &[u8]) -> Option<Rc<Shape>> {
         let found = self.kept.get(&Wanted(text)).cloned();
         match found {
-            Some(_) => self.asked.hits += 1,
-            None => self.asked.misses += 1,
+            Some(_) => self.stats.hits += 1,
+            None => self.stats.misses += 1,
         }
         found
     }
@@ -169,7 +169,7 @@
         }
     }
 
-    /// Shapes that are kept.
+    /// ShapeCache that are kept.
     pub fn len(&self) -> usize {
         self.kept.len()
     }
@@ -190,7 +190,7 @@
     }
 
     /// What was asked so far.
-    pub fn asked(&self) -> Asked {
-        self.asked
+    pub fn stats(&self) -> CacheStats {
+        self.stats
     }
 }
--- a/crates/route/src/cost.rs
+++ b/crates/route/src/cost.rs
@@ -4,11 +4,11 @@
 
 use quick_cache::unsync::Cache;
 use sillfold_histogram::{BUCKETS, bucket_of, middle_us};
-use sillfold_sql::{Analysis, Features};
+use sillfold_sql::{Analysis, CostFeatures};
 
 /// At this sum all counts are halved, so that what was long ago fades.
 const FADES_AT: u16 = 256;
-/// So many samples make a sketch count alone; below, the guess counts in proportion.
+/// So many samples make a histogram count alone; below, the guess counts in proportion.
 const SURE: u16 = 8;
 /// The longest estimate.
 const LONGEST_US: f64 = 60_000_000.0;
@@ -22,20 +22,20 @@
 
 /// Service times of one shape: counts by size that fade as new ones come. 180 bytes, no heap.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Sketch {
+pub struct DurationHistogram {
     counts: [u16; BUCKETS],
     sum: u16,
 }
 
-impl Default for Sketch {
-    fn default() -> Sketch {
-        Sketch { counts: [0; BUCKETS], sum: 0 }
+impl Default for DurationHistogram {
+    fn default() -> DurationHistogram {
+        DurationHistogram { counts: [0; BUCKETS], sum: 0 }
     }
 }
 
-impl Sketch {
+impl DurationHistogram {
     /// Takes in a service time in microseconds.
-    pub fn add(&mut self, us: u64) {
+    pub fn record(&mut self, us: u64) {
         self.counts[usize::from(bucket_of(us))] += 1;
         self.sum += 1;
         if self.sum >= FADES_AT {
@@ -85,8 +85,8 @@
 }
 
 /// The estimator: the guess for trees, and what tables taught.
-pub struct Costs {
-    base_us: f64,
+pub struct CostModel {
+    base_cost_us: f64,
     tables: Cache<Box<str>, Experience>,
     all: Experience,
     learnt: u64,
@@ -100,11 +100,11 @@
     }
 }
 
-impl Costs {
+impl CostModel {
     /// An estimator for which the simplest statement takes this long, in microseconds, until it learns better.
-    pub fn new(base_us: u64) -> Costs {
-        Costs {
-            base_us: base_us.max(1) as f64,
+    pub fn new(base_cost_us: u64) -> CostModel {
+        CostModel {
+            base_cost_us: base_cost_us.max(1) as f64,
             tables: Cache::new(TABLES),
             all: Experience::default(),
             learnt: 0,
@@ -112,19 +112,19 @@
     }
 
     /// How old an estimate may be: it changes with every so many runs, of whatever shape.
-    pub fn age(&self) -> u64 {
+    pub fn generation(&self) -> u64 {
         self.learnt / RENEWED_AFTER
     }
 
     /// What the tree alone lets expect.
-    fn guess(&self, f: &Features) -> f64 {
+    fn guess(&self, f: &CostFeatures) -> f64 {
         let part = |count: u16, each: f64| f64::from(count.min(20)) * each;
         let work =
             1.0 + part(f.joins, 1.0) + part(f.aggregates, 1.0) + part(f.sorts, 0.5) + part(f.subqueries, 0.5);
         let unbounded = if f.limited || f.keyed { 1.0 } else { 2.0 };
         let scans = 1.0 + part(f.unfiltered, 3.0);
         let keyed = if f.keyed { 0.5 } else { 1.0 };
-        self.base_us * work * unbounded * scans * keyed
+        self.base_cost_us * work * unbounded * scans * keyed
     }
 
     /// How much more than guessed its tables' shapes took, else all shapes.
@@ -139,22 +139,22 @@
         known.iter().map(|e| e.log_ratio).fold(f64::MIN, f64::max).exp2()
     }
 
-    /// The estimate for a shape with this sketch.
-    pub fn estimate(&self, analysis: &Analysis, sketch: &Sketch) -> Estimate {
+    /// The estimate for a shape with this histogram.
+    pub fn estimate(&self, analysis: &Analysis, histogram: &DurationHistogram) -> Estimate {
         let guess = (self.guess(&analysis.features) * self.ratio(analysis)).clamp(1.0, LONGEST_US);
-        let share = f64::from(sketch.len().min(SURE)) / f64::from(SURE);
+        let share = f64::from(histogram.len().min(SURE)) / f64::from(SURE);
         let at = |q: f64, guess: f64| {
-            let seen = sketch.quantile(q).unwrap_or(guess);
+            let seen = histogram.quantile(q).unwrap_or(guess);
             // By ratio: one sample of a second and a guess of a millisecond are 30 ms.
             (seen.ln() * share + guess.ln() * (1.0 - share)).exp().clamp(1.0, LONGEST_US) as u64
         };
         let (p50_us, p95_us) = (at(0.5, guess), at(0.95, guess * 4.0));
-        Estimate { p50_us, p95_us: p95_us.max(p50_us), samples: sketch.len() }
+        Estimate { p50_us, p95_us: p95_us.max(p50_us), samples: histogram.len() }
     }
 
-    /// A run of a shape was served in this time; its sketch takes it in, and its tables do.
-    pub fn learn(&mut self, analysis: &Analysis, sketch: &mut Sketch, us: u64) {
-        sketch.add(us);
+    /// A run of a shape was served in this time; its histogram takes it in, and its tables do.
+    pub fn record_duration(&mut self, analysis: &Analysis, histogram: &mut DurationHistogram, us: u64) {
+        histogram.record(us);
         self.learnt += 1;
         let ratio = (us.max(1) as f64 / self.guess(&analysis.features)).log2();
         self.all.learn(ratio);
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -2,31 +2,37 @@
 //! what came and what it took, and says where it goes.
 //!
 //! ```
-//! use sillfold_route::{Desk, Options, Target};
+//! use sillfold_route::{StatementRouter, Options, Target};
 //!
-//! let mut desk = Desk::new(Options::default());
-//! let read = desk.read("SELECT nextval('s')").unwrap();
+//! let mut router = StatementRouter::new(Options::default());
+//! let read = router.read("SELECT nextval('s')").unwrap();
 //! assert_eq!(read.target(), Target::Primary);
 //! ```
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod block;
 mod cache;
 mod cost;
 mod hash;
+mod own_writes;
 mod rules;
-mod writes;
+mod transaction;
 
-pub use block::{Block, Met};
-pub use cache::{Asked, Shape, Shapes};
-pub use cost::{Costs, Estimate, Sketch};
+pub use cache::{CacheStats, Shape, ShapeCache};
+pub use cost::{CostModel, DurationHistogram, Estimate};
 pub use hash::fnv1a;
-pub use rules::{Band, Classes, Facts, Fault, Group, NoRoute, Pattern, Rule, faults, rendezvous};
+pub use own_writes::OwnWrites;
+pub use rules::{
+    Classes, DurationRange, GroupError, GroupSelector, Rule, RuleFault, StatementFacts, TablePattern,
+    find_faults, rendezvous,
+};
 pub use sillfold_sql as sql;
-pub use writes::OwnWrites;
+pub use transaction::{TransactionState, TransactionStep};
 
-use sillfold_sql::{Additions, Bounds, Control, Effect, Functions, Reading, Unreadable, Unsupported, judge};
+use sillfold_sql::{
+    Effect, FunctionAdditions, Functions, ParseLimits, ReadError, StatementReader, TransactionControl,
+    Unsupported, analyze,
+};
 use std::borrow::Cow;
 use std::rc::Rc;
 
@@ -39,29 +45,29 @@
     /// The rules, the first that matches counts.
     pub rules: Vec<Rule>,
     /// Whether several statements in one text go to the primary whole; refused otherwise.
-    pub several: bool,
+    pub allow_multiple_statements: bool,
     /// Bytes that the shape cache may hold.
     pub cache_bytes: usize,
     /// The longest shape that is kept, in bytes.
-    pub longest_kept: usize,
-    /// Bounds on the work for one statement.
-    pub bounds: Bounds,
+    pub max_cached_shape_bytes: usize,
+    /// ParseLimits on the work for one statement.
+    pub limits: ParseLimits,
     /// What the simplest statement takes until better is known, in microseconds.
-    pub base_us: u64,
+    pub base_cost_us: u64,
     /// What is known of functions beside the list.
-    pub additions: Additions,
+    pub function_additions: FunctionAdditions,
 }
 
 impl Default for Options {
     fn default() -> Options {
         Options {
             rules: Vec::new(),
-            several: true,
+            allow_multiple_statements: true,
             cache_bytes: 2 << 20,
-            longest_kept: 8 * 1024,
-            bounds: Bounds::default(),
-            base_us: 2_000,
-            additions: Additions::default(),
+            max_cached_shape_bytes: 8 * 1024,
+            limits: ParseLimits::default(),
+            base_cost_us: 2_000,
+            function_additions: FunctionAdditions::default(),
         }
     }
 }
@@ -89,25 +95,25 @@
 }
 
 /// What was read of one statement's text.
-pub struct Read {
+pub struct StatementInfo {
     /// Its shape, with what was learnt of it.
     pub shape: Rc<Shape>,
     /// Whether the cache had it.
     pub cached: bool,
     /// Statements in the text.
-    pub statements: usize,
+    pub statement_count: usize,
     /// What it does, maybe more strictly than its shape says.
     pub effect: Effect,
     /// Why.
-    pub why: Cow<'static, str>,
+    pub reason: Cow<'static, str>,
     /// What it is expected to take.
     pub estimate: Estimate,
-    unsure: bool,
+    quoting_is_ambiguous: bool,
 }
 
-impl Read {
+impl StatementInfo {
     /// What it says of transactions.
-    pub fn control(&self) -> Option<Control> {
+    pub fn transaction_control(&self) -> Option<TransactionControl> {
         match self.shape.analysis.unsupported {
             Some(Unsupported::Transaction(control)) => Some(control),
             _ => None,
@@ -118,7 +124,7 @@
     pub fn target(&self) -> Target {
         match self.effect {
             _ if self.shape.analysis.unsupported.is_some() => Target::Refuse,
-            Effect::Read if self.statements == 1 => Target::Replica,
+            Effect::Read if self.statement_count == 1 => Target::Replica,
             Effect::Read | Effect::Write => Target::Primary,
             Effect::Session | Effect::Invalid => Target::Refuse,
         }
@@ -129,7 +135,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
     /// The rule that gave them, by its place.
-    pub rule: usize,
+    pub rule_index: usize,
     /// Whether only the primary may run it.
     pub writes: bool,
     /// Its group.
@@ -142,41 +148,43 @@
 
 /// Why a statement is not served.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Refusal {
+pub enum RouteError {
     /// It can't be carried here: a transaction, state of a session, COPY, several statements.
-    NotCarried(String),
+    NotSupported(String),
     /// No rule gives it a route.
     NoRoute(String),
 }
 
-/// The desk at which statements are read and given their terms. Owns the cache, the costs and the rules.
-pub struct Desk {
+/// The router at which statements are read and given their terms. Owns the cache, the costs and the rules.
+pub struct StatementRouter {
     options: Options,
     functions: Functions,
-    reading: Reading,
-    shapes: Shapes,
-    costs: Costs,
+    reading: StatementReader,
+    shapes: ShapeCache,
+    costs: CostModel,
 }
 
-impl Desk {
-    /// A desk that has seen nothing.
-    pub fn new(options: Options) -> Desk {
-        Desk {
-            functions: Functions::new(&options.additions),
-            reading: Reading::default(),
-            shapes: Shapes::new(options.cache_bytes, options.longest_kept),
-            costs: Costs::new(options.base_us),
+impl StatementRouter {
+    /// A router that has seen nothing.
+    pub fn new(options: Options) -> StatementRouter {
+        StatementRouter {
+            functions: Functions::new(&options.function_additions),
+            reading: StatementReader::default(),
+            shapes: ShapeCache::new(options.cache_bytes, options.max_cached_shape_bytes),
+            costs: CostModel::new(options.base_cost_us),
             options,
         }
     }
 
-    /// Other options from now on. Shapes and what was learnt of them stay, unless their verdicts may differ.
-    pub fn replace(&mut self, options: Options) {
-        let keys = |o: &Options| (o.cache_bytes, o.longest_kept, o.bounds, o.additions.clone(), o.base_us);
+    /// Other options from now on. ShapeCache and what was learnt of them stay, unless their verdicts may differ.
+    pub fn replace_options(&mut self, options: Options) {
+        let keys = |o: &Options| {
+            (o.cache_bytes, o.max_cached_shape_bytes, o.limits, o.function_additions.clone(), o.base_cost_us)
+        };
         if keys(&options) == keys(&self.options) {
             self.options = options;
         } else {
-            *self = Desk::new(options);
+            *self = StatementRouter::new(options);
         }
     }
 
@@ -186,43 +194,45 @@
     }
 
     /// The cache, for its figures.
-    pub fn shapes(&self) -> &Shapes {
+    pub fn shape_cache(&self) -> &ShapeCache {
         &self.shapes
     }
 
     /// Reads a statement: its shape, from the cache or judged now.
-    pub fn read(&mut self, text: &str) -> Result<Read, Unreadable> {
+    pub fn read(&mut self, text: &str) -> Result<StatementInfo, ReadError> {
         self.reading.shrink(KEPT_BYTES);
         self.reading.read(text)?;
         let (shape, cached) = match self.shapes.get(self.reading.shape_bytes()) {
             Some(shape) => (shape, true),
             None => {
-                let analysis = judge(self.reading.shape(), &self.functions, &self.options.bounds);
+                let analysis = analyze(self.reading.shape(), &self.functions, &self.options.limits);
                 let shape = Rc::new(Shape::new(self.reading.shape(), analysis));
                 self.shapes.put(shape.clone());
                 (shape, false)
             }
         };
         let estimate = shape.estimate(&self.costs);
-        let unsure = self.reading.unsure();
+        let quoting_is_ambiguous = self.reading.quoting_is_ambiguous();
         // Not the shape's alone: another setting of the server may cut this text otherwise.
-        let (effect, why) = if unsure {
-            let stricter = self.reading.unsure_of(shape.analysis.clone());
-            (stricter.effect, stricter.why)
+        let (effect, reason) = if quoting_is_ambiguous {
+            let stricter = self.reading.apply_ambiguity(shape.analysis.clone());
+            (stricter.effect, stricter.reason)
         } else {
-            (shape.analysis.effect, shape.analysis.why.clone())
+            (shape.analysis.effect, shape.analysis.reason.clone())
         };
-        let statements = self.reading.statements();
-        Ok(Read { shape, cached, statements, effect, why, estimate, unsure })
+        let statement_count = self.reading.statement_count();
+        Ok(StatementInfo { shape, cached, statement_count, effect, reason, estimate, quoting_is_ambiguous })
     }
 
     /// What a text says of transactions, if it can be read.
-    pub fn control(&mut self, text: &str) -> Option<Control> {
-        self.read(text).ok()?.control()
+    pub fn transaction_control(&mut self, text: &str) -> Option<TransactionControl> {
+        self.read(text).ok()?.transaction_control()
     }
 
     /// The terms of the statement that was read last; `text` is its text.
-    pub fn route(&self, read: &Read, text: &str, user: &str, database: &str) -> Result<Route, Refusal> {
+    pub fn route(
+        &self, read: &StatementInfo, text: &str, user: &str, database: &str,
+    ) -> Result<Route, RouteError> {
         let analysis = &read.shape.analysis;
         if let Some(what) =
             analysis.unsupported.or((read.effect == Effect::Session).then_some(Unsupported::Session))
@@ -232,48 +242,55 @@
                 Unsupported::Session => "no state of a session is kept here",
                 Unsupported::Copy => "no data stream is carried here",
             };
-            return Err(Refusal::NotCarried(format!("{what}: {}", read.why)));
+            return Err(RouteError::NotSupported(format!("{what}: {}", read.reason)));
         }
-        if read.statements > 1 && !self.options.several {
-            let what = format!("{} statements in one text are not served here", read.statements);
-            return Err(Refusal::NotCarried(what));
+        if read.statement_count > 1 && !self.options.allow_multiple_statements {
+            let what = format!("{} statements in one text are not served here", read.statement_count);
+            return Err(RouteError::NotSupported(what));
         }
         let stricter;
-        let analysis = if read.unsure {
+        let analysis = if read.quoting_is_ambiguous {
             stricter = sillfold_sql::Analysis { effect: read.effect, ..analysis.clone() };
             &stricter
         } else {
             analysis
         };
         let Estimate { p50_us, p95_us, .. } = read.estimate;
-        let facts = Facts { analysis, statements: read.statements, p50_us, p95_us, user, database };
+        let facts = StatementFacts {
+            analysis,
+            statement_count: read.statement_count,
+            p50_us,
+            p95_us,
+            user,
+            database,
+        };
         let writes = facts.effect() != Effect::Read;
         let found = self.options.rules.iter().enumerate().find(|(_, r)| r.matches(&facts));
-        let Some((rule, terms)) = found else {
+        let Some((rule_index, terms)) = found else {
             let tables = match analysis.tables.as_slice() {
                 [] => "no tables".to_string(),
                 tables => format!("tables {}", tables.join(", ")),
             };
-            return Err(Refusal::NoRoute(format!(
+            return Err(RouteError::NoRoute(format!(
                 "no rule takes this {} of {tables}, about {} ms, by {user:?} in {database:?}: {}",
                 facts.effect().name(),
                 p50_us.div_ceil(1_000),
-                read.why
+                read.reason
             )));
         };
-        let slots = self.reading.slots();
+        let slots = self.reading.literals();
         let literal = |slot: u16| {
             let slot = slots.get(usize::from(slot))?;
-            Some((text.get(slot.at.clone())?, slot.many))
+            Some((text.get(slot.span.clone())?, slot.folded))
         };
         // A text that may be cut otherwise may have other literals too.
-        let literal = |slot: u16| literal(slot).filter(|_| !read.unsure);
-        let group = terms.group(&facts, literal).map_err(|NoRoute(what)| Refusal::NoRoute(what))?;
-        Ok(Route { rule, writes, group, deadline_ms: terms.deadline_ms, expected_us: p50_us })
+        let literal = |slot: u16| literal(slot).filter(|_| !read.quoting_is_ambiguous);
+        let group = terms.group(&facts, literal).map_err(|GroupError(what)| RouteError::NoRoute(what))?;
+        Ok(Route { rule_index, writes, group, deadline_ms: terms.deadline_ms, expected_us: p50_us })
     }
 
     /// A statement of this shape was served in this time.
-    pub fn learn(&mut self, shape: &Shape, us: u64) {
-        shape.learn(&mut self.costs, us);
+    pub fn record_duration(&mut self, shape: &Shape, us: u64) {
+        shape.record_duration(&mut self.costs, us);
     }
 }
--- a/crates/route/src/writes.rs
+++ b/crates/route/src/own_writes.rs
@@ -21,19 +21,19 @@
 impl OwnWrites {
     /// A write was answered at this time; `commit` is its position, where the answer tells one. Otherwise it was
     /// before the answer, so whoever has reached that time has it.
-    pub fn answered(&mut self, commit: Option<Micros>, now: Micros) {
+    pub fn record_answered(&mut self, commit: Option<Micros>, now: Micros) {
         // A position ahead of the clock is no position.
         let at = commit.filter(|&c| c <= now).unwrap_or(now);
         self.after = self.after.max(Some(at));
     }
 
     /// A write ended with no answer that tells whether it ran: if it did, then by now, as far as this side knows.
-    pub fn unknown(&mut self, now: Micros) {
+    pub fn record_unknown(&mut self, now: Micros) {
         self.after = self.after.max(Some(now));
     }
 
     /// The position that the session's bounded reads must have reached.
-    pub fn after(&self) -> Option<Micros> {
+    pub fn required_position(&self) -> Option<Micros> {
         self.after
     }
 }
--- a/crates/route/src/rules.rs
+++ b/crates/route/src/rules.rs
@@ -8,39 +8,39 @@
 
 /// A span of service times, in microseconds: from the first, below the second.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Band {
+pub struct DurationRange {
     /// The smallest that is in it.
-    pub from: u64,
+    pub from_us: u64,
     /// The smallest beyond it.
-    pub below: u64,
+    pub below_us: u64,
 }
 
-impl Default for Band {
-    fn default() -> Band {
-        Band { from: 0, below: u64::MAX }
+impl Default for DurationRange {
+    fn default() -> DurationRange {
+        DurationRange { from_us: 0, below_us: u64::MAX }
     }
 }
 
-impl Band {
+impl DurationRange {
     fn holds(&self, us: u64) -> bool {
-        (self.from..self.below).contains(&us)
+        (self.from_us..self.below_us).contains(&us)
     }
-    fn covers(&self, other: &Band) -> bool {
-        self.from <= other.from && other.below <= self.below
+    fn covers(&self, other: &DurationRange) -> bool {
+        self.from_us <= other.from_us && other.below_us <= self.below_us
     }
-    fn meets(&self, other: &Band) -> bool {
-        self.from.max(other.from) < self.below.min(other.below)
+    fn meets(&self, other: &DurationRange) -> bool {
+        self.from_us.max(other.from_us) < self.below_us.min(other.below_us)
     }
 }
 
 /// Names of tables: one, or all of a schema as `schema.*`. `public` goes without saying.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Pattern(String);
+pub struct TablePattern(String);
 
-impl Pattern {
+impl TablePattern {
     /// A pattern as operators write it.
-    pub fn new(text: &str) -> Pattern {
-        Pattern(bare(text).to_string())
+    pub fn new(text: &str) -> TablePattern {
+        TablePattern(bare(text).to_string())
     }
     fn holds(&self, table: &str) -> bool {
         match self.0.strip_suffix('*') {
@@ -48,7 +48,7 @@
             None => bare(table) == self.0,
         }
     }
-    fn covers(&self, other: &Pattern) -> bool {
+    fn covers(&self, other: &TablePattern) -> bool {
         self == other || (!other.0.ends_with('*') && self.holds(&other.0))
     }
 }
@@ -59,17 +59,17 @@
 
 /// Where a statement's group comes from.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Group {
+pub enum GroupSelector {
     /// Always this one.
     Constant(u32),
     /// That of its tables, which all have to have the same.
-    ByTable(Vec<(Pattern, u32)>),
+    ByTable(Vec<(TablePattern, u32)>),
     /// By rendezvous hash of the literal that this column is equal to, among these.
     ByKey {
         /// The column's bare name.
         column: String,
         /// The groups, in any order.
-        among: Vec<u32>,
+        groups: Vec<u32>,
     },
 }
 
@@ -83,11 +83,11 @@
     /// Whether writes match.
     pub writes: bool,
     /// All tables of the statement are among these, and it has some.
-    pub tables: Vec<Pattern>,
+    pub tables: Vec<TablePattern>,
     /// Its usual service time is within this.
-    pub cost: Band,
+    pub cost: DurationRange,
     /// Its 95th percentile is within this.
-    pub tail: Band,
+    pub tail: DurationRange,
     /// Whose statements match.
     pub users: BTreeSet<String>,
     /// In which databases.
@@ -97,16 +97,16 @@
     /// How long the client waits, in milliseconds.
     pub deadline_ms: u64,
     /// The group that it gives.
-    pub group: Group,
+    pub group: GroupSelector,
 }
 
 /// What a rule is asked about.
 #[derive(Clone, Copy, Debug)]
-pub struct Facts<'a> {
+pub struct StatementFacts<'a> {
     /// What the shape says.
     pub analysis: &'a Analysis,
     /// How many statements the text holds.
-    pub statements: usize,
+    pub statement_count: usize,
     /// Its usual service time and its 95th percentile, in microseconds.
     pub p50_us: u64,
     /// The 95th percentile.
@@ -117,20 +117,20 @@
     pub database: &'a str,
 }
 
-impl Facts<'_> {
+impl StatementFacts<'_> {
     /// What counts for routing: several statements count as a write, since only the primary may have them all.
     pub fn effect(&self) -> Effect {
-        if self.statements > 1 { self.analysis.effect.max(Effect::Write) } else { self.analysis.effect }
+        if self.statement_count > 1 { self.analysis.effect.max(Effect::Write) } else { self.analysis.effect }
     }
 }
 
 /// Why a statement has no route; the text is what its client is told.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct NoRoute(pub String);
+pub struct GroupError(pub String);
 
 impl Rule {
     /// Whether this rule takes the statement.
-    pub fn matches(&self, f: &Facts) -> bool {
+    pub fn matches(&self, f: &StatementFacts) -> bool {
         let effect = match f.effect() {
             Effect::Read => self.reads,
             Effect::Write => self.writes,
@@ -157,12 +157,12 @@
     /// The group of a statement that matches; `literal` gives the text of a slot, and whether it stands for
     /// several.
     pub fn group<'t>(
-        &self, facts: &Facts, literal: impl Fn(u16) -> Option<(&'t str, bool)>,
-    ) -> Result<u32, NoRoute> {
+        &self, facts: &StatementFacts, literal: impl Fn(u16) -> Option<(&'t str, bool)>,
+    ) -> Result<u32, GroupError> {
         let analysis = facts.analysis;
         match &self.group {
-            Group::Constant(group) => Ok(*group),
-            Group::ByTable(groups) => {
+            GroupSelector::Constant(group) => Ok(*group),
+            GroupSelector::ByTable(groups) => {
                 let of = |t: &str| groups.iter().find(|(p, _)| p.holds(t)).map(|g| g.1);
                 let mut found = None;
                 for table in &analysis.tables {
@@ -175,14 +175,14 @@
                 found.ok_or_else(|| self.no("it names no table, and tables give the group".into()))
             }
             // Guards against a second statement, of another key or of none, following the first one's.
-            Group::ByKey { .. } if facts.statements > 1 => {
+            GroupSelector::ByKey { .. } if facts.statement_count > 1 => {
                 Err(self.no("several statements have no common key".into()))
             }
-            Group::ByKey { column, among } => {
+            GroupSelector::ByKey { column, groups } => {
                 let mut found: Option<String> = None;
                 for key in analysis.keys.iter().filter(|k| *k.column == **column) {
                     let (text, many) =
-                        literal(key.slot).ok_or_else(|| self.no("a literal is lost".into()))?;
+                        literal(key.literal_index).ok_or_else(|| self.no("a literal is lost".into()))?;
                     if many {
                         return Err(self.no(format!("{column} is equal to several literals")));
                     }
@@ -195,13 +195,13 @@
                     found = Some(text);
                 }
                 let key = found.ok_or_else(|| self.no(format!("{column} is equal to no literal")))?;
-                rendezvous(&key, among).ok_or_else(|| self.no("it names no groups".into()))
+                rendezvous(&key, groups).ok_or_else(|| self.no("it names no groups".into()))
             }
         }
     }
 
-    fn no(&self, what: String) -> NoRoute {
-        NoRoute(format!("rule {:?} takes this statement, and gives no group: {what}", self.name))
+    fn no(&self, what: String) -> GroupError {
+        GroupError(format!("rule {:?} takes this statement, and gives no group: {what}", self.name))
     }
 
     /// Whether this rule takes every statement that the other takes.
@@ -216,7 +216,7 @@
     }
 
     fn covers_tables(&self, other: &Rule) -> bool {
-        let all = |p: &Pattern| self.tables.iter().any(|mine| mine.covers(p));
+        let all = |p: &TablePattern| self.tables.iter().any(|mine| mine.covers(p));
         self.tables.is_empty() || (!other.tables.is_empty() && other.tables.iter().all(all))
     }
 
@@ -261,7 +261,7 @@
 
 /// What is wrong with the rules as a whole.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum RuleFault {
     /// No statement can match it: why.
     Unreachable(String, String),
     /// Earlier rules take all that it could: which.
@@ -270,19 +270,19 @@
     Overlap(String, String),
 }
 
-impl Fault {
+impl RuleFault {
     /// Whether the rules can't be meant so. An overlap may be.
     pub fn is_error(&self) -> bool {
-        !matches!(self, Fault::Overlap(..))
+        !matches!(self, RuleFault::Overlap(..))
     }
 }
 
-impl std::fmt::Display for Fault {
+impl std::fmt::Display for RuleFault {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Fault::Unreachable(rule, why) => write!(f, "rule {rule:?} is unreachable: {why}"),
-            Fault::Shadowed(rule, by) => write!(f, "rule {rule:?} is shadowed by {}", by.join(", ")),
-            Fault::Overlap(a, b) => {
+            RuleFault::Unreachable(rule, why) => write!(f, "rule {rule:?} is unreachable: {why}"),
+            RuleFault::Shadowed(rule, by) => write!(f, "rule {rule:?} is shadowed by {}", by.join(", ")),
+            RuleFault::Overlap(a, b) => {
                 write!(f, "rules {a:?} and {b:?} overlap and differ; where both match, {a:?} counts")
             }
         }
@@ -297,22 +297,22 @@
 const MOST_CELLS: usize = 200_000;
 
 /// Looks for rules that cannot be meant as they stand.
-pub fn faults(rules: &[Rule], classes: Option<&Classes>) -> Vec<Fault> {
+pub fn find_faults(rules: &[Rule], classes: Option<&Classes>) -> Vec<RuleFault> {
     let mut out = Vec::new();
     for (i, rule) in rules.iter().enumerate() {
         if let Some(why) = impossible(rule, classes) {
-            out.push(Fault::Unreachable(rule.name.clone(), why));
+            out.push(RuleFault::Unreachable(rule.name.clone(), why));
             continue;
         }
         let by = shadows(rule, &rules[..i]);
         if !by.is_empty() {
-            out.push(Fault::Shadowed(rule.name.clone(), by));
+            out.push(RuleFault::Shadowed(rule.name.clone(), by));
             continue;
         }
         for earlier in &rules[..i] {
             let nested = earlier.covers(rule) || rule.covers(earlier);
             if earlier.meets(rule) && !nested && !earlier.gives_the_same(rule) {
-                out.push(Fault::Overlap(earlier.name.clone(), rule.name.clone()));
+                out.push(RuleFault::Overlap(earlier.name.clone(), rule.name.clone()));
             }
         }
     }
@@ -321,17 +321,17 @@
 
 fn impossible(rule: &Rule, classes: Option<&Classes>) -> Option<String> {
     for (key, band) in [("cost_ms", rule.cost), ("tail_ms", rule.tail)] {
-        if band.from >= band.below {
+        if band.from_us >= band.below_us {
             return Some(format!("{key} holds no time"));
         }
     }
-    if rule.tail.below <= rule.cost.from {
+    if rule.tail.below_us <= rule.cost.from_us {
         return Some("tail_ms ends before cost_ms begins, and a tail is never shorter".into());
     }
     if !rule.reads && !rule.writes {
         return Some("it takes neither reads nor writes".into());
     }
-    if matches!(&rule.group, Group::ByKey { among, .. } if among.is_empty()) {
+    if matches!(&rule.group, GroupSelector::ByKey { groups, .. } if groups.is_empty()) {
         return Some("it names no groups".into());
     }
     let writes = match classes?.get(&rule.class) {
@@ -347,10 +347,11 @@
 /// a cell whole or not at all. Of tables, the statement with all that the rule names is the hardest for others.
 fn shadows(rule: &Rule, earlier: &[Rule]) -> Vec<String> {
     let near: Vec<&Rule> = earlier.iter().filter(|e| e.covers_tables(rule) && e.meets(rule)).collect();
-    let starts = |band: fn(&Rule) -> Band| {
+    let starts = |band: fn(&Rule) -> DurationRange| {
         let own = band(rule);
-        let mut starts: BTreeSet<u64> = near.iter().flat_map(|e| [band(e).from, band(e).below]).collect();
-        starts.insert(own.from);
+        let mut starts: BTreeSet<u64> =
+            near.iter().flat_map(|e| [band(e).from_us, band(e).below_us]).collect();
+        starts.insert(own.from_us);
         starts.retain(|&at| own.holds(at));
         starts
     };
@@ -372,7 +373,7 @@
         return Vec::new();
     }
     // A tail is never shorter than the usual time.
-    let ends = |tail: u64| tails.range(tail + 1..).next().copied().unwrap_or(rule.tail.below);
+    let ends = |tail: u64| tails.range(tail + 1..).next().copied().unwrap_or(rule.tail.below_us);
     let mut by = BTreeSet::new();
     for write in [false, true].into_iter().filter(|&w| if w { rule.writes } else { rule.reads }) {
         for &cost in &costs {
--- a/crates/route/src/block.rs
+++ b/crates/route/src/transaction.rs
@@ -2,11 +2,11 @@
 //! let a statement through that its client believes to be inside: each would be committed by itself, and a ROLLBACK
 //! would take nothing back.
 
-use sillfold_sql::Control;
+use sillfold_sql::TransactionControl;
 
 /// Where a session stands, as PostgreSQL has it after an error in a transaction.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Block {
+pub enum TransactionState {
     /// In no transaction.
     #[default]
     Idle,
@@ -16,30 +16,30 @@
 
 /// What becomes of a text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Met {
+pub enum TransactionStep {
     /// It is treated as any other.
-    Passes,
+    Process,
     /// It is refused unread, being inside.
-    Inside,
+    Refuse,
     /// It ends the transaction, of which nothing has run.
-    Ended,
+    End,
 }
 
-impl Block {
+impl TransactionState {
     /// A text comes; `control` is the last word on transactions in it.
-    pub fn meets(&mut self, control: Option<Control>) -> Met {
+    pub fn advance(&mut self, control: Option<TransactionControl>) -> TransactionStep {
         match (*self, control) {
-            (Block::Idle, Some(Control::Begins)) => {
-                *self = Block::Refused;
+            (TransactionState::Idle, Some(TransactionControl::Begin)) => {
+                *self = TransactionState::Refused;
                 // Refused too, with its own reason.
-                Met::Passes
+                TransactionStep::Process
             }
-            (Block::Idle, _) => Met::Passes,
-            (Block::Refused, Some(Control::Ends)) => {
-                *self = Block::Idle;
-                Met::Ended
+            (TransactionState::Idle, _) => TransactionStep::Process,
+            (TransactionState::Refused, Some(TransactionControl::End)) => {
+                *self = TransactionState::Idle;
+                TransactionStep::End
             }
-            (Block::Refused, _) => Met::Inside,
+            (TransactionState::Refused, _) => TransactionStep::Refuse,
         }
     }
 }
--- a/crates/sql/src/analysis.rs
+++ b/crates/sql/src/analysis.rs
@@ -30,11 +30,11 @@
 
 /// What a text says of transactions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Control {
+pub enum TransactionControl {
     /// It begins one.
-    Begins,
+    Begin,
     /// It ends one.
-    Ends,
+    End,
     /// It means one that is open, or prepared elsewhere.
     Within,
 }
@@ -43,7 +43,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unsupported {
     /// BEGIN and what belongs to it; of several, the last that begins or ends one.
-    Transaction(Control),
+    Transaction(TransactionControl),
     /// State of a session.
     Session,
     /// The data stream of COPY.
@@ -52,18 +52,18 @@
 
 /// A column that is set equal to a literal, by the literal's place among the shape's placeholders.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Key {
+pub struct KeyLiteral {
     /// The column's bare name.
     pub column: Box<str>,
     /// Which placeholder.
-    pub slot: u16,
+    pub literal_index: u16,
     /// Whether the literal is negative.
     pub negative: bool,
 }
 
 /// What a syntax tree shows of a statement's cost.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Features {
+pub struct CostFeatures {
     /// Tables joined to the first of their query.
     pub joins: u16,
     /// Calls of aggregates, and GROUP BY clauses.
@@ -86,15 +86,15 @@
     /// What running it does.
     pub effect: Effect,
     /// Why, for whoever asks.
-    pub why: Cow<'static, str>,
+    pub reason: Cow<'static, str>,
     /// What stands against carrying it at all.
     pub unsupported: Option<Unsupported>,
     /// Its tables, as written, each once.
     pub tables: Vec<Box<str>>,
     /// Columns that every row concerned has equal to a literal.
-    pub keys: Vec<Key>,
+    pub keys: Vec<KeyLiteral>,
     /// What its syntax tree shows of its cost.
-    pub features: Features,
+    pub features: CostFeatures,
 }
 
 impl Analysis {
@@ -102,29 +102,29 @@
     pub(crate) fn new() -> Analysis {
         Analysis {
             effect: Effect::Read,
-            why: Cow::Borrowed(""),
+            reason: Cow::Borrowed(""),
             unsupported: None,
             tables: Vec::new(),
             keys: Vec::new(),
-            features: Features::default(),
+            features: CostFeatures::default(),
         }
     }
 
     /// Bytes on the heap.
-    pub fn heap(&self) -> usize {
-        let why = if let Cow::Owned(text) = &self.why { text.capacity() } else { 0 };
+    pub fn heap_bytes(&self) -> usize {
+        let why = if let Cow::Owned(text) = &self.reason { text.capacity() } else { 0 };
         let tables: usize = self.tables.iter().map(|t| t.len()).sum();
         let keys: usize = self.keys.iter().map(|k| k.column.len()).sum();
         why + tables
             + keys
             + self.tables.capacity() * size_of::<Box<str>>()
-            + self.keys.capacity() * size_of::<Key>()
+            + self.keys.capacity() * size_of::<KeyLiteral>()
     }
 
     /// Takes over an effect that is stricter than the present one, with its reason.
     pub(crate) fn raise(&mut self, effect: Effect, why: impl Into<Cow<'static, str>>) {
         if effect > self.effect {
-            (self.effect, self.why) = (effect, why.into());
+            (self.effect, self.reason) = (effect, why.into());
         }
     }
 }
--- a/crates/sql/src/functions.rs
+++ b/crates/sql/src/functions.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FunctionKind {
     /// Nothing beyond its value.
-    Harmless,
+    SideEffectFree,
     /// The same, over many rows.
     Aggregate,
     /// It changes the session, or needs what was left in it.
@@ -20,13 +20,13 @@
 
 /// What operators say beside the list.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Additions {
+pub struct FunctionAdditions {
     /// Functions without effects, as they are called: `area` or `gis.area`.
-    pub harmless: Vec<String>,
+    pub side_effect_free: Vec<String>,
     /// Names, of functions, views or anything else, whose mention makes a statement a write.
-    pub effects: Vec<String>,
+    pub with_effects: Vec<String>,
     /// Whether the list that comes with the program counts.
-    pub without_builtin: bool,
+    pub omit_builtin: bool,
 }
 
 /// All functions that are known, by the name under which statements call them.
@@ -37,32 +37,35 @@
 
 impl Default for Functions {
     fn default() -> Functions {
-        Functions::new(&Additions::default())
+        Functions::new(&FunctionAdditions::default())
     }
 }
 
 impl Functions {
     /// The list with what operators add; their word outranks it.
-    pub fn new(additions: &Additions) -> Functions {
+    pub fn new(additions: &FunctionAdditions) -> Functions {
         let mut known = HashMap::new();
-        let lines = LIST.lines().filter(|_| !additions.without_builtin);
+        let lines = LIST.lines().filter(|_| !additions.omit_builtin);
         for (kind, names) in lines.filter_map(|l| l.split_once(':')).filter(|l| !l.0.starts_with('#')) {
             let kind = match kind {
                 "aggregate" => FunctionKind::Aggregate,
                 "session" => FunctionKind::Session,
-                _ => FunctionKind::Harmless,
+                _ => FunctionKind::SideEffectFree,
             };
             known.extend(names.split_whitespace().map(|n| (Box::from(n), kind)));
         }
-        known.extend(additions.harmless.iter().map(|n| (Box::from(n.as_str()), FunctionKind::Harmless)));
-        let effects: HashSet<Box<str>> = additions.effects.iter().map(|n| Box::from(n.as_str())).collect();
+        known.extend(
+            additions.side_effect_free.iter().map(|n| (Box::from(n.as_str()), FunctionKind::SideEffectFree)),
+        );
+        let effects: HashSet<Box<str>> =
+            additions.with_effects.iter().map(|n| Box::from(n.as_str())).collect();
         known.retain(|name, _| !effects.contains(name));
         Functions { known, effects }
     }
 
     /// What is known of a function by its parts, names in quotes without them. A list name counts bare or in
     /// `pg_catalog`, one of operators as they wrote it.
-    pub fn get(&self, parts: &[impl AsRef<str>]) -> Option<FunctionKind> {
+    pub fn kind(&self, parts: &[impl AsRef<str>]) -> Option<FunctionKind> {
         match parts {
             [name] => self.known.get(name.as_ref()).copied(),
             [schema, name] if schema.as_ref() == "pg_catalog" && !name.as_ref().contains('.') => {
@@ -77,12 +80,12 @@
     }
 
     /// Whether the mention of a name, or of one in a schema, is a write.
-    pub fn has_effect(&self, name: &str) -> bool {
+    pub fn has_effects(&self, name: &str) -> bool {
         self.effects.contains(name)
     }
 
     /// Whether anything is said of effects at all.
-    pub fn any_effects(&self) -> bool {
+    pub fn any_with_effects(&self) -> bool {
         !self.effects.is_empty()
     }
 }
--- a/crates/sql/src/lex.rs
+++ b/crates/sql/src/lex.rs
@@ -1,5 +1,5 @@
 //! Tokens, shapes and literals: the one reading of a statement's text that everything else rests on. It owns
-//! where a token begins and ends, as PostgreSQL's own scanner sees it. It must never judge a statement,
+//! where a token begins and ends, as PostgreSQL's own scanner sees it. It must never analyze a statement,
 //! and never drop anything of which a verdict depends: only literals, comments and white space go.
 
 use logos::{Lexer, Logos, Skip};
@@ -7,25 +7,25 @@
 
 /// Why a text is no statement at all, whatever the server's settings are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unreadable {
+pub enum ReadError {
     /// A NUL, which the protocol cannot carry.
     Nul,
     /// Bytes that are not UTF-8.
     Encoding,
     /// A quoted literal, name or comment that does not end.
-    Unended,
+    Unterminated,
     /// Nothing but white space and comments.
     Empty,
 }
 
-impl Unreadable {
+impl ReadError {
     /// What a client is told.
-    pub fn why(self) -> &'static str {
+    pub fn message(self) -> &'static str {
         match self {
-            Unreadable::Nul => "a NUL stands in the statement",
-            Unreadable::Encoding => "the statement is not UTF-8",
-            Unreadable::Unended => "a quoted text or a comment does not end",
-            Unreadable::Empty => "there is no statement",
+            ReadError::Nul => "a NUL stands in the statement",
+            ReadError::Encoding => "the statement is not UTF-8",
+            ReadError::Unterminated => "a quoted text or a comment does not end",
+            ReadError::Empty => "there is no statement",
         }
     }
 }
@@ -33,7 +33,7 @@
 /// A token as it stands in the text.
 #[derive(Logos, Clone, Copy, Debug, PartialEq, Eq)]
 // Bytes, not characters: beyond ASCII all belong to words, and a text that is UTF-8 is never cut inside one.
-#[logos(error = Unended, utf8 = false)]
+#[logos(error = Unterminated, utf8 = false)]
 #[logos(skip r"[ \t\r\n\x0b\x0c]+")]
 pub(crate) enum Token {
     #[regex(r"--[^\r\n]*", logos::skip, allow_greedy = true)]
@@ -88,7 +88,7 @@
 
 /// The logos error: something quoted does not end, the only way in which no token comes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Unended;
+pub(crate) struct Unterminated;
 
 type Cut<'s> = Lexer<'s, Token>;
 
@@ -109,11 +109,11 @@
 }
 
 /// Comments nest, as in PostgreSQL and not in most other languages.
-fn block_comment(lex: &mut Cut) -> Result<Skip, Unended> {
+fn block_comment(lex: &mut Cut) -> Result<Skip, Unterminated> {
     let bytes = lex.remainder();
     let (mut depth, mut at) = (1usize, 0);
     while depth > 0 {
-        match bytes.get(at..at + 2).ok_or(Unended)? {
+        match bytes.get(at..at + 2).ok_or(Unterminated)? {
             b"/*" => (depth, at) = (depth + 1, at + 2),
             b"*/" => (depth, at) = (depth - 1, at + 2),
             _ => at += 1,
@@ -123,11 +123,11 @@
     Ok(Skip)
 }
 
-fn quoted_name(lex: &mut Cut) -> Result<(), Unended> {
+fn quoted_name(lex: &mut Cut) -> Result<(), Unterminated> {
     let bytes = lex.remainder();
     let mut at = 0;
     loop {
-        at += memchr::memchr(b'"', &bytes[at..]).ok_or(Unended)? + 1;
+        at += memchr::memchr(b'"', &bytes[at..]).ok_or(Unterminated)? + 1;
         if bytes.get(at) != Some(&b'"') {
             lex.bump(at);
             return Ok(());
@@ -160,11 +160,11 @@
 
 /// A string whose backslashes mean nothing, up to its end. True where with `standard_conforming_strings`
 /// off a backslash would hide one of its quotes, so that the string would end elsewhere.
-fn plain_string(lex: &mut Cut) -> Result<bool, Unended> {
+fn plain_string(lex: &mut Cut) -> Result<bool, Unterminated> {
     let bytes = lex.remainder();
     let (mut at, mut unsure, mut begun) = (0, false, 0);
     loop {
-        at += memchr::memchr(b'\'', &bytes[at..]).ok_or(Unended)?;
+        at += memchr::memchr(b'\'', &bytes[at..]).ok_or(Unterminated)?;
         let slashes = bytes[begun..at].iter().rev().take_while(|&&b| b == b'\\').count();
         unsure |= slashes % 2 == 1;
         at += 1;
@@ -180,11 +180,11 @@
     }
 }
 
-fn escape_string(lex: &mut Cut) -> Result<(), Unended> {
+fn escape_string(lex: &mut Cut) -> Result<(), Unterminated> {
     let bytes = lex.remainder();
     let mut at = 0;
     loop {
-        match bytes.get(at).ok_or(Unended)? {
+        match bytes.get(at).ok_or(Unterminated)? {
             b'\\' => at += 2,
             b'\'' if bytes.get(at + 1) == Some(&b'\'') => at += 2,
             b'\'' => match continued(bytes, at + 1) {
@@ -198,11 +198,11 @@
     Ok(())
 }
 
-fn dollar_string(lex: &mut Cut) -> Result<(), Unended> {
+fn dollar_string(lex: &mut Cut) -> Result<(), Unterminated> {
     let (tag, rest) = (lex.slice(), lex.remainder());
     let mut at = 0;
     loop {
-        at += memchr::memchr(b'$', &rest[at..]).ok_or(Unended)?;
+        at += memchr::memchr(b'$', &rest[at..]).ok_or(Unterminated)?;
         if rest[at..].starts_with(tag) {
             lex.bump(at + tag.len());
             return Ok(());
@@ -228,11 +228,11 @@
 
 /// A literal that a placeholder of the shape stands for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Slot {
+pub struct Literal {
     /// Where it stands in the statement, quotes and all.
-    pub at: Range<usize>,
+    pub span: Range<usize>,
     /// Whether others were folded into it, so that it is only the first of several.
-    pub many: bool,
+    pub folded: bool,
 }
 
 /// A group that ended: where it begins and ends in the shape, and its first slot.
@@ -260,9 +260,9 @@
 
 /// The reading of one statement's text; kept and used again, so that a warm reading allocates nothing.
 #[derive(Default)]
-pub struct Reading {
+pub struct StatementReader {
     shape: Vec<u8>,
-    slots: Vec<Slot>,
+    slots: Vec<Literal>,
     groups: Vec<Group>,
     /// The group that ended last outside all others.
     outermost: Option<Ended>,
@@ -272,7 +272,7 @@
     unsure: bool,
 }
 
-impl Reading {
+impl StatementReader {
     /// The shape: tokens, each followed by a space; every string is `'?'` and every number `0`.
     pub fn shape(&self) -> &str {
         // All of it is ASCII or whole words of a text that is UTF-8.
@@ -283,15 +283,15 @@
         &self.shape
     }
     /// The literals, in the order of the shape's placeholders.
-    pub fn slots(&self) -> &[Slot] {
+    pub fn literals(&self) -> &[Literal] {
         &self.slots
     }
     /// Statements that are not empty.
-    pub fn statements(&self) -> usize {
+    pub fn statement_count(&self) -> usize {
         self.statements
     }
     /// Whether `standard_conforming_strings = off` would read other tokens.
-    pub fn unsure(&self) -> bool {
+    pub fn quoting_is_ambiguous(&self) -> bool {
         self.unsure
     }
 
@@ -304,14 +304,14 @@
     }
 
     /// Reads bytes as they came from a client.
-    pub fn read_bytes<'t>(&mut self, bytes: &'t [u8]) -> Result<&'t str, Unreadable> {
-        let text = std::str::from_utf8(bytes).map_err(|_| Unreadable::Encoding)?;
+    pub fn read_bytes<'t>(&mut self, bytes: &'t [u8]) -> Result<&'t str, ReadError> {
+        let text = std::str::from_utf8(bytes).map_err(|_| ReadError::Encoding)?;
         self.read(text).map(|()| text)
     }
 
     /// Reads a text: afterwards shape, slots and the rest are this statement's. Takes time in proportion to
     /// its length, and memory for no more than its shape.
-    pub fn read(&mut self, text: &str) -> Result<(), Unreadable> {
+    pub fn read(&mut self, text: &str) -> Result<(), ReadError> {
         self.shape.clear();
         self.slots.clear();
         self.groups.clear();
@@ -319,11 +319,11 @@
         self.beyond = 0;
         let (mut begun, mut creates, mut atomic) = (false, false, 0);
         if memchr::memchr(0, text.as_bytes()).is_some() {
-            return Err(Unreadable::Nul);
+            return Err(ReadError::Nul);
         }
         let mut lex = Token::lexer(text.as_bytes());
         while let Some(token) = lex.next() {
-            let token = token.map_err(|Unended| Unreadable::Unended)?;
+            let token = token.map_err(|Unterminated| ReadError::Unterminated)?;
             if token == Token::Semicolon && atomic == 0 {
                 (begun, creates) = (false, false);
                 continue;
@@ -354,7 +354,7 @@
             }
             self.take(token, lex.slice(), lex.span());
         }
-        if self.statements == 0 { Err(Unreadable::Empty) } else { Ok(()) }
+        if self.statements == 0 { Err(ReadError::Empty) } else { Ok(()) }
     }
 
     fn take(&mut self, token: Token, slice: &[u8], span: Range<usize>) {
@@ -415,9 +415,9 @@
         }
     }
 
-    fn literal(&mut self, placeholder: &[u8], at: Range<usize>) {
+    fn literal(&mut self, placeholder: &[u8], span: Range<usize>) {
         self.shape.extend_from_slice(placeholder);
-        self.slots.push(Slot { at, many: false });
+        self.slots.push(Literal { span, folded: false });
     }
 
     /// An element of the innermost group ends. In a list, one that is only a literal goes into the literal
@@ -443,7 +443,7 @@
             // Its comma stays: the next element stands where this one stood.
             self.slots.truncate(group.element_slots);
             if let Some(first) = self.slots.last_mut() {
-                first.many = true;
+                first.folded = true;
             }
             return true;
         }
@@ -469,7 +469,7 @@
                 let count = self.slots.len() - last.slots;
                 self.shape.truncate(before.end);
                 self.slots.truncate(last.slots);
-                self.slots[last.slots - count..].iter_mut().for_each(|s| s.many = true);
+                self.slots[last.slots - count..].iter_mut().for_each(|s| s.folded = true);
                 before
             }
             None => last,
--- a/crates/sql/src/lib.rs
+++ b/crates/sql/src/lib.rs
@@ -3,12 +3,12 @@
 //! write; where it is not sure, it says `Write`.
 //!
 //! ```
-//! use sillfold_sql::{Bounds, Effect, Functions, Reading, judge};
+//! use sillfold_sql::{ParseLimits, Effect, Functions, StatementReader, analyze};
 //!
-//! let mut reading = Reading::default();
+//! let mut reading = StatementReader::default();
 //! reading.read("SELECT payload FROM entries WHERE ref IN ('a', 'b') -- both").unwrap();
 //! assert_eq!(reading.shape(), "select payload from entries where ref in ( '?' ) ");
-//! let analysis = judge(reading.shape(), &Functions::default(), &Bounds::default());
+//! let analysis = analyze(reading.shape(), &Functions::default(), &ParseLimits::default());
 //! assert_eq!(analysis.effect, Effect::Read);
 //! assert_eq!(&*analysis.tables[0], "entries");
 //! ```
@@ -16,13 +16,13 @@
 #![warn(missing_docs)]
 
 mod analysis;
+mod analyze;
 mod functions;
-mod judge;
 mod lex;
 mod scan;
 mod tree;
 
-pub use analysis::{Analysis, Control, Effect, Features, Key, Unsupported};
-pub use functions::{Additions, FunctionKind, Functions};
-pub use judge::{Bounds, judge};
-pub use lex::{Reading, Slot, Unreadable, literal_text};
+pub use analysis::{Analysis, CostFeatures, Effect, KeyLiteral, TransactionControl, Unsupported};
+pub use analyze::{ParseLimits, analyze};
+pub use functions::{FunctionAdditions, FunctionKind, Functions};
+pub use lex::{Literal, ReadError, StatementReader, literal_text};
--- a/crates/sql/src/scan.rs
+++ b/crates/sql/src/scan.rs
@@ -2,7 +2,7 @@
 //! grammar, so that no misread grammar can hide a write. It must never take a word that it does not know for
 //! a harmless one.
 
-use crate::analysis::{Analysis, Control, Effect, Unsupported};
+use crate::analysis::{Analysis, Effect, TransactionControl, Unsupported};
 use crate::functions::{FunctionKind, Functions};
 use crate::lex::{Token, tokens};
 
@@ -103,7 +103,7 @@
     "&>", "<<|", "|>>", "&<|", "|&>", "<^", ">^", "?#", "?-", "?-|", "?||", "~=", "@-@", "##", "=>",
 ];
 
-/// The scan over the tokens: the judge who knows no grammar, and so cannot be misled by one.
+/// The scan over the tokens: the analyze who knows no grammar, and so cannot be misled by one.
 pub(crate) struct Scan<'f> {
     functions: &'f Functions,
     pub analysis: Analysis,
@@ -150,15 +150,15 @@
             _ if TRANSACTION.contains(&first) || (first, second) == ("prepare", "transaction") => {
                 let to = statement[begin..].iter().any(|t| (t.0, t.1) == (Token::Word, "to"));
                 let control = match first {
-                    _ if second == "prepared" => Control::Within,
-                    "begin" | "start" => Control::Begins,
-                    "rollback" if to => Control::Within,
-                    "commit" | "end" | "abort" | "rollback" | "prepare" => Control::Ends,
-                    _ => Control::Within,
+                    _ if second == "prepared" => TransactionControl::Within,
+                    "begin" | "start" => TransactionControl::Begin,
+                    "rollback" if to => TransactionControl::Within,
+                    "commit" | "end" | "abort" | "rollback" | "prepare" => TransactionControl::End,
+                    _ => TransactionControl::Within,
                 };
                 // Transactions outrank what else can't be carried, and the last one counts.
                 let known = matches!(self.analysis.unsupported, Some(Unsupported::Transaction(_)));
-                if !known || control != Control::Within {
+                if !known || control != TransactionControl::Within {
                     self.analysis.unsupported = Some(Unsupported::Transaction(control));
                 }
                 self.analysis
@@ -279,11 +279,11 @@
 
     /// Names that operators listed as having effects.
     fn mention(&mut self, tokens: &[(Token, &str)], i: usize) {
-        if !self.functions.any_effects() {
+        if !self.functions.any_with_effects() {
             return;
         }
         let whole = dotted(tokens, i).join(".");
-        if self.functions.has_effect(bare(tokens[i].1)) || self.functions.has_effect(&whole) {
+        if self.functions.has_effects(bare(tokens[i].1)) || self.functions.has_effects(&whole) {
             self.analysis.raise(Effect::Write, format!("{whole} is listed as having effects"));
         }
     }
@@ -324,8 +324,8 @@
         if parts.len() == 1 && (alias || common) {
             return;
         }
-        match self.functions.get(&parts) {
-            Some(FunctionKind::Harmless | FunctionKind::Aggregate) => {}
+        match self.functions.kind(&parts) {
+            Some(FunctionKind::SideEffectFree | FunctionKind::Aggregate) => {}
             Some(FunctionKind::Session) => {
                 let what = parts.join(".");
                 self.analysis.raise(Effect::Session, format!("{what}() belongs to a session"));
--- a/crates/sql/src/tree.rs
+++ b/crates/sql/src/tree.rs
@@ -2,7 +2,7 @@
 //! the use of the parser. It must never recurse deeper than the bounds of the caller allow, and never take
 //! a node that it does not know for a harmless one.
 
-use crate::analysis::{Analysis, Effect, Features, Key};
+use crate::analysis::{Analysis, CostFeatures, Effect, KeyLiteral};
 use crate::functions::{FunctionKind, Functions};
 use crate::lex::{Token, tokens};
 use sqlparser::ast::{
@@ -45,7 +45,7 @@
 }
 
 /// Parses a shape and walks over its syntax tree. The error says why the shape does not parse.
-pub(crate) fn analyse(shape: &str, functions: &Functions) -> Result<Analysis, String> {
+pub(crate) fn analyze(shape: &str, functions: &Functions) -> Result<Analysis, String> {
     let text = numbered(shape);
     let dialect = PostgreSqlDialect {};
     let parsed = Parser::new(&dialect).with_recursion_limit(RECURSION).try_with_sql(&text);
@@ -83,7 +83,7 @@
 
 impl<'f> Walk<'f> {
     fn new(functions: &'f Functions) -> Walk<'f> {
-        let features = Features { limited: true, ..Features::default() };
+        let features = CostFeatures { limited: true, ..CostFeatures::default() };
         let analysis = Analysis { features, ..Analysis::new() };
         Walk { functions, analysis, common: Vec::new(), explained: false, depth: 0 }
     }
@@ -175,12 +175,16 @@
             };
         }
         let Expr::Value(value) = value else { return };
-        let slot = match &value.value {
+        let literal_index = match &value.value {
             Value::SingleQuotedString(s) | Value::Number(s, _) => s.parse().ok(),
             _ => None,
         };
-        if let Some(slot) = slot {
-            self.analysis.keys.push(Key { column: Box::from(column.value.as_str()), slot, negative });
+        if let Some(literal_index) = literal_index {
+            self.analysis.keys.push(KeyLiteral {
+                column: Box::from(column.value.as_str()),
+                literal_index,
+                negative,
+            });
         }
     }
 
@@ -192,9 +196,9 @@
         }
         let parts: Option<Vec<&str>> =
             name.0.iter().map(|p| p.as_ident().map(|i| i.value.as_str())).collect();
-        let known = parts.as_deref().and_then(|p| self.functions.get(p));
+        let known = parts.as_deref().and_then(|p| self.functions.kind(p));
         match known {
-            Some(FunctionKind::Harmless) => {}
+            Some(FunctionKind::SideEffectFree) => {}
             Some(FunctionKind::Aggregate) => self.analysis.features.aggregates += 1,
             Some(FunctionKind::Session) => {
                 self.analysis.raise(Effect::Session, format!("{name}() belongs to a session"))
--- a/crates/sql/tests/corpus.rs
+++ b/crates/sql/tests/corpus.rs
@@ -6,16 +6,16 @@
 
 /// The verdict as the proxy takes it: the shape's, and no read where another setting would read otherwise.
 fn verdict(text: &str) -> (Effect, String) {
-    let mut reading = Reading::default();
+    let mut reading = StatementReader::default();
     if let Err(e) = reading.read(text) {
-        return (Effect::Invalid, e.why().to_string());
+        return (Effect::Invalid, e.message().to_string());
     }
-    let analysis = reading.judge(&Functions::default(), &Bounds::default());
-    (analysis.effect, analysis.why.into_owned())
+    let analysis = reading.analyze(&Functions::default(), &ParseLimits::default());
+    (analysis.effect, analysis.reason.into_owned())
 }
 
 fn shape(text: &str) -> String {
-    let mut reading = Reading::default();
+    let mut reading = StatementReader::default();
     reading.read(text).unwrap_or_else(|e| panic!("{text}: {e:?}"));
     reading.shape().to_string()
 }
@@ -75,14 +75,14 @@
 #[test]
 fn keys_are_found_where_every_row_has_them_and_nowhere_else() {
     let keys = |text: &str| {
-        let mut reading = Reading::default();
+        let mut reading = StatementReader::default();
         reading.read(text).expect(text);
-        let analysis = reading.judge(&Functions::default(), &Bounds::default());
-        let value = |k: &Key| {
-            let slot = &reading.slots()[usize::from(k.slot)];
-            let text = literal_text(&text[slot.at.clone()]);
+        let analysis = reading.analyze(&Functions::default(), &ParseLimits::default());
+        let value = |k: &KeyLiteral| {
+            let slot = &reading.literals()[usize::from(k.literal_index)];
+            let text = literal_text(&text[slot.span.clone()]);
             let sign = if k.negative { "-" } else { "" };
-            let many = if slot.many { "..." } else { "" };
+            let many = if slot.folded { "..." } else { "" };
             format!("{}={sign}{}{many}", k.column, text.as_deref().unwrap_or("?"))
         };
         let mut found: Vec<String> = analysis.keys.iter().map(value).collect();
@@ -136,18 +136,18 @@
         assert!(begun.elapsed().as_secs() < 5, "{head}: {:?}", begun.elapsed());
     }
     // Within the bounds everything is walked without coming near the end of a test's stack.
-    let bounds = Bounds::default();
+    let bounds = ParseLimits::default();
     for (text, read) in [
-        (format!("SELECT {}1{}", "(".repeat(bounds.depth), ")".repeat(bounds.depth)), true),
-        (format!("SELECT 1{}", " + 1".repeat(bounds.links)), true),
-        (format!("SELECT 1{}", " + 1".repeat(bounds.links + 1)), false),
+        (format!("SELECT {}1{}", "(".repeat(bounds.max_depth), ")".repeat(bounds.max_depth)), true),
+        (format!("SELECT 1{}", " + 1".repeat(bounds.max_operators)), true),
+        (format!("SELECT 1{}", " + 1".repeat(bounds.max_operators + 1)), false),
         (format!("SELECT a FROM t WHERE {}", vec!["a = 1"; 100].join(" OR ")), true),
     ] {
         assert_eq!(verdict(&text).0 == Effect::Read, read, "{}", &text[..40]);
     }
-    let mut reading = Reading::default();
-    assert_eq!(reading.read_bytes(b"SELECT '\xff'").err(), Some(Unreadable::Encoding));
-    assert_eq!(reading.read_bytes(b"SELECT 1\0").err(), Some(Unreadable::Nul));
+    let mut reading = StatementReader::default();
+    assert_eq!(reading.read_bytes(b"SELECT '\xff'").err(), Some(ReadError::Encoding));
+    assert_eq!(reading.read_bytes(b"SELECT 1\0").err(), Some(ReadError::Nul));
     // A reading that failed leaves nothing behind.
     reading.read("SELECT 2").expect("read");
     assert_eq!(reading.shape(), "select 0 ");
@@ -155,16 +155,16 @@
 
 #[test]
 fn operators_add_functions_and_names_with_effects() {
-    let judged = |text: &str, additions: &Additions| {
-        let mut reading = Reading::default();
+    let judged = |text: &str, additions: &FunctionAdditions| {
+        let mut reading = StatementReader::default();
         reading.read(text).expect(text);
-        reading.judge(&Functions::new(additions), &Bounds::default()).effect
+        reading.analyze(&Functions::new(additions), &ParseLimits::default()).effect
     };
-    let none = Additions::default();
-    let some = Additions {
-        harmless: vec!["gis.area".into(), "bearing".into()],
-        effects: vec!["audit_view".into(), "lower".into(), "app.touching".into()],
-        without_builtin: false,
+    let none = FunctionAdditions::default();
+    let some = FunctionAdditions {
+        side_effect_free: vec!["gis.area".into(), "bearing".into()],
+        with_effects: vec!["audit_view".into(), "lower".into(), "app.touching".into()],
+        omit_builtin: false,
     };
     for (text, before, after) in [
         ("SELECT gis.area(x) FROM t", Effect::Write, Effect::Read),
@@ -179,7 +179,7 @@
     ] {
         assert_eq!((judged(text, &none), judged(text, &some)), (before, after), "{text}");
     }
-    let bare = Additions { without_builtin: true, ..Additions::default() };
+    let bare = FunctionAdditions { omit_builtin: true, ..FunctionAdditions::default() };
     assert_eq!(judged("SELECT upper(x) FROM t", &bare), Effect::Write);
 }
 
@@ -301,17 +301,17 @@
         ]), 0..60),
     ) {
         let text = text.concat();
-        let mut reading = Reading::default();
+        let mut reading = StatementReader::default();
         if reading.read(&text).is_ok() {
-            let first = reading.judge(&Functions::default(), &Bounds::default()).effect;
-            let (shape, slots) = (reading.shape().to_string(), reading.slots().len());
-            for slot in reading.slots() {
-                prop_assert!(text.get(slot.at.clone()).is_some());
+            let first = reading.analyze(&Functions::default(), &ParseLimits::default()).effect;
+            let (shape, slots) = (reading.shape().to_string(), reading.literals().len());
+            for slot in reading.literals() {
+                prop_assert!(text.get(slot.span.clone()).is_some());
             }
             reading.read(&shape).expect("a shape is a statement");
             prop_assert_eq!(reading.shape(), &shape);
-            prop_assert_eq!(reading.slots().len(), slots);
-            prop_assert!(reading.judge(&Functions::default(), &Bounds::default()).effect <= first);
+            prop_assert_eq!(reading.literals().len(), slots);
+            prop_assert!(reading.analyze(&Functions::default(), &ParseLimits::default()).effect <= first);
         }
     }
 }
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use sillfold::config::Config;
 use sillfold::operator::{File, Findings, classes};
-use sillfold_route::{Desk, Options, Refusal, Route, Target};
+use sillfold_route::{Options, Route, RouteError, StatementRouter, Target};
 use std::io::{self, BufRead, BufReader, BufWriter, Read, Write};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -192,7 +192,7 @@
                 None => return ExitCode::from(2),
             }
         }
-        let mut desk = Desk::new(options);
+        let mut desk = StatementRouter::new(options);
         match self.explain(&mut desk, &mut BufWriter::new(io::stdout().lock())) {
             Ok(0) => ExitCode::SUCCESS,
             Ok(bad) => {
@@ -209,7 +209,7 @@
     }
 
     /// Explains all statements in order; returns how many lines were bad.
-    fn explain(&self, desk: &mut Desk, out: &mut impl Write) -> io::Result<usize> {
+    fn explain(&self, desk: &mut StatementRouter, out: &mut impl Write) -> io::Result<usize> {
         let Some(file) = &self.file else {
             let mut text = Vec::new();
             match &self.statement {
@@ -275,15 +275,15 @@
         Ok(bad)
     }
 
-    fn one(&self, desk: &mut Desk, bytes: &[u8], out: &mut impl Write) -> io::Result<()> {
+    fn one(&self, desk: &mut StatementRouter, bytes: &[u8], out: &mut impl Write) -> io::Result<()> {
         let read = match std::str::from_utf8(bytes) {
             Ok(text) => desk.read(text).map(|read| (read, text)),
-            Err(_) => Err(sillfold_route::sql::Unreadable::Encoding),
+            Err(_) => Err(sillfold_route::sql::ReadError::Encoding),
         };
         let (read, text) = match read {
             Ok(read) => read,
             Err(e) => {
-                let (shape, why) = (format!("{:016x}", 0), e.why().to_string());
+                let (shape, why) = (format!("{:016x}", 0), e.message().to_string());
                 let told = Told {
                     effect: "invalid",
                     target: Target::Refuse.name(),
@@ -299,7 +299,7 @@
                 return self.print(&told, out);
             }
         };
-        let (mut target, mut why) = (read.target(), read.why.to_string());
+        let (mut target, mut why) = (read.target(), read.reason.to_string());
         let mut given = None;
         if self.config.is_some() {
             match desk.route(&read, text, &self.user, &self.database) {
@@ -307,17 +307,17 @@
                     target = if route.writes { Target::Primary } else { Target::Replica };
                     given = Some(route);
                 }
-                Err(Refusal::NotCarried(what) | Refusal::NoRoute(what)) => {
+                Err(RouteError::NotSupported(what) | RouteError::NoRoute(what)) => {
                     (target, why) = (Target::Refuse, what);
                 }
             }
         }
-        let rule = given.as_ref().and_then(|g: &Route| desk.rules().get(g.rule));
+        let rule = given.as_ref().and_then(|g: &Route| desk.rules().get(g.rule_index));
         let told = Told {
             effect: read.effect.name(),
             target: target.name(),
-            shape: format!("{:016x}", read.shape.number()),
-            statements: read.statements,
+            shape: format!("{:016x}", read.shape.fingerprint()),
+            statements: read.statement_count,
             cost_us: read.estimate.p50_us,
             cached: read.cached,
             why,
--- a/src/net/capture.rs
+++ b/src/net/capture.rs
@@ -5,7 +5,7 @@
 use super::core::Core;
 use super::world;
 use crate::operator::CaptureConf;
-use sillfold_capture::{Header, Recorder, VERSION, line};
+use sillfold_capture::{Header, Recorder, VERSION, encode_line};
 use std::fs::{self, OpenOptions};
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
@@ -28,7 +28,7 @@
         let now = core.clock.now() / 1_000;
         let Some(record) = core.recorded(begun, now - begun) else { return };
         begun = now;
-        let (Ok(header), Ok(record)) = (line(&header), line(&record)) else { continue };
+        let (Ok(header), Ok(record)) = (encode_line(&header), encode_line(&record)) else { continue };
         let (path, most, keep) = (file.clone(), conf.most_kb * 1024, conf.keep);
         // Another process may have left a file there: a new one is begun, and that one put aside.
         let done = blocking::unblock(move || append(&path, &header, &record, most, keep, fresh)).await;
--- a/src/net/client.rs
+++ b/src/net/client.rs
@@ -20,7 +20,7 @@
 use crate::mutants;
 use crate::pg::{self, ErrorFields, Frontend, Malformed, Startup, Statement, code};
 use futures_lite::future;
-use sillfold_route::{Block, Met, OwnWrites};
+use sillfold_route::{OwnWrites, TransactionState, TransactionStep};
 use std::cell::RefCell;
 use std::future::{Future, poll_fn};
 use std::io;
@@ -217,7 +217,7 @@
     /// What this session's plain statements have written.
     own: OwnWrites,
     /// Whether it stands in a transaction that was refused.
-    block: Block,
+    block: TransactionState,
     /// What the last answer told of its commit, and how long it took.
     told: Told,
 }
@@ -369,7 +369,7 @@
                 return Ok(true);
             }
             Err(Turned { fields, control }) => {
-                self.block.meets(control);
+                self.block.advance(control);
                 pg::put_error(&mut self.line.out, &fields);
                 self.ready();
                 return Ok(true);
@@ -532,7 +532,8 @@
     /// Whether a statement depends on nothing that its session did before. Plain ones do: what a session wrote, and a
     /// transaction that was refused, count for those behind.
     fn is_independent(&self, text: &str) -> bool {
-        self.block != Block::Refused && (self.all.statements().is_none() || Statement::is_commented(text))
+        self.block != TransactionState::Refused
+            && (self.all.statements().is_none() || Statement::is_commented(text))
     }
 
     fn begin_behind(&mut self, call: Call, statement: Statement, claim: Claim<'a>) {
@@ -607,8 +608,8 @@
         }
         let core = &self.all.core;
         match &verdict {
-            Verdict::Refused { .. } => core.note(|r| r.unserved(of.class, of.group, true)),
-            Verdict::Failed => core.note(|r| r.unserved(of.class, of.group, false)),
+            Verdict::Refused { .. } => core.note(|r| r.request_unserved(of.class, of.group, true)),
+            Verdict::Failed => core.note(|r| r.request_unserved(of.class, of.group, false)),
             _ => {}
         }
         self.put_verdict(of.class, verdict);
@@ -650,14 +651,14 @@
 
     /// Whether a text stands in a transaction that was refused, and has its answer by that.
     fn inside(&mut self, text: &str) -> bool {
-        let met = match self.all.statements().filter(|_| self.block == Block::Refused) {
-            Some(statements) => self.block.meets(statements.control(text)),
-            None => Met::Passes,
+        let met = match self.all.statements().filter(|_| self.block == TransactionState::Refused) {
+            Some(statements) => self.block.advance(statements.control(text)),
+            None => TransactionStep::Process,
         };
         match met {
-            Met::Passes => return false,
-            Met::Ended => pg::put_complete(&mut self.line.out, "ROLLBACK"),
-            Met::Inside => {
+            TransactionStep::Process => return false,
+            TransactionStep::End => pg::put_complete(&mut self.line.out, "ROLLBACK"),
+            TransactionStep::Refuse => {
                 let what = "the transaction was refused, and so is all in it, up to COMMIT or ROLLBACK";
                 self.line.error(code::FAILED_TRANSACTION, what);
             }
@@ -667,22 +668,22 @@
     }
 
     fn ready(&mut self) {
-        pg::put_ready(&mut self.line.out, self.block == Block::Refused);
+        pg::put_ready(&mut self.line.out, self.block == TransactionState::Refused);
     }
 
     /// Takes in how a plain statement ended: what its shape took, and what the session wrote.
     fn note_plain(&mut self, terms: &Terms, verdict: &Verdict) {
         if let (Some(statements), Some((_, took))) = (self.all.statements(), self.told) {
             statements.learn(terms, took);
-            self.all.core.note(|r| r.shape(terms.shape_number(), took.as_micros() as u64));
+            self.all.core.note(|r| r.shape_served(terms.shape_number(), took.as_micros() as u64));
         }
         let now = self.all.core.clock.now();
         match verdict {
             _ if !terms.writes => {}
             Verdict::Served(_) | Verdict::Plain(_) | Verdict::Passed => {
-                self.own.answered(self.told.and_then(|t| t.0), now);
+                self.own.record_answered(self.told.and_then(|t| t.0), now);
             }
-            Verdict::Failed => self.own.unknown(now),
+            Verdict::Failed => self.own.record_unknown(now),
             // It did not run, or was undone.
             Verdict::Refused { .. } | Verdict::Rejected(_) => {}
         }
@@ -739,7 +740,7 @@
             group: statement.group,
             give_up_at: give_up_at(&statement, came, self.all.way_back),
             after: match plain {
-                Some(_) => self.own.after(),
+                Some(_) => self.own.required_position(),
                 None => statement.after_ms.map(Clock::from_unix_ms),
             },
             again: statement.again,
--- a/src/net/core.rs
+++ b/src/net/core.rs
@@ -19,8 +19,8 @@
 use futures_lite::future;
 use oorandom::Rand64;
 use serde::Serialize;
-use sillfold_capture::{Record, Recorder, Tried};
-use sillfold_headroom::{Class as HeadroomClass, Ended, Headroom, Left};
+use sillfold_capture::{Record, RecordedOutcome, Recorder};
+use sillfold_headroom::{AttemptOutcome, Class as HeadroomClass, GroupHeadroom, Headroom};
 use sillfold_talk::Item;
 use std::cell::{Cell, RefCell};
 use std::cmp::Reverse;
@@ -150,7 +150,7 @@
     events: EventFigures,
     /// By group, where it is learnt.
     #[serde(skip_serializing_if = "Option::is_none")]
-    headroom: Option<BTreeMap<GroupId, Left>>,
+    headroom: Option<BTreeMap<GroupId, GroupHeadroom>>,
 }
 
 struct Open {
@@ -291,7 +291,7 @@
             hosts_listed,
             hosts_down,
             events: self.events.figures(),
-            headroom: self.headroom.borrow().as_ref().map(Headroom::left),
+            headroom: self.headroom.borrow().as_ref().map(Headroom::by_group),
         }
     }
 
@@ -304,11 +304,11 @@
     /// Whether a request may come in; always, where headroom does not bind.
     pub fn lets_in(&self, call: &Call) -> bool {
         // What is turned away here has come too.
-        self.note(|r| r.arrived(call.class, call.group, call.expected));
+        self.note(|r| r.request_arrived(call.class, call.group, call.expected));
         let mut headroom = self.headroom.borrow_mut();
         let Some(headroom) = headroom.as_mut() else { return true };
         let lot = self.lots.borrow_mut().rand_float();
-        headroom.arrived(call.class, call.group, lot, self.clock.now()) || !self.sheds.get()
+        headroom.admit(call.class, call.group, lot, self.clock.now()) || !self.sheds.get()
     }
 
     /// From now on load is recorded so, or not at all.
@@ -318,7 +318,7 @@
 
     /// What was recorded in this interval; nothing where nothing is.
     pub fn recorded(&self, at_ms: u64, for_ms: u64) -> Option<Record> {
-        self.recorder.borrow_mut().as_mut().map(|r| r.take(at_ms, for_ms))
+        self.recorder.borrow_mut().as_mut().map(|r| r.take_record(at_ms, for_ms))
     }
 
     /// Tells the record of load, if it is kept.
@@ -702,21 +702,21 @@
         let finished = self.answered.get() || e.outcome == Outcome::Ok;
         self.answered.set(finished);
         let how = match e.outcome {
-            Outcome::Ok => Tried::Served(e.latency.as_micros() as u64),
-            Outcome::Miss => Tried::Missed,
-            _ => Tried::Else,
+            Outcome::Ok => RecordedOutcome::Served(e.latency.as_micros() as u64),
+            Outcome::Miss => RecordedOutcome::Unsuitable,
+            _ => RecordedOutcome::Other,
         };
-        self.core.note(|r| r.tried(self.of.0, self.of.1, how));
+        self.core.note(|r| r.attempt_ended(self.of.0, self.of.1, how));
         if let Some(headroom) = self.core.headroom.borrow_mut().as_mut() {
             let ended = match e.outcome {
-                Outcome::Ok => Ended::Served(e.latency.as_micros() as u64),
-                Outcome::Full | Outcome::Timeout => Ended::Full,
-                _ => Ended::Else,
+                Outcome::Ok => AttemptOutcome::Served(e.latency.as_micros() as u64),
+                Outcome::Full | Outcome::Timeout => AttemptOutcome::Overloaded,
+                _ => AttemptOutcome::Other,
             };
             let now = self.core.clock.now();
-            headroom.tried(self.of.0, self.of.1, e.server, ended, now);
+            headroom.attempt_ended(self.of.0, self.of.1, e.server, ended, now);
             if let (Some(Role::Replica), Some(at)) = (e.note.role, e.note.position) {
-                headroom.behind(self.of.1, now.saturating_sub(at), now);
+                headroom.replica_lag(self.of.1, now.saturating_sub(at), now);
             }
         }
         self.core.feed(Event::Outcome(Returned {
--- a/src/net/statements.rs
+++ b/src/net/statements.rs
@@ -1,4 +1,4 @@
-//! The desk for plain statements, among clients: it owns the `Desk` of the route crate, and turns what that says
+//! The desk for plain statements, among clients: it owns the `StatementRouter` of the route crate, and turns what that says
 //! into classes by number and errors that a client is told. It must never decide a route itself, nor hold a
 //! borrow across an await.
 
@@ -7,8 +7,8 @@
 use crate::pg::{ErrorFields, code};
 use crate::settings::Dialect;
 use serde::Serialize;
-use sillfold_route::sql::{Control, Unreadable};
-use sillfold_route::{Desk, Refusal, Shape};
+use sillfold_route::sql::{ReadError, TransactionControl};
+use sillfold_route::{RouteError, Shape, StatementRouter};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
@@ -28,7 +28,7 @@
 impl Terms {
     /// A number for the statement's shape, to tell by eye.
     pub fn shape_number(&self) -> u64 {
-        self.shape.number()
+        self.shape.fingerprint()
     }
 }
 
@@ -36,7 +36,7 @@
 #[derive(Default)]
 pub struct Turned {
     pub fields: ErrorFields,
-    pub control: Option<Control>,
+    pub control: Option<TransactionControl>,
 }
 
 impl From<ErrorFields> for Turned {
@@ -57,7 +57,7 @@
 
 /// How plain statements get their terms.
 pub struct Statements {
-    desk: RefCell<Desk>,
+    desk: RefCell<StatementRouter>,
     /// The class of each rule, by number.
     classes: RefCell<Vec<u8>>,
     refused: Cell<u64>,
@@ -67,7 +67,7 @@
     /// What the operator's file sets, if it switches them on.
     pub fn of(conf: &Conf, dialect: &Dialect) -> Option<Rc<Statements>> {
         let statements = || Statements {
-            desk: RefCell::new(Desk::new(conf.options())),
+            desk: RefCell::new(StatementRouter::new(conf.options())),
             classes: RefCell::new(numbers(conf, dialect)),
             refused: Cell::default(),
         };
@@ -76,7 +76,7 @@
 
     /// Other rules, from now on.
     pub fn replace(&self, conf: &Conf, dialect: &Dialect) {
-        self.desk.borrow_mut().replace(conf.options());
+        self.desk.borrow_mut().replace_options(conf.options());
         *self.classes.borrow_mut() = numbers(conf, dialect);
     }
 
@@ -89,21 +89,21 @@
         let mut desk = self.desk.borrow_mut();
         let read = match desk.read(text) {
             Ok(read) => read,
-            Err(Unreadable::Empty) => return Ok(None),
-            Err(e @ (Unreadable::Nul | Unreadable::Encoding)) => {
-                return refuse(code::UNTRANSLATABLE, e.why().into());
+            Err(ReadError::Empty) => return Ok(None),
+            Err(e @ (ReadError::Nul | ReadError::Encoding)) => {
+                return refuse(code::UNTRANSLATABLE, e.message().into());
             }
-            Err(e @ Unreadable::Unended) => return refuse(code::SYNTAX_ERROR, e.why().into()),
+            Err(e @ ReadError::Unterminated) => return refuse(code::SYNTAX_ERROR, e.message().into()),
         };
         let route = match desk.route(&read, text, user, database) {
             Ok(route) => route,
-            Err(Refusal::NotCarried(what) | Refusal::NoRoute(what)) => {
+            Err(RouteError::NotSupported(what) | RouteError::NoRoute(what)) => {
                 let turned = refuse(code::FEATURE_NOT_SUPPORTED, what);
-                return turned.map_err(|t| Turned { control: read.control(), ..t });
+                return turned.map_err(|t| Turned { control: read.transaction_control(), ..t });
             }
         };
         // Every rule has a class here: the file was checked against them.
-        let Some(&class) = self.classes.borrow().get(route.rule) else {
+        let Some(&class) = self.classes.borrow().get(route.rule_index) else {
             return refuse(code::UNDEFINED_OBJECT, "the rule's class is not known here".into());
         };
         Ok(Some(Terms {
@@ -117,19 +117,19 @@
     }
 
     /// What a text says of transactions.
-    pub fn control(&self, text: &str) -> Option<Control> {
-        self.desk.borrow_mut().control(text)
+    pub fn control(&self, text: &str) -> Option<TransactionControl> {
+        self.desk.borrow_mut().transaction_control(text)
     }
 
     /// A statement was served in this time.
     pub fn learn(&self, terms: &Terms, took: Duration) {
-        self.desk.borrow_mut().learn(&terms.shape, took.as_micros() as u64);
+        self.desk.borrow_mut().record_duration(&terms.shape, took.as_micros() as u64);
     }
 
     /// The figures of this moment.
     pub fn figures(&self) -> Figures {
         let desk = self.desk.borrow();
-        let (shapes, asked) = (desk.shapes(), desk.shapes().asked());
+        let (shapes, asked) = (desk.shape_cache(), desk.shape_cache().stats());
         Figures {
             shapes: shapes.len(),
             shape_bytes: shapes.bytes(),
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -7,8 +7,8 @@
 use schemars::JsonSchema;
 use serde::Deserialize;
 use sillfold_conf::locate;
-use sillfold_route::sql::{Additions, Bounds};
-use sillfold_route::{Band, Classes, Group, Options, Pattern, Rule, faults};
+use sillfold_route::sql::{FunctionAdditions, ParseLimits};
+use sillfold_route::{Classes, DurationRange, GroupSelector, Options, Rule, TablePattern, find_faults};
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
 
@@ -261,9 +261,9 @@
 }
 
 impl BandConf {
-    fn band(&self) -> Band {
+    fn band(&self) -> DurationRange {
         let us = |ms: f64| (ms * 1e3).round() as u64;
-        Band { from: us(self.from), below: self.below.map_or(u64::MAX, us) }
+        DurationRange { from_us: us(self.from), below_us: self.below.map_or(u64::MAX, us) }
     }
 }
 
@@ -273,7 +273,7 @@
             name: self.name.clone(),
             reads: self.effects.contains(&EffectConf::Read),
             writes: self.effects.contains(&EffectConf::Write),
-            tables: self.tables.iter().map(|t| Pattern::new(t)).collect(),
+            tables: self.tables.iter().map(|t| TablePattern::new(t)).collect(),
             cost: self.cost_ms.band(),
             tail: self.tail_ms.band(),
             users: self.users.clone(),
@@ -281,12 +281,12 @@
             class: self.class.clone(),
             deadline_ms: self.deadline_ms,
             group: match &self.group {
-                GroupConf::Constant(group) => Group::Constant(*group),
+                GroupConf::Constant(group) => GroupSelector::Constant(*group),
                 GroupConf::ByTable(groups) => {
-                    Group::ByTable(groups.iter().map(|(t, g)| (Pattern::new(t), *g)).collect())
+                    GroupSelector::ByTable(groups.iter().map(|(t, g)| (TablePattern::new(t), *g)).collect())
                 }
                 GroupConf::ByKey { column, among } => {
-                    Group::ByKey { column: column.clone(), among: among.clone() }
+                    GroupSelector::ByKey { column: column.clone(), groups: among.clone() }
                 }
             },
         }
@@ -298,19 +298,19 @@
     pub fn options(&self) -> Options {
         Options {
             rules: self.rules.iter().map(RuleConf::rule).collect(),
-            several: self.several == Several::Primary,
+            allow_multiple_statements: self.several == Several::Primary,
             cache_bytes: self.cache_kb as usize * 1024,
-            longest_kept: self.longest_kept as usize,
-            bounds: Bounds {
-                parsed: self.longest_parsed as usize,
-                depth: self.deepest as usize,
-                ..Bounds::default()
+            max_cached_shape_bytes: self.longest_kept as usize,
+            limits: ParseLimits {
+                max_shape_bytes: self.longest_parsed as usize,
+                max_depth: self.deepest as usize,
+                ..ParseLimits::default()
             },
-            base_us: (self.start_cost_ms * 1e3) as u64,
-            additions: Additions {
-                harmless: self.functions.known.clone(),
-                effects: self.functions.effects.clone(),
-                without_builtin: !self.functions.builtin,
+            base_cost_us: (self.start_cost_ms * 1e3) as u64,
+            function_additions: FunctionAdditions {
+                side_effect_free: self.functions.known.clone(),
+                with_effects: self.functions.effects.clone(),
+                omit_builtin: !self.functions.builtin,
             },
         }
     }
@@ -359,8 +359,8 @@
             findings.errors.push(format!("{name}:{}: statements.rules: {what}", locate(text, "statements")));
         }
         let rules: Vec<Rule> = file.statements.rules.iter().map(RuleConf::rule).collect();
-        for fault in faults(&rules, classes.filter(|_| file.statements.enabled)) {
-            use sillfold_route::Fault::{Overlap, Shadowed, Unreachable};
+        for fault in find_faults(&rules, classes.filter(|_| file.statements.enabled)) {
+            use sillfold_route::RuleFault::{Overlap, Shadowed, Unreachable};
             let (Unreachable(rule, _) | Shadowed(rule, _) | Overlap(_, rule)) = &fault;
             let key = format!("statements.rules[{}]", at(rule));
             let line = format!("{name}:{}: {key}: {fault}", locate(text, &key));
--- a/tests/plain.rs
+++ b/tests/plain.rs
@@ -552,7 +552,7 @@
     let mut client = fleet.client();
     let read = |path: &std::path::Path| {
         let (capture, fault) =
-            sillfold_capture::read(&std::fs::read(path).expect("a file")).expect("a capture");
+            sillfold_capture::parse(&std::fs::read(path).expect("a file")).expect("a capture");
         assert!(fault.is_none() || path == file, "{fault:?}");
         capture
     };
