--- a/crates/route/src/cache.rs
+++ b/crates/route/src/cache.rs
@@ -1,6 +1,6 @@
-//! The shape cache: what is known of a shape, found by its whole text. It owns the entries and the count of
-//! their bytes. It must never hold more bytes than it was given, and never answer for a text other than the
-//! one that it keeps: a hash finds the place, the text decides.
+//! The shape cache: the analysis and the measured durations of each shape, looked up by the shape's whole text. The
+//! cache must never hold more bytes than its bound, and never return a shape for a text other than the shape's own:
+//! the hash only selects the candidates, and the texts are compared.
 
 use crate::cost::{CostModel, DurationHistogram, Estimate};
 use crate::hash::fnv1a;
@@ -11,32 +11,32 @@
 use std::hash::{BuildHasher, Hash, Hasher};
 use std::rc::Rc;
 
-/// Bytes of an entry beside the shape itself: the cache's own slot and index, and what the allocator adds to
+/// Bytes of an entry besides the shape itself: the cache's own slot and index, and the allocator's overhead for
 /// three blocks. Measured with `sillfold-lab statements`.
 const ENTRY_BYTES: usize = 112;
 
-/// A shape and all that is known of it.
+/// A shape, its analysis and its durations.
 pub struct Shape {
     text: Box<str>,
-    /// What running it does, its tables and keys.
+    /// The shape's effect, tables and keys.
     pub analysis: Analysis,
-    /// What it took.
+    /// The durations of its statements.
     pub durations: RefCell<DurationHistogram>,
-    /// The last estimate, and how old the experience was then.
+    /// The last estimate, with the generation of the cost model that made it.
     estimate: Cell<Option<(u64, Estimate)>>,
 }
 
 impl Shape {
-    /// One of which only its text tells so far.
+    /// A shape of which no statement has run yet.
     pub fn new(text: &str, analysis: Analysis) -> Shape {
         Shape { text: text.into(), analysis, durations: RefCell::default(), estimate: Cell::default() }
     }
 
-    /// What it is expected to take. Made anew only when it may have changed: it costs more than the rest of a
-    /// warm reading.
+    /// The expected duration. It is computed again only when it may have changed, because computing it costs more
+    /// than the rest of reading a statement whose shape is cached.
     pub fn estimate(&self, costs: &CostModel) -> Estimate {
         match self.estimate.get() {
-            Some((age, estimate)) if age == costs.generation() => estimate,
+            Some((generation, estimate)) if generation == costs.generation() => estimate,
             _ => {
                 let estimate = costs.estimate(&self.analysis, &self.durations.borrow());
                 self.estimate.set(Some((costs.generation(), estimate)));
@@ -45,29 +45,29 @@
         }
     }
 
-    /// It was served in this time.
+    /// Records the duration of a statement of this shape, in microseconds.
     pub fn record_duration(&self, costs: &mut CostModel, us: u64) {
         costs.record_duration(&self.analysis, &mut self.durations.borrow_mut(), us);
         self.estimate.set(None);
     }
 
-    /// Its text.
+    /// The shape's text.
     pub fn text(&self) -> &str {
         &self.text
     }
 
-    /// A number for it, to compare by eye. Nothing is decided by it.
+    /// A hash of the text, for people to compare. No decision depends on it.
     pub fn fingerprint(&self) -> u64 {
         fnv1a(&self.text)
     }
 
-    /// Bytes that it takes in the cache, all counted.
+    /// The bytes that the shape takes in the cache, including the entry's overhead.
     pub fn bytes(&self) -> usize {
         ENTRY_BYTES + size_of::<Shape>() + self.text.len() + self.analysis.heap_bytes()
     }
 }
 
-/// A shape as its own key.
+/// The cache's key: the shape, compared and hashed by its text.
 #[derive(Clone)]
 struct Key(Rc<Shape>);
 
@@ -85,76 +85,81 @@
 
 impl Eq for Key {}
 
-/// The text that is looked for.
-struct Wanted<'t>(&'t [u8]);
+/// The text of a lookup.
+struct LookupText<'t>(&'t [u8]);
 
-impl Hash for Wanted<'_> {
+impl Hash for LookupText<'_> {
     fn hash<H: Hasher>(&self, state: &mut H) {
         self.0.hash(state);
     }
 }
 
-impl Equivalent<Key> for Wanted<'_> {
+impl Equivalent<Key> for LookupText<'_> {
     fn equivalent(&self, key: &Key) -> bool {
         self.0 == key.0.text.as_bytes()
     }
 }
 
+/// Weighs an entry by its bytes.
 #[derive(Clone)]
-struct Bytes;
+struct ByteWeighter;
 
-impl Weighter<Key, Rc<Shape>> for Bytes {
+impl Weighter<Key, Rc<Shape>> for ByteWeighter {
     fn weight(&self, _: &Key, shape: &Rc<Shape>) -> u64 {
         shape.bytes() as u64
     }
 }
 
-/// Counts of what was asked of the cache.
+/// Counts of lookups in the cache.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CacheStats {
-    /// Found.
+    /// Lookups that found their shape.
     pub hits: u64,
-    /// Not found.
+    /// Lookups that found nothing.
     pub misses: u64,
 }
 
-/// ShapeCache, so many bytes at most. Admission is S3-FIFO's: one seen once leaves by the small queue, and evicts
-/// none that was seen again.
+/// A cache of shapes, bounded in bytes. It admits and evicts by S3-FIFO: a shape that was seen once leaves through
+/// the small queue and evicts none that was seen again.
 pub struct ShapeCache<S = DefaultHashBuilder> {
-    kept: Cache<Key, Rc<Shape>, Bytes, S>,
-    longest: usize,
+    entries: Cache<Key, Rc<Shape>, ByteWeighter, S>,
+    max_shape_bytes: usize,
     stats: CacheStats,
 }
 
 impl ShapeCache {
-    /// A cache of so many bytes, for shapes no longer than this.
-    pub fn new(bytes: usize, longest: usize) -> ShapeCache {
-        ShapeCache::with_hasher(bytes, longest, DefaultHashBuilder::default())
+    /// A cache of at most `bytes` bytes, for shapes of at most `max_shape_bytes` bytes of text.
+    pub fn new(bytes: usize, max_shape_bytes: usize) -> ShapeCache {
+        ShapeCache::with_hasher(bytes, max_shape_bytes, DefaultHashBuilder::default())
     }
 }
 
 impl<S: BuildHasher + Clone> ShapeCache<S> {
-    /// The same with a hasher of the caller's.
-    pub fn with_hasher(bytes: usize, longest: usize, hasher: S) -> ShapeCache<S> {
-        let usual = size_of::<Shape>() + ENTRY_BYTES + 256;
+    /// Like [`ShapeCache::new`], with the given hasher.
+    pub fn with_hasher(bytes: usize, max_shape_bytes: usize, hasher: S) -> ShapeCache<S> {
+        let typical_entry_bytes = size_of::<Shape>() + ENTRY_BYTES + 256;
         let options = OptionsBuilder::new()
-            .estimated_items_capacity((bytes / usual).max(1))
+            .estimated_items_capacity((bytes / typical_entry_bytes).max(1))
             .weight_capacity(bytes as u64)
             .shards(1)
             .build();
-        let kept = match options {
-            Ok(options) => Cache::with_options(options, Bytes, hasher, DefaultLifecycle::default()),
-            // All that it needs is given above.
-            Err(_) => {
-                Cache::with((bytes / usual).max(1), bytes as u64, Bytes, hasher, DefaultLifecycle::default())
-            }
+        let entries = match options {
+            Ok(options) => Cache::with_options(options, ByteWeighter, hasher, DefaultLifecycle::default()),
+            // The builder fails only if one of the two capacities is missing, and both are given above.
+            Err(_) => Cache::with(
+                (bytes / typical_entry_bytes).max(1),
+                bytes as u64,
+                ByteWeighter,
+                hasher,
+                DefaultLifecycle::default(),
+            ),
         };
-        ShapeCache { kept, longest, stats: CacheStats::default() }
+        ShapeCache { entries, max_shape_bytes, stats: CacheStats::default() }
     }
 
-    /// The shape with this text, if it is kept.
+    /// The shape with this text, if the cache has it.
     pub fn get(&mut self, text: &[u8]) -> Option<Rc<Shape>> {
-        let found = self.kept.get(&Wanted(text)).cloned();
+        let found = self.entries.get(&LookupText(text)).cloned();
         match found {
             Some(_) => self.stats.hits += 1,
             None => self.stats.misses += 1,
@@ -162,34 +167,35 @@
         found
     }
 
-    /// Keeps a shape, if it is not too long, and if it may: what was seen once may have to go first.
+    /// Inserts a shape, unless its text is too long. The cache may evict it again before shapes that were seen more
+    /// than once.
     pub fn put(&mut self, shape: Rc<Shape>) {
-        if shape.text.len() <= self.longest {
-            self.kept.insert(Key(shape.clone()), shape);
+        if shape.text.len() <= self.max_shape_bytes {
+            self.entries.insert(Key(shape.clone()), shape);
         }
     }
 
-    /// ShapeCache that are kept.
+    /// The number of shapes in the cache.
     pub fn len(&self) -> usize {
-        self.kept.len()
+        self.entries.len()
     }
 
-    /// Whether none is.
+    /// Whether the cache is empty.
     pub fn is_empty(&self) -> bool {
-        self.kept.is_empty()
+        self.entries.is_empty()
     }
 
-    /// Bytes that they take, as the bound counts them.
+    /// The bytes of all entries, as the cache's bound counts them.
     pub fn bytes(&self) -> u64 {
-        self.kept.weight()
+        self.entries.weight()
     }
 
-    /// Bytes that the cache's own tables take, as it counts them itself.
+    /// The bytes of the cache's own tables, as the cache library counts them.
     pub fn table_bytes(&self) -> usize {
-        self.kept.memory_used().total()
+        self.entries.memory_used().total()
     }
 
-    /// What was asked so far.
+    /// The counts of lookups so far.
     pub fn stats(&self) -> CacheStats {
         self.stats
     }
--- a/crates/route/src/hash.rs
+++ b/crates/route/src/hash.rs
@@ -1,4 +1,5 @@
-//! FNV-1a of 64 bits: the same on each machine and in each process, unlike the hashers of the standard library.
+//! The 64-bit FNV-1a hash. Unlike the hashers of the standard library it gives the same value on each machine and
+//! in each process.
 
 const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 const PRIME: u64 = 0x0100_0000_01b3;
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -1,12 +1,12 @@
-//! Decides about plain statements: their class, deadline, group and cost. Pure: no clock, no I/O; it is told
-//! what came and what it took, and says where it goes.
+//! Routing of plain statements: their class, deadline and group by the operator's rules, and their expected duration.
+//! Pure, without a clock or I/O: the caller passes the statements and reports how long they took.
 //!
 //! ```
-//! use sillfold_route::{StatementRouter, Options, Target};
+//! use sillfold_route::{Options, StatementRouter, Target};
 //!
 //! let mut router = StatementRouter::new(Options::default());
-//! let read = router.read("SELECT nextval('s')").unwrap();
-//! assert_eq!(read.target(), Target::Primary);
+//! let statement = router.read("SELECT nextval('s')").unwrap();
+//! assert_eq!(statement.target(), Target::Primary);
 //! ```
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -36,25 +36,25 @@
 use std::borrow::Cow;
 use std::rc::Rc;
 
-/// A reading keeps this much of its memory for the next one.
-const KEPT_BYTES: usize = 64 * 1024;
+/// The statement reader keeps its buffers for the next statement, up to this many bytes.
+const READER_BUFFER_BYTES: usize = 64 * 1024;
 
-/// What operators set.
+/// The operator's settings for plain statements.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The rules, the first that matches counts.
+    /// The rules. The first that matches counts.
     pub rules: Vec<Rule>,
-    /// Whether several statements in one text go to the primary whole; refused otherwise.
+    /// Whether a text with several statements goes to the primary as a whole. If not, it is refused.
     pub allow_multiple_statements: bool,
-    /// Bytes that the shape cache may hold.
+    /// The size of the shape cache.
     pub cache_bytes: usize,
-    /// The longest shape that is kept, in bytes.
+    /// The longest shape that is cached.
     pub max_cached_shape_bytes: usize,
-    /// ParseLimits on the work for one statement.
+    /// Limits on the work for one statement.
     pub limits: ParseLimits,
-    /// What the simplest statement takes until better is known, in microseconds.
+    /// The assumed duration of the simplest statement until durations are recorded, in microseconds.
     pub base_cost_us: u64,
-    /// What is known of functions beside the list.
+    /// The operator's additions to the built-in list of functions.
     pub function_additions: FunctionAdditions,
 }
 
@@ -72,19 +72,19 @@
     }
 }
 
-/// Where a statement goes, by what it does.
+/// Which hosts may run a statement, by its effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Target {
     /// Any member that is current enough.
     Replica,
     /// Only the primary.
     Primary,
-    /// Nowhere.
+    /// None.
     Refuse,
 }
 
 impl Target {
-    /// Its name, as `explain` prints it.
+    /// The target's name, as `explain` prints it.
     pub fn name(self) -> &'static str {
         match self {
             Target::Replica => "replica",
@@ -94,25 +94,25 @@
     }
 }
 
-/// What was read of one statement's text.
+/// What is known of a statement's text once it was read.
 pub struct StatementInfo {
-    /// Its shape, with what was learnt of it.
+    /// The shape, with its analysis and its measured durations.
     pub shape: Rc<Shape>,
-    /// Whether the cache had it.
+    /// Whether the shape came from the cache.
     pub cached: bool,
-    /// Statements in the text.
+    /// The number of statements in the text.
     pub statement_count: usize,
-    /// What it does, maybe more strictly than its shape says.
+    /// The effect, which may be stricter than the shape's.
     pub effect: Effect,
-    /// Why.
+    /// The reason for the effect.
     pub reason: Cow<'static, str>,
-    /// What it is expected to take.
+    /// The expected duration.
     pub estimate: Estimate,
     quoting_is_ambiguous: bool,
 }
 
 impl StatementInfo {
-    /// What it says of transactions.
+    /// The last transaction control in the text.
     pub fn transaction_control(&self) -> Option<TransactionControl> {
         match self.shape.analysis.unsupported {
             Some(Unsupported::Transaction(control)) => Some(control),
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Where it goes by its effect alone.
+    /// Where the statement goes by its effect alone, without the rules.
     pub fn target(&self) -> Target {
         match self.effect {
             _ if self.shape.analysis.unsupported.is_some() => Target::Refuse,
@@ -131,57 +131,58 @@
     }
 }
 
-/// A statement's terms.
+/// How a statement is to be served.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// The rule that gave them, by its place.
+    /// The index of the rule that matched.
     pub rule_index: usize,
-    /// Whether only the primary may run it.
+    /// Whether only the primary may run the statement.
     pub writes: bool,
-    /// Its group.
+    /// The statement's group.
     pub group: u32,
-    /// How long its client waits, in milliseconds.
+    /// How long the client waits, in milliseconds.
     pub deadline_ms: u64,
-    /// What an attempt is expected to take, in microseconds.
+    /// The expected duration of an attempt, in microseconds.
     pub expected_us: u64,
 }
 
-/// Why a statement is not served.
+/// Why a statement is not served. The text is sent to the client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RouteError {
-    /// It can't be carried here: a transaction, state of a session, COPY, several statements.
+    /// The proxy doesn't support it: a transaction, session state, COPY or several statements in one text.
     NotSupported(String),
-    /// No rule gives it a route.
+    /// No rule matches it, or the rule that does determines no group.
     NoRoute(String),
 }
 
-/// The router at which statements are read and given their terms. Owns the cache, the costs and the rules.
+/// Reads statements and routes them by the rules. Owns the shape cache, the cost model and the rules.
 pub struct StatementRouter {
     options: Options,
     functions: Functions,
-    reading: StatementReader,
-    shapes: ShapeCache,
+    reader: StatementReader,
+    shape_cache: ShapeCache,
     costs: CostModel,
 }
 
 impl StatementRouter {
-    /// A router that has seen nothing.
+    /// A router with an empty cache and no recorded durations.
     pub fn new(options: Options) -> StatementRouter {
         StatementRouter {
             functions: Functions::new(&options.function_additions),
-            reading: StatementReader::default(),
-            shapes: ShapeCache::new(options.cache_bytes, options.max_cached_shape_bytes),
+            reader: StatementReader::default(),
+            shape_cache: ShapeCache::new(options.cache_bytes, options.max_cached_shape_bytes),
             costs: CostModel::new(options.base_cost_us),
             options,
         }
     }
 
-    /// Other options from now on. ShapeCache and what was learnt of them stay, unless their verdicts may differ.
+    /// Replaces the options. The cache and the recorded durations are kept if only the rules and the handling of
+    /// several statements changed; any other change may alter an analysis or an estimate, and discards them.
     pub fn replace_options(&mut self, options: Options) {
-        let keys = |o: &Options| {
+        let cache_inputs = |o: &Options| {
             (o.cache_bytes, o.max_cached_shape_bytes, o.limits, o.function_additions.clone(), o.base_cost_us)
         };
-        if keys(&options) == keys(&self.options) {
+        if cache_inputs(&options) == cache_inputs(&self.options) {
             self.options = options;
         } else {
             *self = StatementRouter::new(options);
@@ -193,72 +194,73 @@
         &self.options.rules
     }
 
-    /// The cache, for its figures.
+    /// The shape cache, for its figures.
     pub fn shape_cache(&self) -> &ShapeCache {
-        &self.shapes
+        &self.shape_cache
     }
 
-    /// Reads a statement: its shape, from the cache or judged now.
+    /// Reads a statement and looks up its shape in the cache. A new shape is analyzed and offered to the cache.
     pub fn read(&mut self, text: &str) -> Result<StatementInfo, ReadError> {
-        self.reading.shrink(KEPT_BYTES);
-        self.reading.read(text)?;
-        let (shape, cached) = match self.shapes.get(self.reading.shape_bytes()) {
+        self.reader.shrink(READER_BUFFER_BYTES);
+        self.reader.read(text)?;
+        let (shape, cached) = match self.shape_cache.get(self.reader.shape_bytes()) {
             Some(shape) => (shape, true),
             None => {
-                let analysis = analyze(self.reading.shape(), &self.functions, &self.options.limits);
-                let shape = Rc::new(Shape::new(self.reading.shape(), analysis));
-                self.shapes.put(shape.clone());
+                let analysis = analyze(self.reader.shape(), &self.functions, &self.options.limits);
+                let shape = Rc::new(Shape::new(self.reader.shape(), analysis));
+                self.shape_cache.put(shape.clone());
                 (shape, false)
             }
         };
         let estimate = shape.estimate(&self.costs);
-        let quoting_is_ambiguous = self.reading.quoting_is_ambiguous();
-        // Not the shape's alone: another setting of the server may cut this text otherwise.
+        let quoting_is_ambiguous = self.reader.quoting_is_ambiguous();
+        // The effect depends on the text too, not on the shape alone: with another setting, the server may end a string
+        // of this text elsewhere.
         let (effect, reason) = if quoting_is_ambiguous {
-            let stricter = self.reading.apply_ambiguity(shape.analysis.clone());
+            let stricter = self.reader.restrict_if_ambiguous(shape.analysis.clone());
             (stricter.effect, stricter.reason)
         } else {
             (shape.analysis.effect, shape.analysis.reason.clone())
         };
-        let statement_count = self.reading.statement_count();
+        let statement_count = self.reader.statement_count();
         Ok(StatementInfo { shape, cached, statement_count, effect, reason, estimate, quoting_is_ambiguous })
     }
 
-    /// What a text says of transactions, if it can be read.
+    /// The last transaction control in a text, if the text can be read.
     pub fn transaction_control(&mut self, text: &str) -> Option<TransactionControl> {
         self.read(text).ok()?.transaction_control()
     }
 
-    /// The terms of the statement that was read last; `text` is its text.
+    /// The route of the statement that was read last. `text` must be the text that `statement` was read from.
     pub fn route(
-        &self, read: &StatementInfo, text: &str, user: &str, database: &str,
+        &self, statement: &StatementInfo, text: &str, user: &str, database: &str,
     ) -> Result<Route, RouteError> {
-        let analysis = &read.shape.analysis;
-        if let Some(what) =
-            analysis.unsupported.or((read.effect == Effect::Session).then_some(Unsupported::Session))
+        let analysis = &statement.shape.analysis;
+        if let Some(unsupported) =
+            analysis.unsupported.or((statement.effect == Effect::Session).then_some(Unsupported::Session))
         {
-            let what = match what {
+            let message = match unsupported {
                 Unsupported::Transaction(_) => "no transaction is kept here",
                 Unsupported::Session => "no state of a session is kept here",
                 Unsupported::Copy => "no data stream is carried here",
             };
-            return Err(RouteError::NotSupported(format!("{what}: {}", read.reason)));
+            return Err(RouteError::NotSupported(format!("{message}: {}", statement.reason)));
         }
-        if read.statement_count > 1 && !self.options.allow_multiple_statements {
-            let what = format!("{} statements in one text are not served here", read.statement_count);
-            return Err(RouteError::NotSupported(what));
+        if statement.statement_count > 1 && !self.options.allow_multiple_statements {
+            let message = format!("{} statements in one text are not served here", statement.statement_count);
+            return Err(RouteError::NotSupported(message));
         }
         let stricter;
-        let analysis = if read.quoting_is_ambiguous {
-            stricter = sillfold_sql::Analysis { effect: read.effect, ..analysis.clone() };
+        let analysis = if statement.quoting_is_ambiguous {
+            stricter = sillfold_sql::Analysis { effect: statement.effect, ..analysis.clone() };
             &stricter
         } else {
             analysis
         };
-        let Estimate { p50_us, p95_us, .. } = read.estimate;
+        let Estimate { p50_us, p95_us, .. } = statement.estimate;
         let facts = StatementFacts {
             analysis,
-            statement_count: read.statement_count,
+            statement_count: statement.statement_count,
             p50_us,
             p95_us,
             user,
@@ -266,7 +268,7 @@
         };
         let writes = facts.effect() != Effect::Read;
         let found = self.options.rules.iter().enumerate().find(|(_, r)| r.matches(&facts));
-        let Some((rule_index, terms)) = found else {
+        let Some((rule_index, rule)) = found else {
             let tables = match analysis.tables.as_slice() {
                 [] => "no tables".to_string(),
                 tables => format!("tables {}", tables.join(", ")),
@@ -275,21 +277,22 @@
                 "no rule takes this {} of {tables}, about {} ms, by {user:?} in {database:?}: {}",
                 facts.effect().name(),
                 p50_us.div_ceil(1_000),
-                read.reason
+                statement.reason
             )));
         };
-        let slots = self.reading.literals();
-        let literal = |slot: u16| {
-            let slot = slots.get(usize::from(slot))?;
-            Some((text.get(slot.span.clone())?, slot.folded))
+        let literals = self.reader.literals();
+        let literal = |index: u16| {
+            let literal = literals.get(usize::from(index))?;
+            Some((text.get(literal.span.clone())?, literal.folded))
         };
-        // A text that may be cut otherwise may have other literals too.
-        let literal = |slot: u16| literal(slot).filter(|_| !read.quoting_is_ambiguous);
-        let group = terms.group(&facts, literal).map_err(|GroupError(what)| RouteError::NoRoute(what))?;
-        Ok(Route { rule_index, writes, group, deadline_ms: terms.deadline_ms, expected_us: p50_us })
+        // The server may find other literals in a text whose quoting is ambiguous, so none of them may give the group.
+        let literal = |index: u16| literal(index).filter(|_| !statement.quoting_is_ambiguous);
+        let group =
+            rule.group(&facts, literal).map_err(|GroupError(message)| RouteError::NoRoute(message))?;
+        Ok(Route { rule_index, writes, group, deadline_ms: rule.deadline_ms, expected_us: p50_us })
     }
 
-    /// A statement of this shape was served in this time.
+    /// Records how long a statement of this shape took, in microseconds.
     pub fn record_duration(&mut self, shape: &Shape, us: u64) {
         shape.record_duration(&mut self.costs, us);
     }
--- a/crates/route/src/rules.rs
+++ b/crates/route/src/rules.rs
@@ -1,17 +1,16 @@
-//! Rules: which statements get which class, deadline and group. It owns the order of the rules, what they match
-//! and what is wrong with them as a whole. It must never send a write to a class that only reads, and never
-//! guess where no rule matches.
+//! Rules of the operator: which statements get which class, deadline and group, and what is wrong with a list of
+//! rules as a whole. Pure. It must never give a write a class that only reads, and never guess where no rule matches.
 
 use crate::hash::fnv1a;
 use sillfold_sql::{Analysis, Effect, literal_text};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A span of service times, in microseconds: from the first, below the second.
+/// A range of durations, in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DurationRange {
-    /// The smallest that is in it.
+    /// The inclusive lower bound.
     pub from_us: u64,
-    /// The smallest beyond it.
+    /// The exclusive upper bound.
     pub below_us: u64,
 }
 
@@ -22,140 +21,146 @@
 }
 
 impl DurationRange {
-    fn holds(&self, us: u64) -> bool {
+    fn contains(&self, us: u64) -> bool {
         (self.from_us..self.below_us).contains(&us)
     }
     fn covers(&self, other: &DurationRange) -> bool {
         self.from_us <= other.from_us && other.below_us <= self.below_us
     }
-    fn meets(&self, other: &DurationRange) -> bool {
+    fn overlaps(&self, other: &DurationRange) -> bool {
         self.from_us.max(other.from_us) < self.below_us.min(other.below_us)
     }
 }
 
-/// Names of tables: one, or all of a schema as `schema.*`. `public` goes without saying.
+/// A pattern of table names: one table, or `schema.*` for all tables of a schema. The schema `public` may be omitted.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TablePattern(String);
 
 impl TablePattern {
     /// A pattern as operators write it.
     pub fn new(text: &str) -> TablePattern {
-        TablePattern(bare(text).to_string())
+        TablePattern(without_public(text).to_string())
     }
-    fn holds(&self, table: &str) -> bool {
+    fn matches(&self, table: &str) -> bool {
         match self.0.strip_suffix('*') {
-            Some(schema) => bare(table).strip_prefix(schema).is_some_and(|rest| !rest.contains('.')),
-            None => bare(table) == self.0,
+            Some(schema) => {
+                without_public(table).strip_prefix(schema).is_some_and(|rest| !rest.contains('.'))
+            }
+            None => without_public(table) == self.0,
         }
     }
     fn covers(&self, other: &TablePattern) -> bool {
-        self == other || (!other.0.ends_with('*') && self.holds(&other.0))
+        self == other || (!other.0.ends_with('*') && self.matches(&other.0))
     }
 }
 
-fn bare(table: &str) -> &str {
+/// A table's name without the schema `public`.
+fn without_public(table: &str) -> &str {
     table.strip_prefix("public.").unwrap_or(table)
 }
 
-/// Where a statement's group comes from.
+/// How a rule determines a statement's group.
 #[derive(Clone, Debug, PartialEq)]
 pub enum GroupSelector {
-    /// Always this one.
+    /// Always this group.
     Constant(u32),
-    /// That of its tables, which all have to have the same.
+    /// The group of the statement's tables, which must all have the same. The first pattern that matches a table counts.
     ByTable(Vec<(TablePattern, u32)>),
-    /// By rendezvous hash of the literal that this column is equal to, among these.
+    /// One of the groups, by rendezvous hash of the literal that the column is equal to.
     ByKey {
-        /// The column's bare name.
+        /// The column's name without a table.
         column: String,
         /// The groups, in any order.
         groups: Vec<u32>,
     },
 }
 
-/// What a rule asks of a statement, and what it gives. An empty list asks nothing.
+/// A rule: the conditions that a statement must meet, and the class, deadline and group that it then gets. An empty
+/// list is no condition.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rule {
-    /// Its name in messages.
+    /// The rule's name, for messages.
     pub name: String,
-    /// Whether reads match, and writes.
+    /// Whether the rule matches reads.
     pub reads: bool,
-    /// Whether writes match.
+    /// Whether the rule matches writes.
     pub writes: bool,
-    /// All tables of the statement are among these, and it has some.
+    /// The statement has tables, and each matches one of these patterns.
     pub tables: Vec<TablePattern>,
-    /// Its usual service time is within this.
+    /// The range of the statement's estimated median duration.
     pub cost: DurationRange,
-    /// Its 95th percentile is within this.
+    /// The range of the statement's estimated 95th percentile.
     pub tail: DurationRange,
-    /// Whose statements match.
+    /// The users whose statements match.
     pub users: BTreeSet<String>,
-    /// In which databases.
+    /// The databases in which statements match.
     pub databases: BTreeSet<String>,
-    /// The class that it gives, by name.
+    /// The name of the class that the statement gets.
     pub class: String,
     /// How long the client waits, in milliseconds.
     pub deadline_ms: u64,
-    /// The group that it gives.
+    /// How the statement's group is determined.
     pub group: GroupSelector,
 }
 
-/// What a rule is asked about.
+/// The properties of a statement that rules match on.
 #[derive(Clone, Copy, Debug)]
 pub struct StatementFacts<'a> {
-    /// What the shape says.
+    /// The analysis of the statement's shape.
     pub analysis: &'a Analysis,
-    /// How many statements the text holds.
+    /// The number of statements in the text.
     pub statement_count: usize,
-    /// Its usual service time and its 95th percentile, in microseconds.
+    /// The estimated median duration, in microseconds.
     pub p50_us: u64,
-    /// The 95th percentile.
+    /// The estimated 95th percentile, in microseconds.
     pub p95_us: u64,
-    /// Who asks.
+    /// The client's user.
     pub user: &'a str,
-    /// In which database.
+    /// The client's database.
     pub database: &'a str,
 }
 
 impl StatementFacts<'_> {
-    /// What counts for routing: several statements count as a write, since only the primary may have them all.
+    /// The effect that counts for routing. Several statements in one text count as a write, because only the primary
+    /// may run them all.
     pub fn effect(&self) -> Effect {
         if self.statement_count > 1 { self.analysis.effect.max(Effect::Write) } else { self.analysis.effect }
     }
 }
 
-/// Why a statement has no route; the text is what its client is told.
+/// Why a rule determines no group for a statement. The text is sent to the client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GroupError(pub String);
 
 impl Rule {
-    /// Whether this rule takes the statement.
-    pub fn matches(&self, f: &StatementFacts) -> bool {
-        let effect = match f.effect() {
+    /// Whether this rule matches the statement.
+    pub fn matches(&self, facts: &StatementFacts) -> bool {
+        let effect = match facts.effect() {
             Effect::Read => self.reads,
             Effect::Write => self.writes,
             Effect::Session | Effect::Invalid => false,
         };
-        let among = |set: &BTreeSet<String>, name: &str| set.is_empty() || set.contains(name);
+        let allows = |names: &BTreeSet<String>, name: &str| names.is_empty() || names.contains(name);
         effect
-            && self.cost.holds(f.p50_us)
-            && self.tail.holds(f.p95_us)
-            && among(&self.users, f.user)
-            && among(&self.databases, f.database)
-            && self.takes(f.analysis.tables.iter().map(|t| &**t))
+            && self.cost.contains(facts.p50_us)
+            && self.tail.contains(facts.p95_us)
+            && allows(&self.users, facts.user)
+            && allows(&self.databases, facts.database)
+            && self.matches_tables(facts.analysis.tables.iter().map(|t| &**t))
     }
 
-    fn takes<'t>(&self, tables: impl Iterator<Item = &'t str>) -> bool {
+    fn matches_tables<'t>(&self, tables: impl Iterator<Item = &'t str>) -> bool {
         if self.tables.is_empty() {
             return true;
         }
-        let mut some = false;
-        let all = tables.inspect(|_| some = true).all(|t| self.tables.iter().any(|p| p.holds(t)));
-        all && some
+        let mut has_tables = false;
+        let all_match =
+            tables.inspect(|_| has_tables = true).all(|t| self.tables.iter().any(|p| p.matches(t)));
+        all_match && has_tables
     }
 
-    /// The group of a statement that matches; `literal` gives the text of a slot, and whether it stands for
-    /// several.
+    /// The group of a statement that this rule matches. `literal` returns the text of a literal by its index, and
+    /// whether other literals were folded into it.
     pub fn group<'t>(
         &self, facts: &StatementFacts, literal: impl Fn(u16) -> Option<(&'t str, bool)>,
     ) -> Result<u32, GroupError> {
@@ -163,115 +168,122 @@
         match &self.group {
             GroupSelector::Constant(group) => Ok(*group),
             GroupSelector::ByTable(groups) => {
-                let of = |t: &str| groups.iter().find(|(p, _)| p.holds(t)).map(|g| g.1);
+                let group_of = |table: &str| groups.iter().find(|(p, _)| p.matches(table)).map(|g| g.1);
                 let mut found = None;
                 for table in &analysis.tables {
-                    let group = of(table).ok_or_else(|| self.no(format!("table {table} has no group")))?;
+                    let group = group_of(table)
+                        .ok_or_else(|| self.group_error(format!("table {table} has no group")))?;
                     if found.is_some_and(|f| f != group) {
-                        return Err(self.no(format!("its tables are in several groups, {table} in {group}")));
+                        return Err(
+                            self.group_error(format!("its tables are in several groups, {table} in {group}"))
+                        );
                     }
                     found = Some(group);
                 }
-                found.ok_or_else(|| self.no("it names no table, and tables give the group".into()))
+                found.ok_or_else(|| self.group_error("it names no table, and tables give the group".into()))
             }
-            // Guards against a second statement, of another key or of none, following the first one's.
+            // Guards against a second statement with another key, or with none, running in the first one's group.
             GroupSelector::ByKey { .. } if facts.statement_count > 1 => {
-                Err(self.no("several statements have no common key".into()))
+                Err(self.group_error("several statements have no common key".into()))
             }
             GroupSelector::ByKey { column, groups } => {
                 let mut found: Option<String> = None;
                 for key in analysis.keys.iter().filter(|k| *k.column == **column) {
-                    let (text, many) =
-                        literal(key.literal_index).ok_or_else(|| self.no("a literal is lost".into()))?;
-                    if many {
-                        return Err(self.no(format!("{column} is equal to several literals")));
+                    let (text, folded) = literal(key.literal_index)
+                        .ok_or_else(|| self.group_error("a literal is lost".into()))?;
+                    if folded {
+                        return Err(self.group_error(format!("{column} is equal to several literals")));
                     }
-                    let text = literal_text(text)
-                        .ok_or_else(|| self.no(format!("{column} has a literal that is not plain")))?;
+                    let text = literal_text(text).ok_or_else(|| {
+                        self.group_error(format!("{column} has a literal that is not plain"))
+                    })?;
                     let text = if key.negative { format!("-{text}") } else { text };
                     if found.as_ref().is_some_and(|f| *f != text) {
-                        return Err(self.no(format!("{column} is equal to two literals")));
+                        return Err(self.group_error(format!("{column} is equal to two literals")));
                     }
                     found = Some(text);
                 }
-                let key = found.ok_or_else(|| self.no(format!("{column} is equal to no literal")))?;
-                rendezvous(&key, groups).ok_or_else(|| self.no("it names no groups".into()))
+                let key =
+                    found.ok_or_else(|| self.group_error(format!("{column} is equal to no literal")))?;
+                rendezvous(&key, groups).ok_or_else(|| self.group_error("it names no groups".into()))
             }
         }
     }
 
-    fn no(&self, what: String) -> GroupError {
-        GroupError(format!("rule {:?} takes this statement, and gives no group: {what}", self.name))
+    fn group_error(&self, reason: String) -> GroupError {
+        GroupError(format!("rule {:?} takes this statement, and gives no group: {reason}", self.name))
     }
 
-    /// Whether this rule takes every statement that the other takes.
+    /// Whether this rule matches every statement that the other rule matches.
     fn covers(&self, other: &Rule) -> bool {
         (self.reads || !other.reads)
             && (self.writes || !other.writes)
             && self.cost.covers(&other.cost)
             && self.tail.covers(&other.tail)
-            && covers(&self.users, &other.users)
-            && covers(&self.databases, &other.databases)
+            && covers_names(&self.users, &other.users)
+            && covers_names(&self.databases, &other.databases)
             && self.covers_tables(other)
     }
 
     fn covers_tables(&self, other: &Rule) -> bool {
-        let all = |p: &TablePattern| self.tables.iter().any(|mine| mine.covers(p));
-        self.tables.is_empty() || (!other.tables.is_empty() && other.tables.iter().all(all))
+        let is_covered = |p: &TablePattern| self.tables.iter().any(|own| own.covers(p));
+        self.tables.is_empty() || (!other.tables.is_empty() && other.tables.iter().all(is_covered))
     }
 
-    /// Whether some statement may be taken by both.
-    fn meets(&self, other: &Rule) -> bool {
-        let share = |a: &BTreeSet<String>, b: &BTreeSet<String>| {
+    /// Whether some statement may match both rules.
+    fn overlaps(&self, other: &Rule) -> bool {
+        let names_overlap = |a: &BTreeSet<String>, b: &BTreeSet<String>| {
             a.is_empty() || b.is_empty() || a.intersection(b).next().is_some()
         };
-        let tables = self.tables.is_empty()
+        let tables_overlap = self.tables.is_empty()
             || other.tables.is_empty()
             || (self.tables.iter()).any(|a| other.tables.iter().any(|b| a.covers(b) || b.covers(a)));
         ((self.reads && other.reads) || (self.writes && other.writes))
-            && self.cost.meets(&other.cost)
-            && self.tail.meets(&other.tail)
-            && share(&self.users, &other.users)
-            && share(&self.databases, &other.databases)
-            && tables
+            && self.cost.overlaps(&other.cost)
+            && self.tail.overlaps(&other.tail)
+            && names_overlap(&self.users, &other.users)
+            && names_overlap(&self.databases, &other.databases)
+            && tables_overlap
     }
 
-    fn gives_the_same(&self, other: &Rule) -> bool {
+    fn gives_same_terms(&self, other: &Rule) -> bool {
         (&self.class, self.deadline_ms, &self.group) == (&other.class, other.deadline_ms, &other.group)
     }
 }
 
-fn covers(mine: &BTreeSet<String>, other: &BTreeSet<String>) -> bool {
-    mine.is_empty() || (!other.is_empty() && other.is_subset(mine))
+/// Whether a condition on names allows every name that the other condition allows.
+fn covers_names(own: &BTreeSet<String>, other: &BTreeSet<String>) -> bool {
+    own.is_empty() || (!other.is_empty() && other.is_subset(own))
 }
 
-/// The group with the highest lot for this key: when one is added or taken out, only its own keys move.
+/// The group with the highest score for this key. When a group is added or removed, only its own keys move.
 /// Thaler and Ravishankar, "A name-based mapping scheme for rendezvous".
-pub fn rendezvous(key: &str, among: &[u32]) -> Option<u32> {
+pub fn rendezvous(key: &str, groups: &[u32]) -> Option<u32> {
     let hash = fnv1a(key);
-    // The finalizer of splitmix64: near groups and keys get unlike lots.
-    let lot = |group: u32| {
+    // The finalizer of splitmix64 gives similar groups and keys unrelated scores.
+    let score = |group: u32| {
         let mut z = hash ^ u64::from(group).wrapping_add(1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
         z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
         z ^ (z >> 31)
     };
-    among.iter().copied().max_by_key(|&g| (lot(g), g))
+    groups.iter().copied().max_by_key(|&g| (score(g), g))
 }
 
-/// What is wrong with the rules as a whole.
+/// A fault in a list of rules. The rules are given by name.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RuleFault {
-    /// No statement can match it: why.
+    /// No statement can match the rule; the second text says why.
     Unreachable(String, String),
-    /// Earlier rules take all that it could: which.
+    /// Earlier rules, listed second, match every statement that the rule could match.
     Shadowed(String, Vec<String>),
-    /// Two rules take some of the same statements and not all, and give different routes; the first wins.
+    /// Two rules give different terms, and each matches statements that the other doesn't as well as some that both
+    /// match. The first rule counts where both match.
     Overlap(String, String),
 }
 
 impl RuleFault {
-    /// Whether the rules can't be meant so. An overlap may be.
+    /// Whether the list of rules must be rejected. An overlap may be intended.
     pub fn is_error(&self) -> bool {
         !matches!(self, RuleFault::Overlap(..))
     }
@@ -289,39 +301,40 @@
     }
 }
 
-/// What a class can do, by its name: whether it takes writes. Nothing where classes are not known.
+/// The platform's classes by name, each with whether it accepts writes.
 pub type Classes = BTreeMap<String, bool>;
 
-/// Cells that are looked at for one rule. Guards against a file whose check takes minutes; beyond it a shadowed
-/// rule goes unnoticed.
-const MOST_CELLS: usize = 200_000;
+/// Combinations of conditions that are checked for one rule. Guards against a file whose check takes minutes; where a
+/// rule has more combinations, a shadowed rule is not reported.
+const MAX_CELLS: usize = 200_000;
 
-/// Looks for rules that cannot be meant as they stand.
+/// Finds rules that no statement can reach and rules that overlap. Without `classes`, the rules' classes are not checked.
 pub fn find_faults(rules: &[Rule], classes: Option<&Classes>) -> Vec<RuleFault> {
-    let mut out = Vec::new();
+    let mut faults = Vec::new();
     for (i, rule) in rules.iter().enumerate() {
-        if let Some(why) = impossible(rule, classes) {
-            out.push(RuleFault::Unreachable(rule.name.clone(), why));
+        if let Some(why) = unreachable_reason(rule, classes) {
+            faults.push(RuleFault::Unreachable(rule.name.clone(), why));
             continue;
         }
-        let by = shadows(rule, &rules[..i]);
-        if !by.is_empty() {
-            out.push(RuleFault::Shadowed(rule.name.clone(), by));
+        let shadowing = shadowing_rules(rule, &rules[..i]);
+        if !shadowing.is_empty() {
+            faults.push(RuleFault::Shadowed(rule.name.clone(), shadowing));
             continue;
         }
         for earlier in &rules[..i] {
             let nested = earlier.covers(rule) || rule.covers(earlier);
-            if earlier.meets(rule) && !nested && !earlier.gives_the_same(rule) {
-                out.push(RuleFault::Overlap(earlier.name.clone(), rule.name.clone()));
+            if earlier.overlaps(rule) && !nested && !earlier.gives_same_terms(rule) {
+                faults.push(RuleFault::Overlap(earlier.name.clone(), rule.name.clone()));
             }
         }
     }
-    out
+    faults
 }
 
-fn impossible(rule: &Rule, classes: Option<&Classes>) -> Option<String> {
-    for (key, band) in [("cost_ms", rule.cost), ("tail_ms", rule.tail)] {
-        if band.from_us >= band.below_us {
+/// Why no statement can match the rule, judged by the rule alone.
+fn unreachable_reason(rule: &Rule, classes: Option<&Classes>) -> Option<String> {
+    for (key, range) in [("cost_ms", rule.cost), ("tail_ms", rule.tail)] {
+        if range.from_us >= range.below_us {
             return Some(format!("{key} holds no time"));
         }
     }
@@ -334,61 +347,67 @@
     if matches!(&rule.group, GroupSelector::ByKey { groups, .. } if groups.is_empty()) {
         return Some("it names no groups".into());
     }
-    let writes = match classes?.get(&rule.class) {
+    let class_accepts_writes = match classes?.get(&rule.class) {
         None => return Some(format!("there is no class {:?}", rule.class)),
-        Some(writes) => *writes,
+        Some(accepts_writes) => *accepts_writes,
     };
-    (rule.writes && !writes).then(|| format!("it takes writes, and class {:?} only reads", rule.class))
+    (rule.writes && !class_accepts_writes)
+        .then(|| format!("it takes writes, and class {:?} only reads", rule.class))
 }
 
-/// The earlier rules that together take all that this one could; none if some statement is left for it.
+/// The earlier rules that together match every statement that this rule could match. Empty if some statement is left.
 ///
-/// Each condition but that on tables cuts its values into cells at the bounds that any rule names; a rule takes
-/// a cell whole or not at all. Of tables, the statement with all that the rule names is the hardest for others.
-fn shadows(rule: &Rule, earlier: &[Rule]) -> Vec<String> {
-    let near: Vec<&Rule> = earlier.iter().filter(|e| e.covers_tables(rule) && e.meets(rule)).collect();
-    let starts = |band: fn(&Rule) -> DurationRange| {
-        let own = band(rule);
+/// The values of each condition, except the one on tables, are divided into cells at the bounds that any of the rules
+/// names. Within a cell, a rule matches all values or none, so one value stands for its cell. Tables need no cells: the
+/// statement that names all tables of the rule is the hardest for other rules to match.
+fn shadowing_rules(rule: &Rule, earlier: &[Rule]) -> Vec<String> {
+    let candidates: Vec<&Rule> =
+        earlier.iter().filter(|e| e.covers_tables(rule) && e.overlaps(rule)).collect();
+    let cell_starts = |range: fn(&Rule) -> DurationRange| {
+        let own = range(rule);
         let mut starts: BTreeSet<u64> =
-            near.iter().flat_map(|e| [band(e).from_us, band(e).below_us]).collect();
+            candidates.iter().flat_map(|e| [range(e).from_us, range(e).below_us]).collect();
         starts.insert(own.from_us);
-        starts.retain(|&at| own.holds(at));
+        starts.retain(|&at| own.contains(at));
         starts
     };
-    let names = |set: fn(&Rule) -> &BTreeSet<String>| {
-        // Nothing stands for anybody who is not named.
-        let own = set(rule);
-        let named = near.iter().flat_map(|e| set(e).iter()).map(|n| Some(n.as_str()));
-        let all: BTreeSet<Option<&str>> = match own.is_empty() {
+    let name_cells = |names: fn(&Rule) -> &BTreeSet<String>| {
+        // `None` stands for every name that no rule names.
+        let own = names(rule);
+        let named = candidates.iter().flat_map(|e| names(e).iter()).map(|n| Some(n.as_str()));
+        let cells: BTreeSet<Option<&str>> = match own.is_empty() {
             true => named.chain([None]).collect(),
             false => own.iter().map(|n| Some(n.as_str())).collect(),
         };
-        all
+        cells
+    };
+    let allows = |names: &BTreeSet<String>, name: Option<&str>| {
+        names.is_empty() || name.is_some_and(|n| names.contains(n))
     };
-    let holds =
-        |set: &BTreeSet<String>, name: Option<&str>| set.is_empty() || name.is_some_and(|n| set.contains(n));
-    let (costs, tails) = (starts(|r| r.cost), starts(|r| r.tail));
-    let (users, databases) = (names(|r| &r.users), names(|r| &r.databases));
-    if costs.len() * tails.len() * users.len() * databases.len() > MOST_CELLS {
+    let costs = cell_starts(|r| r.cost);
+    let tails = cell_starts(|r| r.tail);
+    let users = name_cells(|r| &r.users);
+    let databases = name_cells(|r| &r.databases);
+    if costs.len() * tails.len() * users.len() * databases.len() > MAX_CELLS {
         return Vec::new();
     }
-    // A tail is never shorter than the usual time.
-    let ends = |tail: u64| tails.range(tail + 1..).next().copied().unwrap_or(rule.tail.below_us);
-    let mut by = BTreeSet::new();
+    // The 95th percentile is never below the median, so tail cells that end at or below the cost are skipped.
+    let tail_end = |tail: u64| tails.range(tail + 1..).next().copied().unwrap_or(rule.tail.below_us);
+    let mut shadowing = BTreeSet::new();
     for write in [false, true].into_iter().filter(|&w| if w { rule.writes } else { rule.reads }) {
         for &cost in &costs {
-            for &tail in tails.iter().filter(|&&t| ends(t) > cost) {
+            for &tail in tails.iter().filter(|&&t| tail_end(t) > cost) {
                 for &user in &users {
                     for &database in &databases {
-                        let taker = near.iter().position(|e| {
+                        let first_match = candidates.iter().position(|e| {
                             (if write { e.writes } else { e.reads })
-                                && e.cost.holds(cost)
-                                && e.tail.holds(tail)
-                                && holds(&e.users, user)
-                                && holds(&e.databases, database)
+                                && e.cost.contains(cost)
+                                && e.tail.contains(tail)
+                                && allows(&e.users, user)
+                                && allows(&e.databases, database)
                         });
-                        match taker {
-                            Some(taker) => drop(by.insert(taker)),
+                        match first_match {
+                            Some(candidate) => drop(shadowing.insert(candidate)),
                             None => return Vec::new(),
                         }
                     }
@@ -396,5 +415,5 @@
             }
         }
     }
-    by.into_iter().map(|i| near[i].name.clone()).collect()
+    shadowing.into_iter().map(|i| candidates[i].name.clone()).collect()
 }
--- a/crates/route/src/transaction.rs
+++ b/crates/route/src/transaction.rs
@@ -1,37 +1,37 @@
-//! The transaction that a session asked for and did not get. It owns whether the session stands in it. It must never
-//! let a statement through that its client believes to be inside: each would be committed by itself, and a ROLLBACK
-//! would take nothing back.
+//! The state of a session whose BEGIN was refused. Pure: the caller passes what a text says about transactions and
+//! acts on the returned step. It must never let a statement through that its client believes to be inside the
+//! transaction: each statement would be committed by itself, and a ROLLBACK would undo nothing.
 
 use sillfold_sql::TransactionControl;
 
-/// Where a session stands, as PostgreSQL has it after an error in a transaction.
+/// The transaction state of a session, as PostgreSQL has it after an error inside a transaction.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum TransactionState {
-    /// In no transaction.
+    /// The session is in no transaction.
     #[default]
     Idle,
-    /// In one that was refused: all that follows is too, up to its end.
+    /// The session's transaction was refused. All statements up to its end are refused too.
     Refused,
 }
 
-/// What becomes of a text.
+/// How to handle a text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TransactionStep {
-    /// It is treated as any other.
+    /// Handle it like any other text.
     Process,
-    /// It is refused unread, being inside.
+    /// Refuse it without reading it: it is inside the refused transaction.
     Refuse,
-    /// It ends the transaction, of which nothing has run.
+    /// Acknowledge the end of the transaction, of which nothing has run.
     End,
 }
 
 impl TransactionState {
-    /// A text comes; `control` is the last word on transactions in it.
+    /// Advances the state by a text. `control` is the last transaction control that the text contains.
     pub fn advance(&mut self, control: Option<TransactionControl>) -> TransactionStep {
         match (*self, control) {
             (TransactionState::Idle, Some(TransactionControl::Begin)) => {
                 *self = TransactionState::Refused;
-                // Refused too, with its own reason.
+                // The BEGIN itself is refused by the router, with the router's own reason.
                 TransactionStep::Process
             }
             (TransactionState::Idle, _) => TransactionStep::Process,
--- a/crates/sql/src/analyze.rs
+++ b/crates/sql/src/analyze.rs
@@ -68,11 +68,11 @@
     /// The verdict on the statement that was read last. Not only its shape's, which may be kept: a text that
     /// another setting of the server would cut otherwise is never a read.
     pub fn analyze(&self, functions: &Functions, limits: &ParseLimits) -> Analysis {
-        self.apply_ambiguity(analyze(self.shape(), functions, limits))
+        self.restrict_if_ambiguous(analyze(self.shape(), functions, limits))
     }
 
     /// The same, for a shape's analysis that is known already.
-    pub fn apply_ambiguity(&self, mut analysis: Analysis) -> Analysis {
+    pub fn restrict_if_ambiguous(&self, mut analysis: Analysis) -> Analysis {
         if self.quoting_is_ambiguous() {
             analysis.raise(Effect::Write, "another setting of the server would end a string elsewhere");
         }
