--- a/crates/headroom/src/lib.rs
+++ b/crates/headroom/src/lib.rs
@@ -1,6 +1,7 @@
 //! Online estimation of capacity and admission control: the capacity of each host, the work offered to its group, and
-//! the headroom that is left. Under overload it says which requests to reject: those worth least for their work. Pure:
-//! it is told what happened and when. It never rejects a request to a group whose capacity limit was not yet observed.
+//! the headroom that is left. Under overload it decides which requests to refuse: those worth least for their work. Pure:
+//! the caller passes the time and reports what happened. It never refuses a request to a group whose capacity limit was
+//! not yet observed.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -10,305 +11,330 @@
 /// A time in microseconds.
 pub type Micros = u64;
 
-/// Figures are brought up to date this often.
-const PERIOD: Micros = 100_000;
-/// Weight of the old value of a rate, for each period: half is forgotten in about 0.7 s.
+/// Rates, capacities and admitted shares are updated at this interval.
+const UPDATE_INTERVAL_US: Micros = 100_000;
+/// Weight of the old value of a rate, for each update interval. It halves in about 0.7 s.
 const RATE_DECAY: f64 = 0.905;
-/// The median of a class's latencies at hosts that are not full moves by this part of itself: service without wait.
+/// Relative step by which a class's service time follows the median of its latencies at hosts that are not overloaded,
+/// that is, the service without waiting.
 const MEDIAN_STEP: f64 = 0.02;
-/// An answer that took so many times that median waited: its host has no core free. Where times vary as they do, with
-/// no wait, 2 (cv^2 0.3) to 9 (cv^2 1) in 100 take longer. Guards against idle hosts that pass for full ones.
+/// An attempt that took longer than this multiple of its class's service time has waited: the host had no free core.
+/// With the usual variation and no waiting, 2 (cv^2 0.3) to 9 (cv^2 1) in 100 attempts take longer. Guards against idle
+/// hosts that are taken for overloaded ones.
 const QUEUED_FACTOR: f64 = 3.0;
-/// Over this share of such answers, or of attempts turned away, a host is full.
-const FULL_SHARE: f64 = 0.3;
-/// A capacity that was seen follows the work of a full host by this part, and is trusted for so long.
+/// A host is overloaded if more than this share of its attempts waited or were rejected.
+const OVERLOADED_SHARE: f64 = 0.3;
+/// Share of the difference by which an observed capacity follows the work of an overloaded host at each update.
 const CAPACITY_STEP: f64 = 0.2;
-const CAPACITY_VALID_FOR: Micros = 30_000_000;
-/// A host that is not full may do so many times as much with each period. Guards against an end that was seen too
-/// early and is never reached again, since no more is let in.
+/// An observed capacity is trusted for this long.
+const CAPACITY_VALID_FOR_US: Micros = 30_000_000;
+/// Factor by which the observed capacity of a host that is not overloaded grows at each update. Guards against a limit
+/// that was observed too low and is never reached again, because no more requests are admitted.
 const CAPACITY_GROWTH: f64 = 1.004;
-/// The least part of a class that is let in: without any, nothing would show that it fits again.
-const MIN_ADMITTED: f64 = 0.02;
-/// So much of a group's capacity is given out.
+/// The smallest share of a class that is admitted. Without any admitted request, nothing would show that the class fits
+/// again.
+const MIN_ADMITTED_SHARE: f64 = 0.02;
+/// Share of a group's capacity that is given to requests.
 const USABLE_SHARE: f64 = 0.95;
-/// Classes whose worth for their work is within this part of each other count as alike.
-const SAME_TIER: f64 = 0.6;
-/// Attempts that a figure needs.
+/// Classes whose worth for their work is at least this share of the best one's are in the same tier.
+const SAME_TIER_SHARE: f64 = 0.6;
+/// Attempts after which a class's service time counts for admission.
 const MIN_SAMPLES: u32 = 20;
-/// Hosts and groups that are kept; what was silent for so long is forgotten.
+/// The most hosts, and the most groups, that are tracked.
 const MAX_ENTRIES: usize = 4_096;
-const FORGET_AFTER: Micros = 60_000_000;
+/// A host or group without events for this long is forgotten.
+const FORGET_AFTER_US: Micros = 60_000_000;
 
-/// What a class is worth, and whether only primaries take it.
+/// A class of requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Class {
-    /// The worth of one in time.
+    /// The worth of a request that is served in time.
     pub worth: f64,
-    /// Whether it writes.
+    /// Whether its requests are writes, which only primaries serve.
     pub writes: bool,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// Served after so many microseconds.
+    /// Served after this time.
     Served(Micros),
-    /// Turned away, or no answer in time: the host is full, or worse.
+    /// Rejected because of overload, or no answer in time.
     Overloaded,
-    /// Anything else, which says nothing of capacity.
+    /// Anything else, which says nothing about capacity.
     Other,
 }
 
-/// What is known of one host.
+/// The measurements of a host.
 #[derive(Default)]
 struct Host {
     group: u32,
-    /// Core-seconds a second that it served, and the part by each class.
-    work: f64,
-    /// In this period.
-    served: f64,
-    tried: u32,
-    full: u32,
-    /// Share of attempts that found it full.
-    share_full: f64,
-    /// What it can do, and when that was last seen.
+    /// Rate of the work that it serves, in core-seconds per second.
+    work_rate: f64,
+    /// Work served since the last update, in core-seconds.
+    served_work: f64,
+    /// Attempts that ended since the last update.
+    attempts: u32,
+    /// Those of them that waited or were rejected.
+    overloaded_attempts: u32,
+    /// Smoothed share of attempts that waited or were rejected.
+    overloaded_share: f64,
+    /// The observed capacity in core-seconds per second, and when the host was last overloaded.
     capacity: Option<(f64, Micros)>,
-    /// The most that it did without being full.
-    most: f64,
+    /// The highest work rate without overload.
+    max_work_rate: f64,
+    /// Whether it has served a write.
     primary: bool,
-    last: Micros,
+    last_event: Micros,
 }
 
-/// What is known of one group.
+/// The measurements of a group.
 #[derive(Default)]
 struct Group {
-    /// Arrivals a second by class, and in this period.
-    rates: Vec<f64>,
-    arrived: Vec<u32>,
-    /// How far its replicas are behind, and how fast that grows, in seconds and seconds a second.
+    /// Requests per second, by class.
+    arrival_rates: Vec<f64>,
+    /// Requests since the last update, by class.
+    arrivals: Vec<u32>,
+    /// The last replication lag in seconds, and when it was reported.
     lag: Option<(f64, Micros)>,
-    growth: f64,
-    /// The part of each class that is let in.
-    admitted: Vec<f64>,
-    last: Micros,
+    /// Smoothed growth of the lag, in seconds per second.
+    lag_growth: f64,
+    /// The share of each class that is admitted.
+    admitted_shares: Vec<f64>,
+    last_event: Micros,
 }
 
-/// What operators see of a group.
+/// The headroom of a group, as operators see it.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct GroupHeadroom {
-    /// The part of its capacity that is not asked for; negative where more is asked for than it can do.
+    /// The share of the group's capacity that is not requested. Negative if more is requested than the group can serve.
     pub headroom: f64,
-    /// Whether its capacity was seen; else it is at least what it did.
+    /// Whether the capacity was observed. If not, the highest work rate so far stands for it.
     pub seen: bool,
-    /// The same of its primary, by its writes.
+    /// The headroom of the group's primary, by the group's writes.
     pub primary: f64,
-    /// How much slower than the log its replicas may be: 1 where they do not fall behind, 0 where they apply nothing.
+    /// How well replicas keep up with the replication log: 1 if their lag doesn't grow, 0 if they apply nothing.
     pub apply_slack: f64,
-    /// What saturates next.
+    /// The resource that saturates next.
     pub next: &'static str,
-    /// The part of each class that is let in.
+    /// The share of each class that is admitted.
     pub admitted: Vec<f64>,
 }
 
-/// The headroom of all groups.
+/// Measures the capacity and the load of all groups, and decides which requests to admit.
 pub struct Headroom {
     classes: Vec<Class>,
-    /// What each class takes without wait, in seconds.
-    service: Vec<f64>,
-    seen: Vec<u32>,
+    /// The service time of each class without waiting, in seconds.
+    service_times: Vec<f64>,
+    /// Served attempts of each class.
+    samples: Vec<u32>,
     hosts: BTreeMap<u32, Host>,
     groups: BTreeMap<u32, Group>,
-    due: Micros,
+    next_update: Micros,
 }
 
 impl Headroom {
-    /// One that has seen nothing, for these classes.
+    /// No measurements yet, for these classes.
     pub fn new(classes: Vec<Class>) -> Headroom {
         let n = classes.len();
         let (hosts, groups) = Default::default();
-        Headroom { classes, service: vec![0.0; n], seen: vec![0; n], hosts, groups, due: 0 }
+        Headroom { classes, service_times: vec![0.0; n], samples: vec![0; n], hosts, groups, next_update: 0 }
     }
 
-    /// A request came. Whether to let it in: `lot` is drawn evenly from 0 to 1.
-    pub fn admit(&mut self, class: u8, group: u32, lot: f64, now: Micros) -> bool {
+    /// Records the arrival of a request and decides whether to admit it. `draw` is uniform from 0 to 1.
+    pub fn admit(&mut self, class: u8, group: u32, draw: f64, now: Micros) -> bool {
         self.update(now);
         let n = self.classes.len();
-        let c = usize::from(class);
-        if c >= n || (self.groups.len() >= MAX_ENTRIES && !self.groups.contains_key(&group)) {
+        let class = usize::from(class);
+        if class >= n || (self.groups.len() >= MAX_ENTRIES && !self.groups.contains_key(&group)) {
             return true;
         }
-        let g = self.groups.entry(group).or_default();
-        g.last = now;
-        g.rates.resize(n, 0.0);
-        g.arrived.resize(n, 0);
-        g.admitted.resize(n, 1.0);
-        g.arrived[c] += 1;
-        lot < g.admitted[c]
+        let group = self.groups.entry(group).or_default();
+        group.last_event = now;
+        group.arrival_rates.resize(n, 0.0);
+        group.arrivals.resize(n, 0);
+        group.admitted_shares.resize(n, 1.0);
+        group.arrivals[class] += 1;
+        draw < group.admitted_shares[class]
     }
 
-    /// An attempt ended at a host.
-    pub fn attempt_ended(&mut self, class: u8, group: u32, host: u32, ended: AttemptOutcome, now: Micros) {
+    /// Records how an attempt at a host ended.
+    pub fn attempt_ended(&mut self, class: u8, group: u32, host: u32, outcome: AttemptOutcome, now: Micros) {
         self.update(now);
-        let c = usize::from(class);
-        let Some(of) = self.classes.get(c).copied() else { return };
+        let class_index = usize::from(class);
+        let Some(class) = self.classes.get(class_index).copied() else { return };
         if self.hosts.len() >= MAX_ENTRIES && !self.hosts.contains_key(&host) {
             return;
         }
-        let h = self.hosts.entry(host).or_default();
-        (h.group, h.last) = (group, now);
-        match ended {
+        let host = self.hosts.entry(host).or_default();
+        (host.group, host.last_event) = (group, now);
+        match outcome {
             AttemptOutcome::Served(us) => {
-                let took = us as f64 / 1e6;
-                let s = &mut self.service[c];
-                if self.seen[c] == 0 {
-                    *s = took;
-                } else if h.share_full <= FULL_SHARE {
-                    // Fast at first: a rare class would else be held for its first answer for a minute.
-                    let step = MEDIAN_STEP.max(0.3 / f64::from(self.seen[c] + 1));
-                    *s *= if took > *s { 1.0 + step } else { 1.0 - step };
+                let latency = us as f64 / 1e6;
+                let service_time = &mut self.service_times[class_index];
+                if self.samples[class_index] == 0 {
+                    *service_time = latency;
+                } else if host.overloaded_share <= OVERLOADED_SHARE {
+                    // The first steps are larger. Otherwise the service time of a rare class would stay near its first
+                    // latency for a minute.
+                    let step = MEDIAN_STEP.max(0.3 / f64::from(self.samples[class_index] + 1));
+                    *service_time *= if latency > *service_time { 1.0 + step } else { 1.0 - step };
                 }
-                self.seen[c] = self.seen[c].saturating_add(1);
-                h.served += *s;
-                h.tried += 1;
-                h.full += u32::from(took > *s * QUEUED_FACTOR);
-                h.primary |= of.writes;
+                self.samples[class_index] = self.samples[class_index].saturating_add(1);
+                host.served_work += *service_time;
+                host.attempts += 1;
+                host.overloaded_attempts += u32::from(latency > *service_time * QUEUED_FACTOR);
+                host.primary |= class.writes;
             }
             AttemptOutcome::Overloaded => {
-                h.tried += 1;
-                h.full += 1;
+                host.attempts += 1;
+                host.overloaded_attempts += 1;
             }
             AttemptOutcome::Other => {}
         }
     }
 
-    /// A replica is so far behind its group's log.
+    /// Records how far a replica of the group is behind the replication log.
     pub fn replica_lag(&mut self, group: u32, lag: Micros, now: Micros) {
-        let Some(g) = self.groups.get_mut(&group) else { return };
+        let Some(group) = self.groups.get_mut(&group) else { return };
         let lag = lag as f64 / 1e6;
-        match g.lag {
-            Some((before, at)) if now > at + PERIOD => {
-                let grows = (lag - before) / ((now - at) as f64 / 1e6);
-                g.growth = 0.7 * g.growth + 0.3 * grows.clamp(-1.0, 1.0);
-                g.lag = Some((lag, now));
+        match group.lag {
+            Some((last_lag, at)) if now > at + UPDATE_INTERVAL_US => {
+                let growth = (lag - last_lag) / ((now - at) as f64 / 1e6);
+                group.lag_growth = 0.7 * group.lag_growth + 0.3 * growth.clamp(-1.0, 1.0);
+                group.lag = Some((lag, now));
             }
             Some(_) => {}
-            None => g.lag = Some((lag, now)),
+            None => group.lag = Some((lag, now)),
         }
     }
 
-    /// Brings the figures up to date, as often as is due.
+    /// Updates rates, capacities and admitted shares if an update is due.
     fn update(&mut self, now: Micros) {
-        if self.due == 0 {
-            self.due = now + PERIOD;
+        if self.next_update == 0 {
+            self.next_update = now + UPDATE_INTERVAL_US;
         }
-        if now < self.due {
+        if now < self.next_update {
             return;
         }
-        // After a silence one longer period stands for all that were missed.
-        let span = (now + PERIOD - self.due) as f64 / 1e6;
-        let old = RATE_DECAY.powf(span / (PERIOD as f64 / 1e6));
-        self.due = now + PERIOD;
-        self.hosts.retain(|_, h| h.last + FORGET_AFTER > now);
-        self.groups.retain(|_, g| g.last + FORGET_AFTER > now);
-        for h in self.hosts.values_mut() {
-            h.work = old * h.work + (1.0 - old) * h.served / span;
-            if h.tried > 0 {
-                let share = f64::from(h.full) / f64::from(h.tried);
-                let weight = 1.0 - RATE_DECAY.powf(f64::from(h.tried) / 4.0);
-                h.share_full += weight * (share - h.share_full);
+        // After a time without calls, one longer interval replaces all the missed ones.
+        let interval = (now + UPDATE_INTERVAL_US - self.next_update) as f64 / 1e6;
+        let old_weight = RATE_DECAY.powf(interval / (UPDATE_INTERVAL_US as f64 / 1e6));
+        self.next_update = now + UPDATE_INTERVAL_US;
+        self.hosts.retain(|_, host| host.last_event + FORGET_AFTER_US > now);
+        self.groups.retain(|_, group| group.last_event + FORGET_AFTER_US > now);
+        for host in self.hosts.values_mut() {
+            host.work_rate = old_weight * host.work_rate + (1.0 - old_weight) * host.served_work / interval;
+            if host.attempts > 0 {
+                let share = f64::from(host.overloaded_attempts) / f64::from(host.attempts);
+                let weight = 1.0 - RATE_DECAY.powf(f64::from(host.attempts) / 4.0);
+                host.overloaded_share += weight * (share - host.overloaded_share);
             }
-            if h.tried == 0 {
-                // Guards against a host of which nothing is heard because nothing is let in: its end is forgotten.
-                h.share_full *= RATE_DECAY;
-                h.capacity = h.capacity.filter(|c| c.1 + CAPACITY_VALID_FOR > now);
-            } else if h.share_full > FULL_SHARE {
-                let capacity = h.capacity.map_or(h.work, |c| c.0 + CAPACITY_STEP * (h.work - c.0));
-                h.capacity = Some((capacity.max(1e-6), now));
+            if host.attempts == 0 {
+                // Guards against a host without attempts because nothing is admitted: its observed capacity expires.
+                host.overloaded_share *= RATE_DECAY;
+                host.capacity = host.capacity.filter(|c| c.1 + CAPACITY_VALID_FOR_US > now);
+            } else if host.overloaded_share > OVERLOADED_SHARE {
+                let capacity =
+                    host.capacity.map_or(host.work_rate, |c| c.0 + CAPACITY_STEP * (host.work_rate - c.0));
+                host.capacity = Some((capacity.max(1e-6), now));
             } else {
-                h.most = (h.most * 0.9999).max(h.work);
-                // It does more than was thought, and is not full; what it might do beyond is tried little by little.
-                let grown = |c: (f64, Micros)| ((c.0 * CAPACITY_GROWTH).max(h.work), c.1);
-                h.capacity = h.capacity.filter(|c| c.1 + CAPACITY_VALID_FOR > now).map(grown);
+                host.max_work_rate = (host.max_work_rate * 0.9999).max(host.work_rate);
+                // A host that is not overloaded has at least the capacity of its work rate. Whether it has more is tried
+                // in small steps.
+                let grown = |c: (f64, Micros)| ((c.0 * CAPACITY_GROWTH).max(host.work_rate), c.1);
+                host.capacity = host.capacity.filter(|c| c.1 + CAPACITY_VALID_FOR_US > now).map(grown);
             }
-            (h.served, h.tried, h.full) = (0.0, 0, 0);
+            (host.served_work, host.attempts, host.overloaded_attempts) = (0.0, 0, 0);
         }
-        for g in self.groups.values_mut() {
-            for (rate, n) in g.rates.iter_mut().zip(&mut g.arrived) {
-                *rate = old * *rate + (1.0 - old) * f64::from(*n) / span;
-                *n = 0;
+        for group in self.groups.values_mut() {
+            for (rate, arrivals) in group.arrival_rates.iter_mut().zip(&mut group.arrivals) {
+                *rate = old_weight * *rate + (1.0 - old_weight) * f64::from(*arrivals) / interval;
+                *arrivals = 0;
             }
         }
         let ids: Vec<u32> = self.groups.keys().copied().collect();
         for id in ids {
-            let admitted = self.admission_shares(id);
-            if let Some(g) = self.groups.get_mut(&id) {
-                g.admitted = admitted;
+            let shares = self.admission_shares(id);
+            if let Some(group) = self.groups.get_mut(&id) {
+                group.admitted_shares = shares;
             }
         }
     }
 
-    /// What a group's hosts can do, and whether all of it was seen; of its primary alone where wanted.
-    fn capacity(&self, group: u32, primary: bool) -> (f64, bool) {
-        let hosts = self.hosts.values().filter(|h| h.group == group && (h.primary || !primary));
-        hosts.fold((0.0, true), |(sum, seen), h| match h.capacity {
-            Some((c, _)) => (sum + c, seen),
-            None => (sum + h.most, false),
+    /// The capacity of a group's hosts in core-seconds per second, and whether that of each was observed. With
+    /// `primary_only`, that of the primary alone.
+    fn capacity(&self, group: u32, primary_only: bool) -> (f64, bool) {
+        let hosts = self.hosts.values().filter(|host| host.group == group && (host.primary || !primary_only));
+        hosts.fold((0.0, true), |(sum, observed), host| match host.capacity {
+            Some((capacity, _)) => (sum + capacity, observed),
+            None => (sum + host.max_work_rate, false),
         })
     }
 
-    /// Work that comes to a group, by class, in core-seconds a second.
+    /// The work that arrives at a group, by class, in core-seconds per second.
     fn offered_work(&self, group: u32) -> Vec<f64> {
-        let rates = self.groups.get(&group).map_or(&[][..], |g| &g.rates);
-        rates.iter().zip(&self.service).map(|(r, s)| r * s).collect()
+        let rates = self.groups.get(&group).map_or(&[][..], |g| &g.arrival_rates);
+        rates.iter().zip(&self.service_times).map(|(rate, service_time)| rate * service_time).collect()
     }
 
-    /// The part of each class to let in: all that fits, the worthiest for its work first.
+    /// The share of each class to admit: as much as fits, the classes with the most worth for their work first.
     fn admission_shares(&self, group: u32) -> Vec<f64> {
         let n = self.classes.len();
-        let (all, seen) = self.capacity(group, false);
-        let asked = self.offered_work(group);
-        if !seen || asked.len() < n || asked.iter().sum::<f64>() <= all * USABLE_SHARE {
+        let (capacity, observed) = self.capacity(group, false);
+        let offered = self.offered_work(group);
+        if !observed || offered.len() < n || offered.iter().sum::<f64>() <= capacity * USABLE_SHARE {
             return vec![1.0; n];
         }
         let mut order: Vec<usize> = (0..n).collect();
-        let value = |c: usize| self.classes[c].worth / self.service[c].max(1e-6);
+        let value = |class: usize| self.classes[class].worth / self.service_times[class].max(1e-6);
         order.sort_by(|&a, &b| value(b).total_cmp(&value(a)));
-        // Of a class that was hardly seen nothing is known.
-        order.retain(|&c| self.seen[c] >= MIN_SAMPLES && asked[c] > 0.0);
-        let (mut left, mut shares) = (all * USABLE_SHARE, vec![1.0; n]);
-        let mut rest = order.as_slice();
-        while let Some(&first) = rest.first() {
-            // Classes of about the same value share what is left. Guards against a rare one that is shut out by the
-            // error of what it is learnt to take.
-            let alike = rest.iter().take_while(|&&c| value(c) >= SAME_TIER * value(first)).count();
-            let (tier, others) = rest.split_at(alike.max(1));
-            let work: f64 = tier.iter().map(|&c| asked[c]).sum();
-            tier.iter().for_each(|&c| shares[c] = (left / work).clamp(MIN_ADMITTED, 1.0));
-            left = (left - work).max(0.0);
-            rest = others;
+        // The service time of a class with few samples is too uncertain to limit it.
+        order.retain(|&class| self.samples[class] >= MIN_SAMPLES && offered[class] > 0.0);
+        let mut free_capacity = capacity * USABLE_SHARE;
+        let mut shares = vec![1.0; n];
+        let mut remaining = order.as_slice();
+        while let Some(&first) = remaining.first() {
+            // Classes of similar value are admitted in equal shares. Guards against a rare class that is shut out by the
+            // error of its measured service time.
+            let tier_len =
+                remaining.iter().take_while(|&&class| value(class) >= SAME_TIER_SHARE * value(first)).count();
+            let (tier, lower_tiers) = remaining.split_at(tier_len.max(1));
+            let tier_work: f64 = tier.iter().map(|&class| offered[class]).sum();
+            tier.iter().for_each(|&class| {
+                shares[class] = (free_capacity / tier_work).clamp(MIN_ADMITTED_SHARE, 1.0)
+            });
+            free_capacity = (free_capacity - tier_work).max(0.0);
+            remaining = lower_tiers;
         }
         shares
     }
 
-    /// What is left of each group.
+    /// The headroom of each group.
     pub fn by_group(&self) -> BTreeMap<u32, GroupHeadroom> {
-        let one = |(&id, g): (&u32, &Group)| {
-            let asked = self.offered_work(id);
-            let part = |work: f64, of: f64| if of > 0.0 { 1.0 - work / of } else { 0.0 };
-            let (all, seen) = self.capacity(id, false);
-            let headroom = part(asked.iter().sum(), all);
-            let written: f64 =
-                asked.iter().zip(&self.classes).filter(|(_, c)| c.writes).map(|(w, _)| *w).sum();
-            let (of_primary, _) = self.capacity(id, true);
-            let primary = if written > 0.0 { part(written, of_primary) } else { 1.0 };
-            let apply_slack = (1.0 - g.growth.max(0.0)).clamp(0.0, 1.0);
+        let group_headroom = |(&id, group): (&u32, &Group)| {
+            let offered = self.offered_work(id);
+            let free_share =
+                |work: f64, capacity: f64| if capacity > 0.0 { 1.0 - work / capacity } else { 0.0 };
+            let (capacity, seen) = self.capacity(id, false);
+            let headroom = free_share(offered.iter().sum(), capacity);
+            let write_work: f64 = offered
+                .iter()
+                .zip(&self.classes)
+                .filter(|(_, class)| class.writes)
+                .map(|(work, _)| *work)
+                .sum();
+            let (primary_capacity, _) = self.capacity(id, true);
+            let primary = if write_work > 0.0 { free_share(write_work, primary_capacity) } else { 1.0 };
+            let apply_slack = (1.0 - group.lag_growth.max(0.0)).clamp(0.0, 1.0);
             let next = match () {
                 () if apply_slack < 0.9 => "apply thread",
                 () if primary < headroom => "primary cores",
                 () => "group cores",
             };
-            (id, GroupHeadroom { headroom, seen, primary, apply_slack, next, admitted: g.admitted.clone() })
+            let admitted = group.admitted_shares.clone();
+            (id, GroupHeadroom { headroom, seen, primary, apply_slack, next, admitted })
         };
-        self.groups.iter().map(one).collect()
+        self.groups.iter().map(group_headroom).collect()
     }
 }
