--- a/crates/capture/src/lib.rs
+++ b/crates/capture/src/lib.rs
@@ -1,10 +1,10 @@
 //! Recording of load: aggregates of requests by class and group in bounded memory, and the text format in which they
-//! are stored. Pure: it is told what happened and returns lines, or is given bytes and returns what they hold. Memory
-//! does not grow with the load; a changed or truncated line is detected by its checksum.
+//! are stored. Pure: the caller reports what happened and writes the returned lines, or passes a file's bytes to be parsed.
+//! Memory must not grow with the load, and a changed or truncated line must be detected, by its checksum.
 //!
-//! A capture is text. Each line is a JSON object, a tab, and eight hexadecimal digits: FNV-1a of 32 bits over the
-//! object's bytes. The first line is a [`Header`], each further one a [`Record`]. Times are in microseconds, in the buckets
-//! of `sillfold_histogram`.
+//! A capture is text. Each line is a JSON object, a tab, and eight hexadecimal digits: the 32-bit FNV-1a hash of the
+//! object's bytes. The first line is a [`Header`], each further one a [`Record`]. Service times are in microseconds, in the
+//! buckets of `sillfold_histogram`.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -12,210 +12,218 @@
 use sillfold_histogram::{bucket_of, middle_us};
 use std::collections::BTreeMap;
 
-/// The version of the format.
+/// The version of the format that this crate writes and reads.
 pub const VERSION: u32 = 1;
-/// The most pairs of class and group that are told apart; what is beyond counts as the last of them.
-const MOST_CELLS: usize = 1_024;
-/// Shapes that are told apart in one record: those that came most.
-const MOST_SHAPES: usize = 32;
-/// One shape in so many is looked at.
-const SHAPE_SAMPLE: u64 = 8;
-/// The longest line that is read.
-const MOST_LINE: usize = 4 << 20;
+/// The most pairs of class and group that are counted separately. All further groups of a class are counted together.
+const MAX_CELLS: usize = 1_024;
+/// The most shapes in one record: the most frequent ones.
+const MAX_SHAPES: usize = 32;
+/// One served statement in this many is sampled for the shapes.
+const SHAPE_SAMPLE_INTERVAL: u64 = 8;
+/// The longest line that is parsed.
+const MAX_LINE_BYTES: usize = 4 << 20;
 
 /// The first line of a capture.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Header {
-    /// The format's version; its name tells that this is a capture at all.
+    /// The version of the format. Its name identifies the file as a capture.
     pub sillfold_capture: u32,
     /// The proxy's name.
     pub name: String,
-    /// When it began, in Unix milliseconds.
+    /// When the capture began, in Unix milliseconds.
     pub started_ms: u64,
-    /// One service time in so many is recorded.
+    /// One service time in this many is recorded.
     pub sample: u32,
 }
 
-/// What happened in one interval.
+/// The load in one interval.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Record {
-    /// When it began, in Unix milliseconds.
+    /// When the interval began, in Unix milliseconds.
     pub at_ms: u64,
-    /// How long it was, in milliseconds.
+    /// The interval's length, in milliseconds.
     pub for_ms: u64,
-    /// By class and group.
+    /// The counts of each class and group.
     pub cells: Vec<Cell>,
-    /// The shapes that came most: number, how often, and the sum of their service times.
+    /// The most frequent shapes: fingerprint, number of statements, and the sum of their service times in microseconds.
     #[serde(default)]
     pub shapes: Vec<(String, u64, u64)>,
 }
 
-/// What happened to one class in one group.
+/// The counts of one class in one group.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Cell {
-    /// The class.
+    /// The class's name.
     pub class: String,
     /// The group.
     pub group: u32,
-    /// Requests that came.
+    /// Requests that arrived.
     pub arrived: u64,
     /// Attempts that were made.
     pub tries: u64,
     /// Attempts that were served.
     pub served: u64,
-    /// Attempts that a member turned away, not being the primary or too far behind.
+    /// Attempts that a member rejected because it isn't the primary or is too far behind.
     pub missed: u64,
     /// Requests that were refused.
     pub refused: u64,
     /// Requests that failed.
     pub failed: u64,
-    /// Expected costs of those that brought one: how many, and their sum in microseconds.
+    /// Requests with an expected cost: their number, and the sum of the expected costs in microseconds.
     #[serde(default)]
     pub expected: (u64, u64),
-    /// Service times as bucket and count.
+    /// Service times, as bucket and count.
     pub us: Vec<(u8, u64)>,
 }
 
-/// What ended an attempt, as far as a capture tells.
+/// How an attempt ended, as far as a capture records it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecordedOutcome {
-    /// Served after so many microseconds.
+    /// Served after this many microseconds.
     Served(u64),
-    /// Turned away, being too far behind or not the primary.
+    /// Rejected by a member that isn't the primary or is too far behind.
     Unsuitable,
     /// Anything else.
     Other,
 }
 
+/// The counts of one cell in the current interval.
 #[derive(Default)]
-struct Counts {
+struct CellCounts {
     cell: Cell,
-    us: BTreeMap<u8, u64>,
+    /// Service times by bucket.
+    buckets: BTreeMap<u8, u64>,
 }
 
-/// Records one interval after the other.
+/// Records the load of successive intervals.
 pub struct Recorder {
     classes: Vec<String>,
     sample: u32,
-    seen: u32,
-    cells: BTreeMap<(u8, u32), Counts>,
+    /// Attempts since the last sampled service time.
+    since_sample: u32,
+    cells: BTreeMap<(u8, u32), CellCounts>,
+    /// Statements, and the sum of their service times in microseconds, by the shape's fingerprint.
     shapes: BTreeMap<u64, (u64, u64)>,
-    shapes_seen: u64,
+    statements_served: u64,
 }
 
 impl Recorder {
-    /// A recorder of classes by number; one service time in `sample` is recorded.
+    /// A recorder for classes by number. One service time in `sample` is recorded.
     pub fn new(classes: Vec<String>, sample: u32) -> Recorder {
         let (cells, shapes) = Default::default();
-        Recorder { classes, sample: sample.max(1), seen: 0, cells, shapes, shapes_seen: 0 }
+        Recorder { classes, sample: sample.max(1), since_sample: 0, cells, shapes, statements_served: 0 }
     }
 
-    fn cell(&mut self, class: u8, group: u32) -> &mut Counts {
-        let known = self.cells.len() < MOST_CELLS || self.cells.contains_key(&(class, group));
-        // Beyond what is told apart, all count as one.
-        let key = if known { (class, group) } else { (class, u32::MAX) };
+    fn cell(&mut self, class: u8, group: u32) -> &mut CellCounts {
+        let separate = self.cells.len() < MAX_CELLS || self.cells.contains_key(&(class, group));
+        // Once there are too many cells, all new groups of a class share one.
+        let key = if separate { (class, group) } else { (class, u32::MAX) };
         self.cells.entry(key).or_default()
     }
 
-    /// A request came; what it is expected to take is 0 where only its class tells.
+    /// Records the arrival of a request. `expected_us` is 0 if the request's class alone determines its cost.
     pub fn request_arrived(&mut self, class: u8, group: u32, expected_us: u64) {
-        let c = &mut self.cell(class, group).cell;
-        c.arrived += 1;
+        let cell = &mut self.cell(class, group).cell;
+        cell.arrived += 1;
         if expected_us > 0 {
-            c.expected = (c.expected.0 + 1, c.expected.1.saturating_add(expected_us));
+            cell.expected = (cell.expected.0 + 1, cell.expected.1.saturating_add(expected_us));
         }
     }
 
-    /// An attempt ended.
-    pub fn attempt_ended(&mut self, class: u8, group: u32, how: RecordedOutcome) {
+    /// Records the end of an attempt.
+    pub fn attempt_ended(&mut self, class: u8, group: u32, outcome: RecordedOutcome) {
         let sample = self.sample;
-        self.seen = (self.seen + 1) % sample;
-        let sampled = self.seen == 0;
-        let c = self.cell(class, group);
-        c.cell.tries += 1;
-        match how {
+        self.since_sample = (self.since_sample + 1) % sample;
+        let sampled = self.since_sample == 0;
+        let counts = self.cell(class, group);
+        counts.cell.tries += 1;
+        match outcome {
             RecordedOutcome::Served(us) => {
-                c.cell.served += 1;
+                counts.cell.served += 1;
                 if sampled {
-                    *c.us.entry(bucket_of(us)).or_default() += 1;
+                    *counts.buckets.entry(bucket_of(us)).or_default() += 1;
                 }
             }
-            RecordedOutcome::Unsuitable => c.cell.missed += 1,
+            RecordedOutcome::Unsuitable => counts.cell.missed += 1,
             RecordedOutcome::Other => {}
         }
     }
 
-    /// A request was refused, or failed.
+    /// Records a request that was refused, or that failed.
     pub fn request_unserved(&mut self, class: u8, group: u32, refused: bool) {
-        let c = &mut self.cell(class, group).cell;
-        *(if refused { &mut c.refused } else { &mut c.failed }) += 1;
+        let cell = &mut self.cell(class, group).cell;
+        *(if refused { &mut cell.refused } else { &mut cell.failed }) += 1;
     }
 
-    /// A statement of this shape was served. Of very many shapes those that come most are kept (space saving,
-    /// Metwally, Agrawal and El Abbadi 2005): a new one takes the place and the count of the rarest.
-    /// Of all that come one in eight is looked at, and counts for as many: guards against a cost that many rare
-    /// shapes would have on every request.
-    pub fn shape_served(&mut self, number: u64, us: u64) {
-        self.shapes_seen += 1;
-        // An odd stride, so that no pattern of the load falls together with it.
-        if (self.shapes_seen.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 61) != 0 {
+    /// Records a served statement of the shape with this fingerprint, and its service time. If there are too many
+    /// shapes, the most frequent ones are kept by the Space-Saving algorithm (Metwally, Agrawal and El Abbadi 2005): a
+    /// new shape replaces the rarest one and takes over its count. One statement in eight is sampled and counts
+    /// as eight. Guards against the cost that many rare shapes would add to every request.
+    pub fn shape_served(&mut self, fingerprint: u64, us: u64) {
+        self.statements_served += 1;
+        // A multiplicative hash of the counter selects one statement in eight, so that the sampling doesn't coincide with
+        // a periodic load.
+        if (self.statements_served.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 61) != 0 {
             return;
         }
-        if !self.shapes.contains_key(&number) && self.shapes.len() >= MOST_SHAPES {
+        if !self.shapes.contains_key(&fingerprint) && self.shapes.len() >= MAX_SHAPES {
             let rarest = self.shapes.iter().min_by_key(|s| s.1.0).map(|s| (*s.0, s.1.0));
             if let Some((rarest, count)) = rarest {
                 self.shapes.remove(&rarest);
-                self.shapes.insert(number, (count, 0));
+                self.shapes.insert(fingerprint, (count, 0));
             }
         }
-        let s = self.shapes.entry(number).or_default();
-        *s = (s.0 + SHAPE_SAMPLE, s.1.saturating_add(us * SHAPE_SAMPLE));
+        let shape = self.shapes.entry(fingerprint).or_default();
+        *shape = (shape.0 + SHAPE_SAMPLE_INTERVAL, shape.1.saturating_add(us * SHAPE_SAMPLE_INTERVAL));
     }
 
-    /// What happened since the last taking.
+    /// The record of the current interval, which began at `at_ms` and took `for_ms`. The next interval starts empty.
     pub fn take_record(&mut self, at_ms: u64, for_ms: u64) -> Record {
         let classes = &self.classes;
         let cells = std::mem::take(&mut self.cells).into_iter().map(|((class, group), counts)| Cell {
             class: classes.get(usize::from(class)).cloned().unwrap_or_default(),
             group,
-            us: counts.us.into_iter().collect(),
+            us: counts.buckets.into_iter().collect(),
             ..counts.cell
         });
         let cells = cells.collect();
         let shapes = std::mem::take(&mut self.shapes).into_iter();
-        let shapes = shapes.map(|(n, (count, us))| (format!("{n:016x}"), count, us)).collect();
+        let shapes = shapes
+            .map(|(fingerprint, (count, sum_us))| (format!("{fingerprint:016x}"), count, sum_us))
+            .collect();
         Record { at_ms, for_ms, cells, shapes }
     }
 }
 
+/// The 32-bit FNV-1a hash.
 fn checksum(bytes: &[u8]) -> u32 {
-    bytes.iter().fold(0x811c_9dc5, |h, b| (h ^ u32::from(*b)).wrapping_mul(0x0100_0193))
+    bytes.iter().fold(0x811c_9dc5, |hash, byte| (hash ^ u32::from(*byte)).wrapping_mul(0x0100_0193))
 }
 
-/// A line of a capture, its end included.
+/// Encodes a header or a record as a line, with its line end.
 pub fn encode_line(value: &impl Serialize) -> Result<String, serde_json::Error> {
     let text = serde_json::to_string(value)?;
     Ok(format!("{text}\t{:08x}\n", checksum(text.as_bytes())))
 }
 
-/// What a capture holds.
+/// The contents of a capture.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Capture {
-    /// Its first line.
+    /// The first line.
     pub header: Header,
-    /// All whole records before the first fault.
+    /// All intact records before the first fault.
     pub records: Vec<Record>,
 }
 
-/// What is wrong with a capture, and where.
+/// A fault in a capture.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fault {
-    /// The line, from 1 on.
+    /// The line number, from 1.
     pub line: usize,
-    /// What is wrong there.
+    /// What is wrong with the line.
     pub problem: String,
 }
 
@@ -225,140 +233,144 @@
     }
 }
 
-fn object(line: &[u8]) -> Result<&[u8], String> {
-    if line.len() > MOST_LINE {
+/// The JSON object of a line, once its checksum was verified.
+fn verified_object(line: &[u8]) -> Result<&[u8], String> {
+    if line.len() > MAX_LINE_BYTES {
         return Err(format!("a line of {} bytes", line.len()));
     }
-    let torn = "cut short, or changed";
-    let at = line.iter().rposition(|&b| b == b'\t').ok_or(torn)?;
-    let (text, sum) = (&line[..at], &line[at + 1..]);
+    let corrupt = "cut short, or changed";
+    let tab = line.iter().rposition(|&b| b == b'\t').ok_or(corrupt)?;
+    let (object, sum) = (&line[..tab], &line[tab + 1..]);
     let sum = std::str::from_utf8(sum).ok().and_then(|s| u32::from_str_radix(s, 16).ok());
-    if sum == Some(checksum(text)) { Ok(text) } else { Err(torn.into()) }
+    if sum == Some(checksum(object)) { Ok(object) } else { Err(corrupt.into()) }
 }
 
-/// Reads a capture: all that is whole, and the first fault if there is one. The error is that of something that is no
-/// capture, or none of this version.
+/// Parses a capture up to its first fault, which is returned beside the intact part. Fails if the first line is not a
+/// header, or if it is one of another version.
 pub fn parse(bytes: &[u8]) -> Result<(Capture, Option<Fault>), Fault> {
-    let ended = bytes.last() == Some(&b'\n');
+    let ends_with_newline = bytes.last() == Some(&b'\n');
     let mut lines = bytes.split(|&b| b == b'\n').enumerate();
     let fault = |line: usize, problem: String| Fault { line, problem };
     let first = lines.next().map_or(&[][..], |l| l.1);
-    let foreign = |what: String| fault(1, format!("no capture: {what}"));
-    let text = object(first).map_err(foreign)?;
-    let header: Header = serde_json::from_slice(text).map_err(|e| foreign(e.to_string()))?;
+    let not_a_capture = |problem: String| fault(1, format!("no capture: {problem}"));
+    let object = verified_object(first).map_err(not_a_capture)?;
+    let header: Header = serde_json::from_slice(object).map_err(|e| not_a_capture(e.to_string()))?;
     if header.sillfold_capture != VERSION {
-        let what = format!("version {} of the format; this reads {VERSION}", header.sillfold_capture);
-        return Err(fault(1, what));
+        let problem = format!("version {} of the format; this reads {VERSION}", header.sillfold_capture);
+        return Err(fault(1, problem));
     }
     let mut records = Vec::new();
-    let mut wrong = None;
-    let mut last = 0;
+    let mut first_fault = None;
+    let mut last_index = 0;
     for (i, line) in lines {
         if line.is_empty() {
             continue;
         }
-        last = i;
-        let record = object(line).and_then(|t| serde_json::from_slice(t).map_err(|e| e.to_string()));
+        last_index = i;
+        let record = verified_object(line).and_then(|o| serde_json::from_slice(o).map_err(|e| e.to_string()));
         match record {
             Ok(record) => records.push(record),
-            Err(what) => {
-                wrong = Some(fault(i + 1, what));
+            Err(problem) => {
+                first_fault = Some(fault(i + 1, problem));
                 break;
             }
         }
     }
-    if wrong.is_none() && !ended {
-        wrong = Some(fault(last + 1, "its last line has no end".into()));
+    if first_fault.is_none() && !ends_with_newline {
+        first_fault = Some(fault(last_index + 1, "its last line has no end".into()));
     }
-    Ok((Capture { header, records }, wrong))
+    Ok((Capture { header, records }, first_fault))
 }
 
-/// One class over a whole capture.
+/// The totals of one class over a whole capture.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Total {
-    /// Requests that came.
+pub struct ClassSummary {
+    /// Requests that arrived.
     pub arrived: u64,
-    /// Attempts for each request.
+    /// Attempts per request.
     pub tries: f64,
-    /// The share of attempts that were turned away.
+    /// The share of attempts that a member rejected because it isn't the primary or is too far behind.
     pub missed: f64,
     /// The share of requests that were refused or failed.
     pub unserved: f64,
-    /// Service times that were recorded.
+    /// Recorded service times.
     pub samples: u64,
-    /// Their mean, in microseconds.
+    /// Mean of the service times, in microseconds.
     pub mean_us: f64,
-    /// Their squared coefficient of variation.
+    /// Squared coefficient of variation of the service times.
     pub cv2: f64,
-    /// Their 95th percentile, in microseconds.
+    /// 95th percentile of the service times, in microseconds.
     pub p95_us: f64,
 }
 
-/// A capture as a whole.
+/// The totals of a capture.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Summary {
-    /// For how long it was watched, in seconds.
+    /// The length of all intervals, in seconds.
     pub seconds: f64,
-    /// By class.
-    pub classes: BTreeMap<String, Total>,
+    /// The totals of each class, by name.
+    pub classes: BTreeMap<String, ClassSummary>,
     /// Requests by group.
     pub groups: BTreeMap<u32, u64>,
-    /// The shapes that came most: number, how often, mean service time in microseconds.
+    /// The most frequent shapes: fingerprint, number of statements, mean service time in microseconds.
     pub shapes: Vec<(String, u64, f64)>,
 }
 
 impl Capture {
-    /// All of it as one.
+    /// Sums up all records.
     pub fn summary(&self) -> Summary {
-        let mut out = Summary::default();
-        let mut us: BTreeMap<&str, BTreeMap<u8, u64>> = BTreeMap::new();
-        let mut sums: BTreeMap<&str, [u64; 4]> = BTreeMap::new();
+        let mut summary = Summary::default();
+        let mut buckets_by_class: BTreeMap<&str, BTreeMap<u8, u64>> = BTreeMap::new();
+        // Requests, attempts, rejected attempts and unserved requests of each class.
+        let mut counts_by_class: BTreeMap<&str, [u64; 4]> = BTreeMap::new();
         let mut shapes: BTreeMap<&str, (u64, u64)> = BTreeMap::new();
-        for r in &self.records {
-            out.seconds += r.for_ms as f64 / 1e3;
-            for c in &r.cells {
-                let s = sums.entry(&c.class).or_default();
-                let adds = [c.arrived, c.tries, c.missed, c.refused + c.failed];
-                s.iter_mut().zip(adds).for_each(|(a, b)| *a += b);
-                *out.groups.entry(c.group).or_default() += c.arrived;
-                let all = us.entry(&c.class).or_default();
-                c.us.iter().for_each(|(b, n)| *all.entry(*b).or_default() += n);
+        for record in &self.records {
+            summary.seconds += record.for_ms as f64 / 1e3;
+            for cell in &record.cells {
+                let sums = counts_by_class.entry(&cell.class).or_default();
+                let counts = [cell.arrived, cell.tries, cell.missed, cell.refused + cell.failed];
+                sums.iter_mut().zip(counts).for_each(|(sum, count)| *sum += count);
+                *summary.groups.entry(cell.group).or_default() += cell.arrived;
+                let buckets = buckets_by_class.entry(&cell.class).or_default();
+                cell.us.iter().for_each(|(bucket, n)| *buckets.entry(*bucket).or_default() += n);
             }
-            for (n, count, took) in &r.shapes {
-                let s = shapes.entry(n).or_default();
-                *s = (s.0 + count, s.1 + took);
+            for (fingerprint, count, sum_us) in &record.shapes {
+                let shape = shapes.entry(fingerprint).or_default();
+                *shape = (shape.0 + count, shape.1 + sum_us);
             }
         }
-        for (class, [arrived, tries, missed, unserved]) in sums {
-            let times = &us[class];
-            let samples: u64 = times.values().sum();
+        for (class, [arrived, tries, missed, unserved]) in counts_by_class {
+            let buckets = &buckets_by_class[class];
+            let samples: u64 = buckets.values().sum();
             let mean = |f: &dyn Fn(f64) -> f64| {
-                let sum: f64 = times.iter().map(|(b, n)| f(middle_us(*b)) * *n as f64).sum();
+                let sum: f64 = buckets.iter().map(|(b, n)| f(middle_us(*b)) * *n as f64).sum();
                 if samples > 0 { sum / samples as f64 } else { 0.0 }
             };
-            let (mean_us, square) = (mean(&|x| x), mean(&|x| x * x));
-            let mut below = 0;
-            let p95 = times.iter().find(|(_, n)| {
-                below += **n;
-                below as f64 >= 0.95 * samples as f64
+            let mean_us = mean(&|x| x);
+            let mean_square = mean(&|x| x * x);
+            let mut cumulative = 0;
+            let p95_bucket = buckets.iter().find(|(_, n)| {
+                cumulative += **n;
+                cumulative as f64 >= 0.95 * samples as f64
             });
-            let share = |part: u64, of: u64| if of > 0 { part as f64 / of as f64 } else { 0.0 };
-            let total = Total {
+            let ratio = |part: u64, whole: u64| if whole > 0 { part as f64 / whole as f64 } else { 0.0 };
+            let class_summary = ClassSummary {
                 arrived,
-                tries: share(tries, arrived),
-                missed: share(missed, tries),
-                unserved: share(unserved, arrived),
+                tries: ratio(tries, arrived),
+                missed: ratio(missed, tries),
+                unserved: ratio(unserved, arrived),
                 samples,
                 mean_us,
-                cv2: if mean_us > 0.0 { (square / (mean_us * mean_us) - 1.0).max(0.0) } else { 0.0 },
-                p95_us: p95.map_or(0.0, |(b, _)| middle_us(*b)),
+                cv2: if mean_us > 0.0 { (mean_square / (mean_us * mean_us) - 1.0).max(0.0) } else { 0.0 },
+                p95_us: p95_bucket.map_or(0.0, |(b, _)| middle_us(*b)),
             };
-            out.classes.insert(class.to_string(), total);
+            summary.classes.insert(class.to_string(), class_summary);
         }
-        let mean = |(count, us): (u64, u64)| us as f64 / count.max(1) as f64;
-        out.shapes = shapes.into_iter().map(|(n, s)| (n.to_string(), s.0, mean(s))).collect();
-        out.shapes.sort_by_key(|s| std::cmp::Reverse(s.1));
-        out.shapes.truncate(MOST_SHAPES);
-        out
+        let mean = |(count, sum_us): (u64, u64)| sum_us as f64 / count.max(1) as f64;
+        summary.shapes =
+            shapes.into_iter().map(|(fingerprint, s)| (fingerprint.to_string(), s.0, mean(s))).collect();
+        summary.shapes.sort_by_key(|s| std::cmp::Reverse(s.1));
+        summary.shapes.truncate(MAX_SHAPES);
+        summary
     }
 }
