--- a/src/api.rs
+++ b/src/api.rs
@@ -195,7 +195,7 @@
     /// How session writes are known.
     pub tokens: SessionTokens,
     /// Whether attempts to other zones have a price.
-    pub crossings_cost: bool,
+    pub cross_zone_costs: bool,
     /// Whether every answer carries a position.
     pub positions: bool,
     /// Permissions.
@@ -404,7 +404,7 @@
         /// The server.
         host: HostId,
         /// Whether it is out from then on.
-        out: bool,
+        left_out: bool,
         /// Since when; the server started at that time at the latest where it is used again.
         since: Micros,
     },
--- a/src/invariants.rs
+++ b/src/invariants.rs
@@ -8,27 +8,27 @@
 use serde::Serialize;
 
 /// A process may be held up for so long between reading its clock and writing.
-pub const HOLD_UP: Micros = 150_000;
+pub const MAX_STALL_US: Micros = 150_000;
 /// The way of a write to its host, and the look at the clock before it.
-const WAY: Micros = 25_000;
+const WRITE_DELAY_US: Micros = 25_000;
 /// Nothing begins for a client that left longer ago than this.
-pub const DEPARTURE: Micros = 100_000;
+pub const DISCONNECT_GRACE_US: Micros = 100_000;
 /// The time that an attempt tells its host may exceed what the client has left by this.
-pub const PATIENCE_SLACK: Micros = 150_000;
+pub const DEADLINE_SLACK_US: Micros = 150_000;
 /// Until when the last byte of an attempt may go whose head was made at this time: what it tells its host of the time
 /// that is left may be too much by the slack then, less the way.
-pub fn write_until(made: Micros) -> Micros {
-    made + PATIENCE_SLACK - WAY
+pub fn write_deadline(made: Micros) -> Micros {
+    made + DEADLINE_SLACK_US - WRITE_DELAY_US
 }
 
 /// SIGKILL follows SIGTERM no sooner than the longest wait of a client and this.
-const KILL_AFTER: Micros = 700_000;
+const SIGKILL_DELAY_US: Micros = 700_000;
 
 /// Until when a request that may have run first at this time may start again, where a repeat is recognised for `window`.
 /// A hold-up, the way, and clocks that differ a little are left room for.
 pub fn repeatable_until(first: Micros, window: Micros) -> Micros {
     let drift = window / 20;
-    first + window.saturating_sub(drift + HOLD_UP + WAY)
+    first + window.saturating_sub(drift + MAX_STALL_US + WRITE_DELAY_US)
 }
 
 impl Idempotency {
@@ -58,20 +58,20 @@
 /// When a stop cuts off what is still open, counted from SIGTERM: late enough for whoever came before clients turned
 /// away, early enough that a hold-up as the signal comes and another as the answers go end before SIGKILL.
 pub fn cut_off_after(linger: Micros, longest_wait: Micros) -> Micros {
-    const TURNED_AWAY: Micros = KILL_AFTER - 2 * HOLD_UP;
+    const REJECTION_WINDOW_US: Micros = SIGKILL_DELAY_US - 2 * MAX_STALL_US;
     // Whoever lingers for longer than that is not killed so soon.
-    longest_wait + if linger > KILL_AFTER { linger } else { linger.min(TURNED_AWAY) }
+    longest_wait + if linger > SIGKILL_DELAY_US { linger } else { linger.min(REJECTION_WINDOW_US) }
 }
 
 /// What is known as the first byte of an attempt is about to go.
 #[derive(Clone, Copy, Debug)]
-pub struct Start {
+pub struct AttemptStart {
     /// For how long its host has been known to drain, to be gone or to be left out, if it is.
-    pub off_for: Option<Micros>,
+    pub unavailable_for: Option<Micros>,
     /// For how long after that something may still begin there.
     pub drain_grace: Micros,
     /// Its client has closed the connection.
-    pub client_left: bool,
+    pub client_disconnected: bool,
     /// What the decision module says of the request.
     pub request: RequestStart,
 }
@@ -106,17 +106,19 @@
 }
 
 /// Whether something new may still be written to a host that has been off for so long, if it is.
-pub fn takes_new(off_for: Option<Micros>, drain_grace: Micros) -> bool {
-    let margin = if mutants::on("hold-ups are not covered") { 0 } else { HOLD_UP + WAY };
-    off_for.is_none_or(|off| off + margin <= drain_grace)
+pub fn accepts_new_attempts(unavailable_for: Option<Micros>, drain_grace: Micros) -> bool {
+    let margin = if mutants::on("hold-ups are not covered") { 0 } else { MAX_STALL_US + WRITE_DELAY_US };
+    unavailable_for.is_none_or(|off| off + margin <= drain_grace)
 }
 
 /// Whether an attempt may start now.
-pub fn may_start(start: &Start, now: Micros) -> Result<(), Denial> {
-    if start.client_left && !mutants::on("departures are not asked for") {
+pub fn may_start(start: &AttemptStart, now: Micros) -> Result<(), Denial> {
+    if start.client_disconnected && !mutants::on("departures are not asked for") {
         return Err(Denial::ClientLeft);
     }
-    if !takes_new(start.off_for, start.drain_grace) && !mutants::on("drains are not asked for") {
+    if !accepts_new_attempts(start.unavailable_for, start.drain_grace)
+        && !mutants::on("drains are not asked for")
+    {
         return Err(Denial::HostOff);
     }
     if !start.request.open {
@@ -166,25 +168,25 @@
 
 /// What is known of an attempt once it is written.
 #[derive(Clone, Copy, Debug)]
-pub struct Started {
+pub struct StartedAttempt {
     /// For how long its host had been known to be off as it was written.
-    pub off_for: Option<Micros>,
+    pub unavailable_for: Option<Micros>,
     /// The time that its host was told it has.
-    pub patience: Micros,
+    pub announced_time: Micros,
     /// Until when its client waits.
     pub give_up_at: Micros,
 }
 
 /// What was wrong with an attempt that was written at this time, after this start.
-pub fn check_started(start: &Start, started: &Started, now: Micros) -> Option<Violation> {
+pub fn check_started(start: &AttemptStart, started: &StartedAttempt, now: Micros) -> Option<Violation> {
     let left = started.give_up_at.saturating_sub(now);
-    if start.client_left {
+    if start.client_disconnected {
         Some(Violation::StartedForDeparted)
-    } else if started.off_for.is_some_and(|off| off > start.drain_grace) {
+    } else if started.unavailable_for.is_some_and(|off| off > start.drain_grace) {
         Some(Violation::StartedAtDraining)
     } else if now > start.request.forgotten_at {
         Some(Violation::RepeatedTooLate)
-    } else if started.patience > left + PATIENCE_SLACK {
+    } else if started.announced_time > left + DEADLINE_SLACK_US {
         Some(Violation::PatienceExceeded)
     } else {
         None
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -14,7 +14,7 @@
 //!         worth: 1.0, late_worth: 0.0, latency_target_stretch: 0.0,
 //!     }],
 //!     list_mode: ListMode::Pushed, list_role: ListRole::Absent,
-//!     lag_check: LagCheck::Reject, tokens: SessionTokens::FromClient, crossings_cost: false, positions: true,
+//!     lag_check: LagCheck::Reject, tokens: SessionTokens::FromClient, cross_zone_costs: false, positions: true,
 //!     limits: Limits {
 //!         cancel: true, probes: false, peers: false, retry_after: true,
 //!         max_retry_after: 1_000_000, hedging: false, max_attempts: 4,
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -16,7 +16,7 @@
 mod slow_start;
 
 use crate::api::*;
-use crate::invariants::{self, RequestStart, Start};
+use crate::invariants::{self, AttemptStart, RequestStart};
 use crate::mutants;
 use crate::sessions::{PRESENT, Sessions, committed_by};
 pub use crate::state::tail_adjusted;
@@ -27,7 +27,7 @@
 // ---- Tunables. Times in microseconds, shares as fractions. ----
 
 /// p99 at or over this multiple of p90 marks a tail worth clamping (thesis: 2).
-pub const ALPHA: f64 = 2.0;
+pub const TAIL_RATIO: f64 = 2.0;
 /// A read goes to a random replica within this multiple of the lowest score.
 const NEAR: f64 = 1.2;
 /// Weight of the old value in the in-flight average: in-flight is exact, so it is followed closely.
@@ -202,7 +202,7 @@
                 Event::PartialAnswer { host, note } => self.report(*host, *note, true),
                 Event::Sessions(news) => self.sessions.hear(*news, self.now),
                 Event::Timer(_) => {}
-                Event::HostOverride { host, out, since } => self.by_hand(*host, *out, *since),
+                Event::HostOverride { host, left_out, since } => self.by_hand(*host, *left_out, *since),
                 Event::Peer { from, news } => {
                     let (hosts, groups, index) = (&mut self.hosts, &mut self.groups, &self.index);
                     take_news(hosts, groups, index, &mut self.shares, (*from, news), self.now, PROBE_GAP);
--- a/src/logic/background.rs
+++ b/src/logic/background.rs
@@ -8,7 +8,7 @@
             self.due.period = self.now + PERIOD;
             self.probe();
             self.tell();
-            self.hosts.iter_mut().for_each(|s| s.clamp(self.now, LIST_AGE, ALPHA, OLD, self.seen.mean));
+            self.hosts.iter_mut().for_each(|s| s.clamp(self.now, LIST_AGE, TAIL_RATIO, OLD, self.seen.mean));
             self.classes.iter_mut().for_each(|c| c.take_median(8));
         }
         // The age of what is out counts in the score before a sample does: a standstill shows at once.
@@ -42,7 +42,7 @@
             let fit = plain
                 || self.blind()
                 || (quiet && self.hosts[*i].cold_share(self.now, &self.set.safety).is_none());
-            s.listed == HostStatus::Ready && self.out_since(s.id).is_none() && behind && due && fit
+            s.listed == HostStatus::Ready && self.left_out_since(s.id).is_none() && behind && due && fit
         };
         let mut due: Vec<usize> = (0..self.hosts.len()).filter(due).collect();
         // Those of lost zones and those that started lately first, then longest unasked; each router begins
--- a/src/logic/freshness.rs
+++ b/src/logic/freshness.rs
@@ -75,7 +75,7 @@
     /// What the start of a request's latest attempt rests on, asked as its connection is up and its first byte is about
     /// to go. Since its server was chosen, that may have fallen behind or lost its role, a write of the session may have
     /// begun or ended, and the window for repeats may be over.
-    pub fn starts(&mut self, now: Micros, id: RequestId) -> RequestStart {
+    pub fn start_conditions(&mut self, now: Micros, id: RequestId) -> RequestStart {
         const OVER: RequestStart =
             RequestStart { open: false, current: false, repeatable_until: 0, forgotten_at: Micros::MAX };
         self.now = self.now.max(now);
@@ -97,9 +97,10 @@
     }
 
     /// Whether the latest attempt of a request may begin, as far as the request tells.
-    pub fn may_begin(&mut self, now: Micros, id: RequestId) -> bool {
-        let request = self.starts(now, id);
-        let start = Start { off_for: None, drain_grace: 0, client_left: false, request };
+    pub fn may_start_attempt(&mut self, now: Micros, id: RequestId) -> bool {
+        let request = self.start_conditions(now, id);
+        let start =
+            AttemptStart { unavailable_for: None, drain_grace: 0, client_disconnected: false, request };
         invariants::may_start(&start, self.now).is_ok()
     }
 
--- a/src/logic/membership.rs
+++ b/src/logic/membership.rs
@@ -15,7 +15,7 @@
         // Until a successor is known writes may still go there, well inside the grace.
         let spared = |told: Micros| primary_work && self.now - told < self.set.safety.drain_grace / 2;
         match s.listed {
-            _ if self.out_since(s.id).is_some_and(|since| !spared(since.min(self.now))) => false,
+            _ if self.left_out_since(s.id).is_some_and(|since| !spared(since.min(self.now))) => false,
             HostStatus::Ready => true,
             HostStatus::Draining => spared(s.told_at),
             HostStatus::Removed => self.set.safety.only_draining_binds && !s.seen_draining,
@@ -23,12 +23,12 @@
     }
 
     /// How many servers are listed, and how many of them get nothing, or only one attempt to see.
-    pub fn hosts(&self) -> (usize, usize) {
-        count(&self.hosts, |s| self.out_since(s.id).is_some())
+    pub fn host_counts(&self) -> (usize, usize) {
+        count(&self.hosts, |s| self.left_out_since(s.id).is_some())
     }
 
     /// Since when operators leave a server out, if they do.
-    pub fn out_since(&self, host: HostId) -> Option<Micros> {
+    pub fn left_out_since(&self, host: HostId) -> Option<Micros> {
         self.out_by_hand.get(&host).copied()
     }
 
--- a/src/logic/routing.rs
+++ b/src/logic/routing.rs
@@ -31,7 +31,7 @@
             let latency = s.weighed(usual).unwrap_or(lowest).max(s.pending);
             let errors = s.errors(self.now, ERROR_HALF_LIFE_US);
             let mut points = score(latency, s.q, s.wait) * (1.0 + ERROR_POINTS * errors);
-            points *= if self.set.crossings_cost && s.zone != self.set.zone { ABROAD } else { 1.0 };
+            points *= if self.set.cross_zone_costs && s.zone != self.set.zone { ABROAD } else { 1.0 };
             // Where each router tries each server, that is hundreds of handshakes for each, and as many
             // time-outs for one that is bad: stay with what serves, first drawn by lot.
             points *= match s.cold_share(self.now, &self.set.safety) {
--- a/src/net/core.rs
+++ b/src/net/core.rs
@@ -283,7 +283,7 @@
     /// The figures of this moment. Every class is there from the start.
     pub fn figures(&self) -> Figures {
         let inner = self.inner.borrow();
-        let (hosts_listed, hosts_down) = inner.router.hosts();
+        let (hosts_listed, hosts_down) = inner.router.host_counts();
         Figures {
             calls: self.dialect.classes.iter().cloned().zip(inner.calls.iter().cloned()).collect(),
             backend_calls: inner.calls.iter().map(|c| c.backend_calls).sum(),
@@ -367,18 +367,18 @@
     /// when one does.
     pub fn by_hand(&self, name: &str, out: bool, since: Micros) {
         let host = self.inner.borrow_mut().number(name);
-        self.feed(Event::HostOverride { host, out, since });
+        self.feed(Event::HostOverride { host, left_out: out, since });
     }
 
     /// Whether operators leave a database host out.
     pub fn is_out(&self, name: &str) -> bool {
         let inner = self.inner.borrow();
-        inner.ids.get(name).is_some_and(|id| inner.router.out_since(*id).is_some())
+        inner.ids.get(name).is_some_and(|id| inner.router.left_out_since(*id).is_some())
     }
 
     /// Since when operators leave a database host out, if they do.
-    pub fn out_since(&self, host: HostId) -> Option<Micros> {
-        self.inner.borrow().router.out_since(host)
+    pub fn left_out_since(&self, host: HostId) -> Option<Micros> {
+        self.inner.borrow().router.left_out_since(host)
     }
 
     /// A request came in: the ticket through which its task hears of it. Where its last bytes are still
@@ -507,7 +507,7 @@
         let Inner { left, names, ids, router, shared, .. } = &mut *inner;
         let gone: Vec<HostId> = left
             .iter()
-            .filter(|(id, at)| **at + self.kept < now && router.out_since(**id).is_none())
+            .filter(|(id, at)| **at + self.kept < now && router.left_out_since(**id).is_none())
             .map(|(id, _)| *id)
             .collect();
         for id in &gone {
@@ -678,8 +678,8 @@
     }
 
     /// What the start of the attempt that was ordered last rests on, asked as its first byte is about to go.
-    pub fn starts(&self, now: Micros) -> RequestStart {
-        self.core.inner.borrow_mut().router.starts(now, self.id)
+    pub fn start_conditions(&self, now: Micros) -> RequestStart {
+        self.core.inner.borrow_mut().router.start_conditions(now, self.id)
     }
 
     /// What this answer to what was sent at that time amounts to, where the module holds it to be too old.
--- a/src/net/hosts.rs
+++ b/src/net/hosts.rs
@@ -9,7 +9,7 @@
 use super::listing::{Listing, Status};
 use super::world::{self, Spawner};
 use super::{Budget, Held, by, complain, read};
-use crate::invariants::{self, Denial, RequestStart, Start, Started};
+use crate::invariants::{self, AttemptStart, Denial, RequestStart, StartedAttempt};
 use crate::mutants;
 use crate::pg::{self, Backend, Column, ErrorFields, Passed, Passing, PlainError, Statement};
 use crate::{HostId, HostReport, Micros, Outcome, Role};
@@ -49,7 +49,7 @@
 #[derive(Clone, Copy)]
 pub struct Asking {
     /// Its client has closed the connection.
-    pub client_left: bool,
+    pub client_disconnected: bool,
     pub request: RequestStart,
 }
 
@@ -61,7 +61,7 @@
 
 /// What the start of an attempt rests on, and when that was asked.
 pub struct CheckedStart {
-    start: Start,
+    start: AttemptStart,
     at: Micros,
 }
 
@@ -284,7 +284,7 @@
         let mut query = Vec::new();
         pg::put_query(&mut query, &statement.with_patience(patience_ms));
         // Its last byte must not go when the time that its head tells is true no longer; without it, nothing has run.
-        let told_until = self.core.clock.instant(invariants::write_until(start.at));
+        let told_until = self.core.clock.instant(invariants::write_deadline(start.at));
         match by(deadline.min(told_until), opened.connection.stream.write_all(&query)).await {
             Some(Ok(())) => written(),
             Some(Err(_)) | None => return Attempted::without_answer(Outcome::ConnectFailed),
@@ -298,11 +298,11 @@
 
     /// Tells where an attempt that has been written must not have been.
     pub fn check(
-        &self, opened: &Opened, start: &CheckedStart, id: &str, patience: Micros, give_up_at: Micros,
+        &self, opened: &Opened, start: &CheckedStart, id: &str, announced_time: Micros, give_up_at: Micros,
     ) {
         let now = self.core.clock.now();
-        let off_for = start.start.off_for.map(|off| off + now.saturating_sub(start.at));
-        let started = Started { off_for, patience, give_up_at };
+        let unavailable_for = start.start.unavailable_for.map(|off| off + now.saturating_sub(start.at));
+        let started = StartedAttempt { unavailable_for, announced_time, give_up_at };
         if let Some(violation) = invariants::check_started(&start.start, &started, now) {
             let address = opened.connection.address;
             self.core.events.violated(violation, &format_args!("id {id:?} at {address}"));
@@ -402,9 +402,9 @@
             None => return Err(Outcome::ConnectFailed),
         };
         let at = self.core.clock.now();
-        let Asking { client_left, request } = asks(at);
-        let (off_for, drain_grace) = (self.off_for(host_id), self.drain_grace);
-        let start = Start { off_for, drain_grace, client_left, request };
+        let Asking { client_disconnected, request } = asks(at);
+        let (unavailable_for, drain_grace) = (self.unavailable_for(host_id), self.drain_grace);
+        let start = AttemptStart { unavailable_for, drain_grace, client_disconnected, request };
         if let Err(denial) = invariants::may_start(&start, at) {
             self.core.events.denied(id, denial);
             if denial != Denial::HostOff {
@@ -481,7 +481,7 @@
         let by_when = world::now() + self.dial_timeout;
         let report = by(by_when, async {
             let mut connection = self.connection(host_id, &Cell::default()).await.ok()?;
-            if !invariants::takes_new(self.off_for(host_id), self.drain_grace) {
+            if !invariants::accepts_new_attempts(self.unavailable_for(host_id), self.drain_grace) {
                 return None;
             }
             let mut query = Vec::new();
@@ -517,10 +517,10 @@
     }
 
     /// For how long the host has been known to drain, to be gone or to be left out, if it is.
-    fn off_for(&self, host_id: HostId) -> Option<Micros> {
+    fn unavailable_for(&self, host_id: HostId) -> Option<Micros> {
         let told = self.hosts.borrow().get(&host_id).and_then(|h| h.off_since);
         let told = told.map(|at| world::since(at).as_micros() as Micros);
-        let since = self.core.out_since(host_id);
+        let since = self.core.left_out_since(host_id);
         let by_hand = since.map(|at| self.core.clock.now().saturating_sub(at));
         told.max(by_hand)
     }
@@ -556,7 +556,7 @@
     }
 
     fn give_back(&self, host_id: HostId, mut connection: Connection) {
-        if self.off_for(host_id).is_some() {
+        if self.unavailable_for(host_id).is_some() {
             return;
         }
         let mut hosts = self.hosts.borrow_mut();
--- a/src/net/life.rs
+++ b/src/net/life.rs
@@ -245,8 +245,8 @@
             Client::Reading { .. } => None,
         };
         let asks = |now| Asking {
-            client_left: watch.is_some_and(ClientWatch::has_left),
-            request: ticket.starts(now),
+            client_disconnected: watch.is_some_and(ClientWatch::has_left),
+            request: ticket.start_conditions(now),
         };
         let (mut order, mut before, mut may_have_run) = (None, None, false);
         loop {
@@ -439,7 +439,10 @@
         let (hosts, admission) = (self.hosts, self.admission);
         let upload = async {
             let client = &self.client;
-            let asks = |now| Asking { client_left: client.has_left(), request: ticket.starts(now) };
+            let asks = |now| Asking {
+                client_disconnected: client.has_left(),
+                request: ticket.start_conditions(now),
+            };
             let opened = hosts.open(attempt.host, &statement.id, attempt.until, asks).await;
             let (opened, start) = opened.map_err(Upload::NoConnection)?;
             match &mut self.client {
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -281,7 +281,7 @@
             "kept" => SessionTokens::TrackedByProxy,
             other => return bad("writeMarks", other),
         },
-        crossings_cost: conf.fees.cross_zone > 0.0,
+        cross_zone_costs: conf.fees.cross_zone > 0.0,
         positions: family.positions,
         limits: Limits {
             cancel: l.cancel,
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -49,7 +49,7 @@
         list_role: ListRole::Delayed,
         lag_check: LagCheck::Wait(CATCH_UP),
         tokens: SessionTokens::FromClient,
-        crossings_cost: true,
+        cross_zone_costs: true,
         positions: false,
         limits: Limits {
             cancel: true,
--- a/tests/rig/mod.rs
+++ b/tests/rig/mod.rs
@@ -39,7 +39,7 @@
         list_role: ListRole::Delayed,
         lag_check: LagCheck::Unchecked,
         tokens: SessionTokens::FromClient,
-        crossings_cost: false,
+        cross_zone_costs: false,
         positions: true,
         limits: Limits {
             cancel: true,
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -3,7 +3,7 @@
 mod rig;
 
 use rig::*;
-use sillfold::logic::{ALPHA, score, tail_adjusted};
+use sillfold::logic::{TAIL_RATIO, score, tail_adjusted};
 use sillfold::*;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -18,14 +18,14 @@
 fn clamp_takes_p90_p95_or_latest() {
     // Ten values: p90 is the 9th, p99 the 10th; 20 >= 2 x 9, so p90 stands.
     let long: Vec<f64> = (1..=9).map(f64::from).chain([20.0]).collect();
-    assert_eq!(tail_adjusted(&long, 5.0, ALPHA), 9.0);
+    assert_eq!(tail_adjusted(&long, 5.0, TAIL_RATIO), 9.0);
     // 17 < 2 x 9 and p99.9 = p95 = 17: the latest value stands.
     let short: Vec<f64> = (1..=9).map(f64::from).chain([17.0]).collect();
-    assert_eq!(tail_adjusted(&short, 5.0, ALPHA), 5.0);
+    assert_eq!(tail_adjusted(&short, 5.0, TAIL_RATIO), 5.0);
     // 200 values: p90 = p95 = p99 = 1, p99.9 = the 200th = 3: p95 stands.
     let mut far = vec![1.0; 199];
     far.push(3.0);
-    assert_eq!(tail_adjusted(&far, 7.0, ALPHA), 1.0);
+    assert_eq!(tail_adjusted(&far, 7.0, TAIL_RATIO), 1.0);
 }
 
 #[test]
@@ -299,15 +299,18 @@
         let host = target(&out, 1).expect("it is sent");
         let mut unbound = Rig::new(settings());
         unbound.ask(1, class);
-        assert!(unbound.router.may_begin(first + 3_600_000 * MS, 1), "class {class}: the first attempt");
+        assert!(
+            unbound.router.may_start_attempt(first + 3_600_000 * MS, 1),
+            "class {class}: the first attempt"
+        );
         let mut out = rig.end(1, host, Outcome::Reset, 5 * MS, Role::Primary, 0);
         for _ in 0..20 {
             out.extend(rig.at(10 * MS, &[Event::Timer(0)]));
         }
         assert!(target(&out, 1).is_some(), "class {class} is not sent again: {out:?}");
-        assert!(rig.router.may_begin(rig.now, 1));
+        assert!(rig.router.may_start_attempt(rig.now, 1));
         let late = window.map_or(3_600_000 * MS, |window| window - 50 * MS);
-        assert_eq!(rig.router.may_begin(first + late, 1), window.is_none(), "class {class}");
+        assert_eq!(rig.router.may_start_attempt(first + late, 1), window.is_none(), "class {class}");
     }
 }
 
@@ -1196,7 +1199,7 @@
 #[test]
 fn a_replica_at_home_is_preferred_where_crossings_cost() {
     let mut set = settings();
-    set.crossings_cost = true;
+    set.cross_zone_costs = true;
     let mut abroad = entry(2, HostStatus::Ready, false, 0);
     abroad.zone = 1;
     let mut router = Router::new(set, 5);
@@ -1717,7 +1720,7 @@
     assert_eq!(target(&write, 2), Some(primary), "{write:?}");
     rig.end_untold(2, primary, Outcome::Ok, 10 * MS);
     let since = rig.now + 3_600_000 * MS;
-    rig.at(MS, &[Event::HostOverride { host: primary, out: true, since }]);
+    rig.at(MS, &[Event::HostOverride { host: primary, left_out: true, since }]);
     let grace = settings().safety.drain_grace;
     rig.at(grace, &[]);
     assert_eq!(target(&rig.ask(3, 4), 3), None, "a write goes to it after the grace");
--- a/tests/session_reads.rs
+++ b/tests/session_reads.rs
@@ -148,17 +148,17 @@
         let (read, host) = (10..30)
             .find_map(|id| Some((id, target(&rig.ask(id, READ), id).filter(|&host| host != PRIMARY)?)))
             .expect("a read goes to a replica");
-        assert!(rig.router.may_begin(rig.now, read));
+        assert!(rig.router.may_start_attempt(rig.now, read));
         let out = rig.at(MS, &[request(1, WRITE, rig.now + MS)]);
         assert_eq!(target(&out, 1), Some(PRIMARY));
         if ended {
             rig.end(1, PRIMARY, Outcome::Ok, 20 * MS, Role::Primary, 0);
         }
-        assert!(!rig.router.may_begin(rig.now, read), "the write has ended: {ended}");
+        assert!(!rig.router.may_start_attempt(rig.now, read), "the write has ended: {ended}");
         // It is told so, and goes to the primary.
         let out = rig.end(read, host, Outcome::NotSent, 0, Role::Replica, 0);
         assert_eq!(target(&out, read), Some(PRIMARY), "{out:?}");
-        assert!(rig.router.may_begin(rig.now, read));
+        assert!(rig.router.may_start_attempt(rig.now, read));
     }
 }
 
@@ -209,10 +209,10 @@
         let (read, host) = (10..30)
             .find_map(|id| Some((id, target(&rig.ask(id, BOUNDED), id).filter(|&host| host != PRIMARY)?)))
             .expect("a read goes to a replica");
-        assert!(rig.router.may_begin(rig.now + 200 * MS, read), "on the bound");
-        assert!(!rig.router.may_begin(rig.now + 201 * MS, read), "beyond it");
+        assert!(rig.router.may_start_attempt(rig.now + 200 * MS, read), "on the bound");
+        assert!(!rig.router.may_start_attempt(rig.now + 201 * MS, read), "beyond it");
         rig.heard(host, Role::Replica, 0);
-        assert!(rig.router.may_begin(rig.now + 201 * MS, read), "it was heard of since");
+        assert!(rig.router.may_start_attempt(rig.now + 201 * MS, read), "it was heard of since");
     }
 }
 
@@ -228,7 +228,7 @@
             HostReport { position: Some(rig.now - 400 * MS), role: Some(Role::Replica), in_flight: None };
         // Told by an answer whose rest never comes.
         rig.at(500 * MS, &[Event::PartialAnswer { host: PRIMARY, note }]);
-        assert!(!rig.router.may_begin(rig.now, 2), "class {class}");
+        assert!(!rig.router.may_start_attempt(rig.now, 2), "class {class}");
     }
 }
 
--- a/tests/sizes.rs
+++ b/tests/sizes.rs
@@ -47,7 +47,7 @@
         list_role: ListRole::Delayed,
         lag_check: LagCheck::Unchecked,
         tokens: SessionTokens::TrackedByProxy,
-        crossings_cost: false,
+        cross_zone_costs: false,
         positions: true,
         limits: Limits {
             cancel: true,
@@ -142,7 +142,7 @@
 fn every_server_of_a_large_list_is_routable() {
     for (proxies, hosts) in DEPLOYMENTS {
         let mut model = Model::start(proxies, hosts, MEMBERS);
-        assert_eq!(model.router.hosts(), (hosts as usize, 0));
+        assert_eq!(model.router.host_counts(), (hosts as usize, 0));
         for host in 0..hosts {
             let group = host / MEMBERS;
             let members = group * MEMBERS..((group + 1) * MEMBERS).min(hosts);
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -41,7 +41,7 @@
         list_role: ListRole::Delayed,
         lag_check: LagCheck::Wait(100 * MS),
         tokens: SessionTokens::FromClient,
-        crossings_cost: false,
+        cross_zone_costs: false,
         positions: true,
         limits: Limits {
             cancel: true,
