--- a/crates/lab/src/sim/forged_peer.rs
+++ b/crates/lab/src/sim/forged_peer.rs
@@ -4,7 +4,7 @@
 
 use super::host::Fleet;
 use super::world::Us;
-use sillfold::net::core::shared_name;
+use sillfold::net::core::shared_host_id;
 use sillfold::net::world;
 use sillfold_talk::{Datagram, Item, Sender};
 use std::net::SocketAddr;
@@ -25,7 +25,7 @@
         let mut items: Vec<Item> = names
             .iter()
             .map(|name| Item::Stands {
-                host: shared_name(name),
+                host: shared_host_id(name),
                 position_ms: now,
                 primary: fleet.world.lot() < 0.5,
             })
--- a/crates/lab/src/sim/mod.rs
+++ b/crates/lab/src/sim/mod.rs
@@ -671,7 +671,7 @@
         let Some(run) = &self.proxies[p] else { return };
         let name = self.fleet.hosts.borrow()[host].name.clone();
         // Before the list has come nobody knows the name.
-        if !run.core.knows(&name) {
+        if !run.core.knows_host(&name) {
             return;
         }
         let told = seam::with(self.world.seen_by(run.machine), || run.upgrade.by_hand(&name, out));
@@ -747,7 +747,7 @@
 
     /// Whether a proxy holds nothing but what rests.
     fn given_back(&self, run: &Runs) -> Result<(), String> {
-        let (clients, bytes) = run.clients.admission.held();
+        let (clients, bytes) = run.clients.admission.usage();
         let figures = serde_json::to_value(run.core.figures()).unwrap_or_default();
         let out = figures["inflight"].as_u64().unwrap_or(u64::MAX);
         let machine = self.processes[run.process].machine;
--- a/src/main.rs
+++ b/src/main.rs
@@ -94,13 +94,13 @@
 ) -> Result<(), String> {
     let (dialect, proxy) =
         (config.dialect.clone(), Proxy::start(&mut config, &operator.file, &Spawner::of(executor))?);
-    let (moves, served) = (proxy.moves.clone(), proxy.clients.clone());
+    let (discovery_addresses, served) = (proxy.discovery_addresses.clone(), proxy.clients.clone());
 
     // A task of its own, so that a SIGHUP during the stop is still a reload and not the program's end.
     let (stop, stopped) = async_channel::bounded(1);
     let follow_signals = async move {
         let reload = || {
-            reload(&mut config, &moves);
+            reload(&mut config, &discovery_addresses);
             reload_operator(&mut operator, &served, &dialect);
         };
         signals::follow(signals, reload, &stop).await;
@@ -110,7 +110,7 @@
 }
 
 /// Takes in a changed file. What cannot change while the program runs is told; a bad file changes nothing.
-fn reload(config: &mut Config, moves: &Sender<SocketAddr>) {
+fn reload(config: &mut Config, discovery_addresses: &Sender<SocketAddr>) {
     let before = config.discovery;
     match config.reload() {
         Ok(waiting) => {
@@ -118,7 +118,7 @@
             info!(target: "sillfold", "reloaded, discovery is {}{}", config.discovery, waits.collect::<String>());
             if config.discovery != before {
                 // The receiver lives as long as the program.
-                let _ = moves.try_send(config.discovery);
+                let _ = discovery_addresses.try_send(config.discovery);
             }
         }
         Err(what) => error!(target: "sillfold", "the configuration stays as it was: {what}"),
@@ -145,7 +145,7 @@
             let rules = file.statements.rules.len();
             match clients.statements() {
                 Some(statements) if file.statements.enabled => statements.replace(&file.statements, dialect),
-                _ => clients.serve_plain(Statements::of(&file.statements, dialect)),
+                _ => clients.set_statements(Statements::from_config(&file.statements, dialect)),
             }
             let on = if file.statements.enabled { "on" } else { "off" };
             info!(target: "sillfold", "the operator's file is taken: plain statements are {on}, {rules} rules");
--- a/src/net/admission.rs
+++ b/src/net/admission.rs
@@ -54,7 +54,7 @@
     /// places of clients that could be served.
     refusing: Rc<Cell<usize>>,
     bytes: Rc<Cell<usize>>,
-    waiting: RefCell<Waiting>,
+    waiting: RefCell<IdleConnections>,
     ids: RefCell<Ids>,
     /// Closed once no idle connection is to be kept; a drain that is called off puts a new one in place.
     closing: RefCell<(Sender<()>, Receiver<()>)>,
@@ -76,7 +76,7 @@
 /// asked anything that a host could answer, and those that rest between requests. Guards against a
 /// crowd that opens sessions, says a word and stays, and counts as usual clients at rest.
 #[derive(Default)]
-struct Waiting {
+struct IdleConnections {
     silent: BTreeMap<(Instant, u64), Sender<()>>,
     idle: BTreeMap<(Instant, u64), Sender<()>>,
     last: u64,
@@ -92,19 +92,19 @@
 }
 
 /// A client's descriptor in the budget; dropping it gives it back.
-pub struct Slot {
+pub struct ClientSlot {
     count: Rc<Cell<usize>>,
     ended: Sender<()>,
 }
 
-impl Slot {
-    fn of(count: &Rc<Cell<usize>>, ended: &Sender<()>) -> Slot {
+impl ClientSlot {
+    fn of(count: &Rc<Cell<usize>>, ended: &Sender<()>) -> ClientSlot {
         count.set(count.get() + 1);
-        Slot { count: count.clone(), ended: ended.clone() }
+        ClientSlot { count: count.clone(), ended: ended.clone() }
     }
 }
 
-impl Drop for Slot {
+impl Drop for ClientSlot {
     fn drop(&mut self) {
         self.count.set(self.count.get() - 1);
         let _ = self.ended.try_send(());
@@ -112,12 +112,12 @@
 }
 
 /// A session's part of the common allowance of bytes; dropping it gives it back.
-pub struct Share {
+pub struct MemoryShare {
     all: Rc<Cell<usize>>,
     mine: usize,
 }
 
-impl Share {
+impl MemoryShare {
     /// Whether it holds nothing.
     pub fn is_empty(&self) -> bool {
         self.mine == 0
@@ -129,39 +129,39 @@
     }
 }
 
-impl Drop for Share {
+impl Drop for MemoryShare {
     fn drop(&mut self) {
         self.set(0);
     }
 }
 
 /// A place among those waiting; dropping it gives it up.
-pub struct Seat<'a> {
+pub struct IdleEntry<'a> {
     all: &'a Admission,
     asked: bool,
     key: (Instant, u64),
 }
 
-impl Drop for Seat<'_> {
+impl Drop for IdleEntry<'_> {
     fn drop(&mut self) {
         let mut waiting = self.all.waiting.borrow_mut();
         waiting.of(self.asked).remove(&self.key);
     }
 }
 
-impl Waiting {
+impl IdleConnections {
     fn of(&mut self, asked: bool) -> &mut BTreeMap<(Instant, u64), Sender<()>> {
         if asked { &mut self.idle } else { &mut self.silent }
     }
 }
 
 /// An id in use; dropping it keeps the id for a moment more.
-pub struct Claim<'a> {
+pub struct IdClaim<'a> {
     all: &'a Admission,
     id: u64,
 }
 
-impl Drop for Claim<'_> {
+impl Drop for IdClaim<'_> {
     fn drop(&mut self) {
         self.all.ids.borrow_mut().ended.push_back((world::now(), self.id));
     }
@@ -198,13 +198,13 @@
     }
 
     /// A place for one more connection, and whether it is only one to be refused on; nothing where there is none.
-    pub fn place(&self) -> Option<(Slot, bool)> {
+    pub fn place(&self) -> Option<(ClientSlot, bool)> {
         let refused = self.is_full();
         let (count, most) = if refused { (&self.refusing, REFUSALS) } else { (&self.open, self.most.get()) };
         if count.get() >= most {
             return None;
         }
-        Some((Slot::of(count, &self.ended.0), refused))
+        Some((ClientSlot::of(count, &self.ended.0), refused))
     }
 
     /// Returns once there is a place for one more connection, if only to be refused on, or after a while without one.
@@ -224,10 +224,10 @@
 
     /// Moves a connection that only has to end among those that hear a refusal, so that its place is free at once;
     /// false where they are too many.
-    pub fn vacate(&self, slot: &mut Slot) -> bool {
+    pub fn vacate(&self, slot: &mut ClientSlot) -> bool {
         let room = self.refusing.get() < REFUSALS;
         if room {
-            *slot = Slot::of(&self.refusing, &self.ended.0);
+            *slot = ClientSlot::of(&self.refusing, &self.ended.0);
         }
         room
     }
@@ -238,8 +238,8 @@
     }
 
     /// A part of the common allowance of bytes, empty yet.
-    pub fn bytes(&self) -> Share {
-        Share { all: self.bytes.clone(), mine: 0 }
+    pub fn bytes(&self) -> MemoryShare {
+        MemoryShare { all: self.bytes.clone(), mine: 0 }
     }
 
     /// Whether what all clients have sent fits into the memory.
@@ -287,14 +287,14 @@
     }
 
     /// Takes an id for a request; nothing if it is another's.
-    pub fn claim(&self, id: &str) -> Option<Claim<'_>> {
+    pub fn claim(&self, id: &str) -> Option<IdClaim<'_>> {
         let mut ids = self.ids.borrow_mut();
         while let Some(&(_, old)) = ids.ended.front().filter(|e| world::since(e.0) > ID_KEPT) {
             ids.ended.pop_front();
             ids.taken.remove(&old);
         }
         let id = ids.hasher.hash_one(id);
-        ids.taken.insert(id).then(|| Claim { all: self, id })
+        ids.taken.insert(id).then(|| IdClaim { all: self, id })
     }
 
     /// For how long connections may rest between requests, as many as do now.
@@ -320,16 +320,16 @@
     }
 
     /// A place among those that wait, from now on.
-    pub fn seat(&self, asked: bool, go: Sender<()>) -> Seat<'_> {
+    pub fn seat(&self, asked: bool, go: Sender<()>) -> IdleEntry<'_> {
         let mut waiting = self.waiting.borrow_mut();
         waiting.last += 1;
         let key = (world::now(), waiting.last);
         waiting.of(asked).insert(key, go);
-        Seat { all: self, asked, key }
+        IdleEntry { all: self, asked, key }
     }
 
     /// Why the proxy is not ready to serve, if it is not.
-    pub fn unready(&self) -> Option<&'static str> {
+    pub fn not_ready_reason(&self) -> Option<&'static str> {
         match self.draining.get() {
             _ if self.stopping.get() => Some("it stops"),
             Some(_) => Some("it drains"),
@@ -340,7 +340,7 @@
     }
 
     /// From now on the proxy is not ready, and its clients' connections end one by one.
-    pub fn drain(self: &Rc<Admission>) {
+    pub fn start_draining(self: &Rc<Admission>) {
         if self.draining.get().is_some() {
             return;
         }
@@ -358,7 +358,7 @@
     }
 
     /// Takes clients again.
-    pub fn undrain(&self) {
+    pub fn stop_draining(&self) {
         if self.draining.take().is_some() {
             *self.closing.borrow_mut() = async_channel::bounded(1);
             info!(target: "clients", "draining no more");
@@ -396,13 +396,13 @@
     }
 
     /// Connections that are open, and bytes that their clients have sent.
-    pub fn held(&self) -> (usize, usize) {
+    pub fn usage(&self) -> (usize, usize) {
         (self.open.get(), self.bytes.get())
     }
 
     /// Another process holds so much of the limits, or none does any more.
-    pub fn share(&self, other: Option<Held>) {
-        let ((open, bytes), own) = (self.held(), other.map(|o| (o.clients + OTHER_PROCESS, o.bytes)));
+    pub fn share_limits(&self, other: Option<Held>) {
+        let ((open, bytes), own) = (self.usage(), other.map(|o| (o.clients + OTHER_PROCESS, o.bytes)));
         self.most.share(open, own.map(|o| o.0));
         self.most_bytes.share(bytes, own.map(|o| o.1));
     }
--- a/src/net/capture.rs
+++ b/src/net/capture.rs
@@ -16,7 +16,7 @@
 /// Records load for as long as the future is kept; nothing where the operator's file names no file.
 pub async fn run(core: Rc<Core>, conf: CaptureConf, name: String) {
     let Some(file) = conf.file.as_ref().map(PathBuf::from) else { return };
-    core.record(Some(Recorder::new(core.dialect.classes.clone(), conf.sample)));
+    core.set_recorder(Some(Recorder::new(core.dialect.classes.clone(), conf.sample)));
     info!(target: "capture", "load is recorded to {}", file.display());
     let started_ms = core.clock.now() / 1_000;
     let header = Header { sillfold_capture: VERSION, name, started_ms, sample: conf.sample };
@@ -26,7 +26,7 @@
         world::at(due).await;
         due = (due + every).max(world::now());
         let now = core.clock.now() / 1_000;
-        let Some(record) = core.recorded(begun, now - begun) else { return };
+        let Some(record) = core.take_record(begun, now - begun) else { return };
         begun = now;
         let (Ok(header), Ok(record)) = (line(&header), line(&record)) else { continue };
         let (path, most, keep) = (file.clone(), conf.most_kb * 1024, conf.keep);
--- a/src/net/client.rs
+++ b/src/net/client.rs
@@ -2,18 +2,20 @@
 //! which gets exactly one answer here; the request's life is `life`, what is worked on behind another `pipeline`, the
 //! connection `line`, its place `admission`. It must never choose a host or judge an outcome.
 
-use super::admission::{Admission, Claim};
+use super::admission::{Admission, IdClaim};
+use super::client_connection::{
+    Abandoned, ClientConnection, ReadAhead, ReadAheadMode, ReadResult, put_fatal,
+};
 use super::complain;
-use super::core::{Call, Clock, Core, fnv1a};
+use super::core::{Clock, Core, Request, fnv1a};
 use super::events::RefusalReason;
 use super::hosts::Hosts;
-use super::life::{
-    Answer, Client, ClientWatch, Life, PassedOn, Verdict, fill_value, give_up_at, pass_on_plain,
-    pass_on_value,
+use super::pipeline::{Pipeline, PipelineEntry, Progress, RequestScope};
+use super::request::{
+    ClientLink, ClientWatch, FinalAnswer, PendingAnswer, RequestHandler, StreamResult, fill_value,
+    give_up_at, pass_on_plain, pass_on_value,
 };
-use super::line::{Abandoned, Ahead, Came, Line, ReadAhead, put_fatal};
-use super::pipeline::{Entry, Footprint, Pipeline, Progress};
-use super::statements::{Statements, Terms, Turned};
+use super::statements::{PlainRoute, StatementRefusal, Statements};
 use super::world::{self, Listener, Spawner, Stream};
 use crate::Micros;
 use crate::invariants::{self, CloseReason, Violation};
@@ -71,7 +73,7 @@
     }
 
     /// From now on plain statements are served so, or not at all.
-    pub fn serve_plain(&self, statements: Option<Rc<Statements>>) {
+    pub fn set_statements(&self, statements: Option<Rc<Statements>>) {
         *self.statements.borrow_mut() = statements;
     }
 
@@ -176,25 +178,25 @@
 }
 
 /// A request as it was read.
-struct Asked<'a> {
-    call: Call,
+struct DecodedRequest<'a> {
+    call: Request,
     statement: Statement,
     /// A plain statement has no id, and is not claimed.
-    claim: Option<Claim<'a>>,
-    plain: Option<Terms>,
+    claim: Option<IdClaim<'a>>,
+    plain: Option<PlainRoute>,
 }
 
 /// What a session does next.
-enum Next<'a> {
+enum NextItem<'a> {
     /// When its last byte came.
     Message(Frontend, Micros),
     /// One that was read behind another.
-    Request(Box<Result<Option<Asked<'a>>, Turned>>),
+    Request(Box<Result<Option<DecodedRequest<'a>>, StatementRefusal>>),
     Malformed(Malformed),
 }
 
 /// What a session waits for while a request is open.
-enum Event<T> {
+enum DriveEvent<T> {
     Done(T),
     Read(ReadAhead),
     /// A request wants the connection looked at.
@@ -204,12 +206,12 @@
 /// One client's session.
 struct Session<'a> {
     all: &'a Rc<Clients>,
-    line: Line<'a>,
+    line: ClientConnection<'a>,
     watch: &'a ClientWatch,
     /// The requests that were read behind another.
     pipeline: Pipeline<'a>,
     /// What was read behind them, and has to wait until all are answered.
-    held: Option<Next<'a>>,
+    held: Option<NextItem<'a>>,
     /// A request was read whose turn it is, and its answer is not written yet.
     unanswered: bool,
     /// Who asks and where, as the startup message says; kept only where plain statements are served.
@@ -227,16 +229,16 @@
 
 impl Clients {
     /// A request's life, as it begins.
-    fn life<'l, 'a>(&'l self, client: Client<'l, 'a>) -> Life<'l, 'a> {
+    fn life<'l, 'a>(&'l self, client: ClientLink<'l, 'a>) -> RequestHandler<'l, 'a> {
         let Clients { core, hosts, admission, way_back, .. } = self;
-        Life { client, core, hosts, admission, way_back: *way_back, told: None }
+        RequestHandler { client, core, hosts, admission, way_back: *way_back, told: None }
     }
 }
 
 impl<'a> Session<'a> {
     fn new(all: &'a Rc<Clients>, stream: Rc<Stream>, watch: &'a ClientWatch) -> Session<'a> {
         let (who, own, block, told) = Default::default();
-        let (line, pipeline) = (Line::new(&all.admission, stream), Pipeline::new(watch));
+        let (line, pipeline) = (ClientConnection::new(&all.admission, stream), Pipeline::new(watch));
         Session { all, line, watch, pipeline, held: None, unanswered: false, who, own, block, told }
     }
 
@@ -244,7 +246,7 @@
     fn closes(&self) {
         let (reason, events) = (self.line.close_reason(), &self.all.core.events);
         events.closed(reason);
-        let held = matches!(&self.held, Some(Next::Request(request)) if matches!(**request, Ok(Some(_))));
+        let held = matches!(&self.held, Some(NextItem::Request(request)) if matches!(**request, Ok(Some(_))));
         let unanswered = usize::from(self.unanswered) + self.pipeline.len() + usize::from(held);
         if !invariants::may_close(reason, unanswered) {
             let about = format_args!("{unanswered} requests, {reason:?}");
@@ -260,9 +262,9 @@
         let mut skipping = false;
         while let Some(next) = self.next().await? {
             let goes_on = match next {
-                Next::Message(message, came) => self.message(message, came, &mut skipping).await?,
-                Next::Request(read) => self.request(*read).await?,
-                Next::Malformed(e) => {
+                NextItem::Message(message, came) => self.message(message, came, &mut skipping).await?,
+                NextItem::Request(read) => self.request(*read).await?,
+                NextItem::Malformed(e) => {
                     self.line.end(CloseReason::Malformed);
                     return self.line.fatal(code::PROTOCOL_VIOLATION, &e.0).await;
                 }
@@ -271,7 +273,7 @@
                 return Ok(());
             }
             if self.line.overrun {
-                return self.line.over(Came::TooMuch).await;
+                return self.line.over(ReadResult::TooMuch).await;
             }
             if !self.line.inbox.is_empty() {
                 // Where hundreds of commands come at once, others have their turn between two.
@@ -282,18 +284,18 @@
     }
 
     /// What comes next; nothing if the session ends instead.
-    async fn next(&mut self) -> io::Result<Option<Next<'a>>> {
+    async fn next(&mut self) -> io::Result<Option<NextItem<'a>>> {
         if let Some(held) = self.held.take() {
             return Ok(Some(held));
         }
         loop {
             match pg::decode_frontend(&mut self.line.inbox) {
-                Ok(Some(message)) => return Ok(Some(Next::Message(message, self.came()))),
+                Ok(Some(message)) => return Ok(Some(NextItem::Message(message, self.came()))),
                 Ok(None) => match self.line.flush_and_read().await? {
-                    Came::Bytes => {}
+                    ReadResult::Bytes => {}
                     other => return self.line.over(other).await.map(|()| None),
                 },
-                Err(e) => return Ok(Some(Next::Malformed(e))),
+                Err(e) => return Ok(Some(NextItem::Malformed(e))),
             }
         }
     }
@@ -350,7 +352,7 @@
             self.line.end(CloseReason::ClientLeft);
             return Ok(false);
         }
-        match self.all.admission.unready() {
+        match self.all.admission.not_ready_reason() {
             None => pg::put_empty_query(&mut self.line.out),
             Some(why) => self.line.error(code::CANNOT_CONNECT_NOW, why),
         }
@@ -360,7 +362,9 @@
 
     /// One request up to its answer, and all that were read behind it up to theirs; false if one had none and the connection
     /// has to end.
-    async fn request(&mut self, read: Result<Option<Asked<'a>>, Turned>) -> io::Result<bool> {
+    async fn request(
+        &mut self, read: Result<Option<DecodedRequest<'a>>, StatementRefusal>,
+    ) -> io::Result<bool> {
         let asked = match read {
             Ok(Some(asked)) => asked,
             Ok(None) => {
@@ -368,7 +372,7 @@
                 self.ready();
                 return Ok(true);
             }
-            Err(Turned { fields, control }) => {
+            Err(StatementRefusal { fields, control }) => {
                 self.block.meets(control);
                 pg::put_error(&mut self.line.out, &fields);
                 self.ready();
@@ -379,17 +383,17 @@
         self.unanswered = true;
         // The answers to commands before this one do not wait for its own.
         self.line.flush().await?;
-        let footprint = self.footprint(&asked.call);
+        let scope = self.scope(&asked.call);
         let answer = {
-            let mut life = self.all.life(Client::Watched(self.watch));
+            let mut life = self.all.life(ClientLink::Watched(self.watch));
             let answer = {
                 let served = pin!(life.serve(&asked.call, &asked.statement, asked.plain.as_ref()));
-                self.drive(served, footprint, asked.plain.is_some()).await
+                self.drive(served, scope, asked.plain.is_some()).await
             };
             self.told = life.told;
             answer
         };
-        if !self.answer(answer, footprint, asked.plain.as_ref()).await? {
+        if !self.answer(answer, scope, asked.plain.as_ref()).await? {
             return Ok(false);
         }
         drop(asked);
@@ -402,17 +406,17 @@
     }
 
     /// The answer to a request that was read behind another, whose turn it is now.
-    async fn next_in_turn(&mut self, entry: Entry<'a>) -> io::Result<bool> {
-        let Entry { footprint, claim, progress, .. } = entry;
+    async fn next_in_turn(&mut self, entry: PipelineEntry<'a>) -> io::Result<bool> {
+        let PipelineEntry { scope, claim, progress, .. } = entry;
         let answer = match progress {
             Progress::Answered(answer) => answer,
             Progress::Unanswered { mut serving, .. } => {
                 self.unanswered = true;
                 self.flush().await?;
-                self.drive(serving.as_mut(), footprint, false).await
+                self.drive(serving.as_mut(), scope, false).await
             }
         };
-        let answered = self.answer(answer, footprint, None).await;
+        let answered = self.answer(answer, scope, None).await;
         drop(claim);
         answered
     }
@@ -426,19 +430,19 @@
     /// Works on the request whose turn it is, and on those behind it, which are read and begun meanwhile, unless it has to be
     /// `alone`.
     async fn drive<T>(
-        &mut self, mut head: Pin<&mut (impl Future<Output = T> + ?Sized)>, footprint: Footprint, alone: bool,
+        &mut self, mut head: Pin<&mut (impl Future<Output = T> + ?Sized)>, scope: RequestScope, alone: bool,
     ) -> T {
         let mut much_comes = false;
         loop {
             if !alone {
                 self.take_behind();
             }
-            let ahead = if self.may_wait(alone) { Ahead::Bounded } else { Ahead::PassingOver };
-            match self.next_event(head.as_mut(), &footprint, ahead, much_comes).await {
-                Event::Done(done) => return done,
-                Event::Look => much_comes = false,
-                Event::Read(ReadAhead::Bytes) => much_comes = true,
-                Event::Read(ReadAhead::Abandoned(why)) => {
+            let ahead = if self.may_wait(alone) { ReadAheadMode::Bounded } else { ReadAheadMode::Discard };
+            match self.next_event(head.as_mut(), &scope, ahead, much_comes).await {
+                DriveEvent::Done(done) => return done,
+                DriveEvent::Look => much_comes = false,
+                DriveEvent::Read(ReadAhead::Bytes) => much_comes = true,
+                DriveEvent::Read(ReadAhead::Abandoned(why)) => {
                     self.watch.abandon(why);
                     return self.end_all(head).await;
                 }
@@ -448,9 +452,9 @@
 
     /// The next event while the request `head` is open.
     async fn next_event<T>(
-        &mut self, mut head: Pin<&mut (impl Future<Output = T> + ?Sized)>, footprint: &Footprint,
-        ahead: Ahead, much_comes: bool,
-    ) -> Event<T> {
+        &mut self, mut head: Pin<&mut (impl Future<Output = T> + ?Sized)>, scope: &RequestScope,
+        ahead: ReadAheadMode, much_comes: bool,
+    ) -> DriveEvent<T> {
         let read = async {
             if much_comes {
                 // Others have their turn while it does.
@@ -462,14 +466,14 @@
         poll_fn(|context| {
             // The client comes first: guards against an attempt that begins for one that has left.
             if let Poll::Ready(read) = read.as_mut().poll(context) {
-                return Poll::Ready(Event::Read(read));
+                return Poll::Ready(DriveEvent::Read(read));
             }
             self.watch.looked();
             if let Poll::Ready(done) = head.as_mut().poll(context) {
-                return Poll::Ready(Event::Done(done));
+                return Poll::Ready(DriveEvent::Done(done));
             }
-            self.pipeline.advance(Some(footprint), context);
-            if self.watch.wants_look() { Poll::Ready(Event::Look) } else { Poll::Pending }
+            self.pipeline.advance(Some(scope), context);
+            if self.watch.wants_look() { Poll::Ready(DriveEvent::Look) } else { Poll::Pending }
         })
         .await
     }
@@ -489,8 +493,8 @@
         match &self.held {
             _ if alone => false,
             None => true,
-            Some(Next::Message(message, _)) => matches!(message, Frontend::LongQuery(..)),
-            Some(Next::Request(_) | Next::Malformed(_)) => false,
+            Some(NextItem::Message(message, _)) => matches!(message, Frontend::LongQuery(..)),
+            Some(NextItem::Request(_) | NextItem::Malformed(_)) => false,
         }
     }
 
@@ -502,7 +506,7 @@
                 Ok(Some(message)) => message,
                 Ok(None) => return,
                 Err(e) => {
-                    self.held = Some(Next::Malformed(e));
+                    self.held = Some(NextItem::Malformed(e));
                     return;
                 }
             };
@@ -510,14 +514,14 @@
             self.held = match message {
                 Frontend::Query(text) if !is_empty(&text) && self.is_independent(&text) => {
                     match self.read_request(text, came, 0) {
-                        Ok(Some(Asked { call, statement, claim: Some(claim), plain: None })) => {
+                        Ok(Some(DecodedRequest { call, statement, claim: Some(claim), plain: None })) => {
                             self.begin_behind(call, statement, claim);
                             None
                         }
-                        other => Some(Next::Request(Box::new(other))),
+                        other => Some(NextItem::Request(Box::new(other))),
                     }
                 }
-                other => Some(Next::Message(other, came)),
+                other => Some(NextItem::Message(other, came)),
             };
             self.count_taken();
         }
@@ -535,13 +539,15 @@
         self.block != Block::Refused && (self.all.statements().is_none() || Statement::is_commented(text))
     }
 
-    fn begin_behind(&mut self, call: Call, statement: Statement, claim: Claim<'a>) {
+    fn begin_behind(&mut self, call: Request, statement: Statement, claim: IdClaim<'a>) {
         let (all, watch) = (self.all, self.watch);
-        let (footprint, bytes) = (self.footprint(&call), statement.text().len());
+        let (scope, bytes) = (self.scope(&call), statement.text().len());
         let serving =
-            Box::pin(async move { all.life(Client::Watched(watch)).serve(&call, &statement, None).await });
+            Box::pin(
+                async move { all.life(ClientLink::Watched(watch)).serve(&call, &statement, None).await },
+            );
         let progress = Progress::Unanswered { serving, begun: false };
-        self.pipeline.push(Entry { footprint, claim, bytes, progress });
+        self.pipeline.push(PipelineEntry { scope, claim, bytes, progress });
     }
 
     /// Counts the memory of what was taken.
@@ -549,8 +555,8 @@
         self.line.taken_bytes = self.pipeline.held_bytes();
     }
 
-    fn footprint(&self, call: &Call) -> Footprint {
-        Footprint { class: call.class, group: call.group, writes: self.all.core.writes(call.class) }
+    fn scope(&self, call: &Request) -> RequestScope {
+        RequestScope { class: call.class, group: call.group, writes: self.all.core.writes(call.class) }
     }
 
     /// One request of which so many bytes are still to come, up to its answer; false if there was none and the connection has
@@ -562,12 +568,12 @@
                     self.line.asked = true;
                     self.unanswered = true;
                     self.line.flush().await?;
-                    let client = Client::Reading { line: &mut self.line, left: &mut left };
+                    let client = ClientLink::Reading { line: &mut self.line, left: &mut left };
                     let mut life = self.all.life(client);
                     let answer = life.serve(&asked.call, &asked.statement, asked.plain.as_ref()).await;
                     self.told = life.told;
-                    let footprint = self.footprint(&asked.call);
-                    if !self.answer(answer, footprint, asked.plain.as_ref()).await? {
+                    let scope = self.scope(&asked.call);
+                    if !self.answer(answer, scope, asked.plain.as_ref()).await? {
                         return Ok(false);
                     }
                 }
@@ -578,7 +584,7 @@
         self.line.flush().await?;
         while left > 0 {
             match self.line.more().await? {
-                Came::Bytes => left -= self.line.inbox.skip(left),
+                ReadResult::Bytes => left -= self.line.inbox.skip(left),
                 other => return self.line.over(other).await.map(|()| false),
             }
         }
@@ -587,7 +593,7 @@
 
     /// Gives a request its answer; false if there is none and the connection has to end.
     async fn answer(
-        &mut self, answer: Option<Answer>, of: Footprint, plain: Option<&Terms>,
+        &mut self, answer: Option<PendingAnswer>, of: RequestScope, plain: Option<&PlainRoute>,
     ) -> io::Result<bool> {
         let Some(answer) = answer else {
             self.line.end(CloseReason::ClientLeft);
@@ -607,8 +613,8 @@
         }
         let core = &self.all.core;
         match &verdict {
-            Verdict::Refused { .. } => core.note(|r| r.unserved(of.class, of.group, true)),
-            Verdict::Failed => core.note(|r| r.unserved(of.class, of.group, false)),
+            FinalAnswer::Refused { .. } => core.note(|r| r.unserved(of.class, of.group, true)),
+            FinalAnswer::Failed => core.note(|r| r.unserved(of.class, of.group, false)),
             _ => {}
         }
         self.put_verdict(of.class, verdict);
@@ -623,28 +629,30 @@
 
     /// Passes on what does not fit into the memory, and works on the requests behind it meanwhile. Nothing if the host
     /// broke it off.
-    async fn pass_on(&mut self, answer: Answer) -> Option<Verdict> {
+    async fn pass_on(&mut self, answer: PendingAnswer) -> Option<FinalAnswer> {
         let (line, hosts) = (&mut self.line, &self.all.hosts);
         match answer {
-            Answer::Long(long) => match self.pipeline.beside(pass_on_value(line, hosts, long)).await {
-                PassedOn::Whole => Some(Verdict::Passed),
-                PassedOn::Nothing => Some(Verdict::Failed),
-                PassedOn::BrokenOff { missing } if self.has_requests_behind() => {
-                    // The end of the connection would be the clearer word, but it would take their answers with it.
-                    self.pipeline.beside(fill_value(&mut self.line, missing)).await.ok()?;
-                    Some(Verdict::Failed)
+            PendingAnswer::StreamedRow(long) => {
+                match self.pipeline.beside(pass_on_value(line, hosts, long)).await {
+                    StreamResult::Whole => Some(FinalAnswer::Streamed),
+                    StreamResult::Nothing => Some(FinalAnswer::Failed),
+                    StreamResult::BrokenOff { missing } if self.has_requests_behind() => {
+                        // The end of the connection would be the clearer word, but it would take their answers with it.
+                        self.pipeline.beside(fill_value(&mut self.line, missing)).await.ok()?;
+                        Some(FinalAnswer::Failed)
+                    }
+                    StreamResult::BrokenOff { .. } | StreamResult::NotTaken => None,
                 }
-                PassedOn::BrokenOff { .. } | PassedOn::NotTaken => None,
-            },
-            Answer::Stream(stream) => {
+            }
+            PendingAnswer::StreamedResult(stream) => {
                 let told_at = pass_on_plain(line, hosts, stream).await?;
                 // Where a commit was is told at the end.
                 if let (Some((position, _)), Some(at)) = (&mut self.told, told_at) {
                     *position = Some(at);
                 }
-                Some(Verdict::Passed)
+                Some(FinalAnswer::Streamed)
             }
-            Answer::Whole(verdict) => Some(verdict),
+            PendingAnswer::Complete(verdict) => Some(verdict),
         }
     }
 
@@ -671,7 +679,7 @@
     }
 
     /// Takes in how a plain statement ended: what its shape took, and what the session wrote.
-    fn note_plain(&mut self, terms: &Terms, verdict: &Verdict) {
+    fn note_plain(&mut self, terms: &PlainRoute, verdict: &FinalAnswer) {
         if let (Some(statements), Some((_, took))) = (self.all.statements(), self.told) {
             statements.learn(terms, took);
             self.all.core.note(|r| r.shape(terms.shape_number(), took.as_micros() as u64));
@@ -679,21 +687,23 @@
         let now = self.all.core.clock.now();
         match verdict {
             _ if !terms.writes => {}
-            Verdict::Served(_) | Verdict::Plain(_) | Verdict::Passed => {
+            FinalAnswer::Served(_) | FinalAnswer::Plain(_) | FinalAnswer::Streamed => {
                 self.own.answered(self.told.and_then(|t| t.0), now);
             }
-            Verdict::Failed => self.own.unknown(now),
+            FinalAnswer::Failed => self.own.unknown(now),
             // It did not run, or was undone.
-            Verdict::Refused { .. } | Verdict::Rejected(_) => {}
+            FinalAnswer::Refused { .. } | FinalAnswer::Rejected(_) => {}
         }
     }
 
     /// Reads a request, of which so many bytes are still to come; the error is what the client is told instead.
     /// Nothing if there is no statement in it.
-    fn read_request(&self, text: String, came: Micros, left: usize) -> Result<Option<Asked<'a>>, Turned> {
+    fn read_request(
+        &self, text: String, came: Micros, left: usize,
+    ) -> Result<Option<DecodedRequest<'a>>, StatementRefusal> {
         let fields =
             |code: &str, message: String| ErrorFields { code: code.into(), message, ..Default::default() };
-        let error = |code: &str, message: String| Turned::from(fields(code, message));
+        let error = |code: &str, message: String| StatementRefusal::from(fields(code, message));
         let core = &self.all.core;
         let statements = self.all.statements().filter(|_| !Statement::is_commented(&text));
         let (class, statement, plain) = match statements {
@@ -716,7 +726,7 @@
                 (class, statement, None)
             }
         };
-        if !core.knows_servers() {
+        if !core.knows_any_host() {
             core.count(class, |c| &mut c.busy);
             core.events.refused(&statement.id, RefusalReason::NoList);
             let refused = fields(code::CANNOT_CONNECT_NOW, "no database host is known yet".into());
@@ -733,7 +743,7 @@
                 error(code::DUPLICATE_OBJECT, what)
             })?),
         };
-        let call = Call {
+        let call = Request {
             class,
             session: if plain.is_some() { 0 } else { fnv1a(statement.key()) },
             group: statement.group,
@@ -748,26 +758,26 @@
             plain: plain.is_some() || !statement.keyed && core.is_keyed(class),
             expected: plain.as_ref().map_or(0, |p| p.expected),
         };
-        Ok(Some(Asked { call, statement, claim, plain }))
+        Ok(Some(DecodedRequest { call, statement, claim, plain }))
     }
 
-    fn put_verdict(&mut self, class: u8, verdict: Verdict) {
+    fn put_verdict(&mut self, class: u8, verdict: FinalAnswer) {
         self.all.core.count(class, |c| match verdict {
-            Verdict::Served(_) | Verdict::Plain(_) | Verdict::Passed => &mut c.success,
-            Verdict::Refused { .. } => &mut c.busy,
-            Verdict::Failed | Verdict::Rejected(_) => &mut c.failure,
+            FinalAnswer::Served(_) | FinalAnswer::Plain(_) | FinalAnswer::Streamed => &mut c.success,
+            FinalAnswer::Refused { .. } => &mut c.busy,
+            FinalAnswer::Failed | FinalAnswer::Rejected(_) => &mut c.failure,
         });
         match verdict {
-            Verdict::Served(row) if mutants::on("two answers") => {
+            FinalAnswer::Served(row) if mutants::on("two answers") => {
                 pg::put_row(&mut self.line.out, &row);
                 self.ready();
                 pg::put_row(&mut self.line.out, &row);
             }
-            Verdict::Served(row) => pg::put_row(&mut self.line.out, &row),
-            Verdict::Plain(bytes) if self.line.out.is_empty() => self.line.out = bytes,
-            Verdict::Plain(bytes) => self.line.out.extend(bytes),
-            Verdict::Passed => {}
-            Verdict::Refused { retry_in } => {
+            FinalAnswer::Served(row) => pg::put_row(&mut self.line.out, &row),
+            FinalAnswer::Plain(bytes) if self.line.out.is_empty() => self.line.out = bytes,
+            FinalAnswer::Plain(bytes) => self.line.out.extend(bytes),
+            FinalAnswer::Streamed => {}
+            FinalAnswer::Refused { retry_in } => {
                 let fields = ErrorFields {
                     code: code::TOO_MANY_CONNECTIONS.into(),
                     message: "refused: trying again later is harmless".into(),
@@ -776,8 +786,8 @@
                 };
                 pg::put_error(&mut self.line.out, &fields);
             }
-            Verdict::Rejected(e) => pg::put_error(&mut self.line.out, &ErrorFields { fatal: false, ..e }),
-            Verdict::Failed => {
+            FinalAnswer::Rejected(e) => pg::put_error(&mut self.line.out, &ErrorFields { fatal: false, ..e }),
+            FinalAnswer::Failed => {
                 self.line.error(code::COMPLETION_UNKNOWN, "failed: it may or may not have run")
             }
         }
@@ -788,7 +798,7 @@
         loop {
             match pg::decode_startup(&mut self.line.inbox) {
                 Ok(None) => match self.line.flush_and_read().await? {
-                    Came::Bytes => {}
+                    ReadResult::Bytes => {}
                     other => return self.line.over(other).await.map(|()| false),
                 },
                 Ok(Some(Startup::Encryption)) => self.line.out.push(b'N'),
--- a/src/net/line.rs
+++ b/src/net/client_connection.rs
@@ -4,7 +4,7 @@
 //!
 //! Who says nothing, or half of something, is closed after `PROMPT`.
 
-use super::admission::{Admission, IDLE, IDLE_CROWDED, IDLE_THRONGED, Share};
+use super::admission::{Admission, IDLE, IDLE_CROWDED, IDLE_THRONGED, MemoryShare};
 use super::world::{self, Stream};
 use super::{by, read};
 use crate::invariants::CloseReason;
@@ -30,7 +30,7 @@
 const LONGEST_FAREWELL: Duration = Duration::from_secs(3);
 /// What a client may have sent behind a request that is open.
 const MAX_READ_AHEAD_BYTES: usize = 1 << 20;
-/// The most arrivals that are told apart of what is read ahead; those beyond count as the last of them.
+/// The most receive_times that are told apart of what is read ahead; those beyond count as the last of them.
 const MAX_ARRIVALS: usize = 64;
 /// Where nothing is read, the machine is asked this often whether the client has left.
 const LOOK: Duration = Duration::from_millis(50);
@@ -48,7 +48,7 @@
 }
 
 /// Why a wait for more bytes ended.
-pub enum Came {
+pub enum ReadResult {
     Bytes,
     /// The connection ended, or its time or its place was up.
     End,
@@ -74,22 +74,22 @@
 
 /// How much is read behind a request that is open.
 #[derive(Clone, Copy, PartialEq)]
-pub enum Ahead {
+pub enum ReadAheadMode {
     /// What is within the bounds, and then nothing until there is room.
     Bounded,
     /// What is within the bounds; the rest is passed over, and the session ends behind its answers.
-    PassingOver,
+    Discard,
 }
 
 /// Bytes that came behind a request that is open.
-struct RequestInfo {
+struct ReceiveTime {
     /// The number of bytes that had come by then.
     upto: u64,
     at: Instant,
 }
 
 /// One client's connection.
-pub struct Line<'a> {
+pub struct ClientConnection<'a> {
     all: &'a Rc<Admission>,
     stream: Rc<Stream>,
     /// Why it ends, where it does.
@@ -99,10 +99,10 @@
     /// How many bytes have come.
     received: u64,
     /// When those came that were read behind an open request.
-    arrivals: VecDeque<RequestInfo>,
+    receive_times: VecDeque<ReceiveTime>,
     /// The memory of requests that were taken and not answered yet.
     pub taken_bytes: usize,
-    share: Share,
+    share: MemoryShare,
     pub out: Vec<u8>,
     /// A whole message of the session has come.
     pub spoken: bool,
@@ -120,16 +120,16 @@
     go: (Sender<()>, Receiver<()>),
 }
 
-impl<'a> Line<'a> {
-    pub fn new(all: &'a Rc<Admission>, stream: Rc<Stream>) -> Line<'a> {
-        Line {
+impl<'a> ClientConnection<'a> {
+    pub fn new(all: &'a Rc<Admission>, stream: Rc<Stream>) -> ClientConnection<'a> {
+        ClientConnection {
             all,
             stream,
             ends: None,
             begun: world::now(),
             inbox: Inbox::default(),
             received: 0,
-            arrivals: VecDeque::new(),
+            receive_times: VecDeque::new(),
             taken_bytes: 0,
             share: all.bytes(),
             out: Vec::new(),
@@ -159,25 +159,25 @@
     }
 
     /// Bytes of a message that has begun, those that wait or the next.
-    pub async fn more(&mut self) -> io::Result<Came> {
+    pub async fn more(&mut self) -> io::Result<ReadResult> {
         if !self.inbox.is_empty() {
-            return Ok(Came::Bytes);
+            return Ok(ReadResult::Bytes);
         }
         match by(world::now() + PROMPT, read(&self.stream, &mut self.inbox)).await {
             Some(Ok(n @ 1..)) => {
                 self.received += n as u64;
                 self.heard = world::now();
-                Ok(Came::Bytes)
+                Ok(ReadResult::Bytes)
             }
             Some(Ok(_)) => {
                 self.end(CloseReason::ClientEnded);
-                Ok(Came::End)
+                Ok(ReadResult::End)
             }
             Some(Err(e)) => {
                 self.end(CloseReason::ReadFailed);
                 Err(e)
             }
-            None => Ok(Came::TooSlow),
+            None => Ok(ReadResult::TooSlow),
         }
     }
 
@@ -193,16 +193,20 @@
     }
 
     /// The end of the session.
-    pub async fn over(&mut self, why: Came) -> io::Result<()> {
+    pub async fn over(&mut self, why: ReadResult) -> io::Result<()> {
         match why {
-            Came::TooSlow => self.end(CloseReason::TooSlow),
-            Came::TooMuch => self.end(CloseReason::TooMuch),
-            Came::Bytes | Came::End => {}
+            ReadResult::TooSlow => self.end(CloseReason::TooSlow),
+            ReadResult::TooMuch => self.end(CloseReason::TooMuch),
+            ReadResult::Bytes | ReadResult::End => {}
         }
         match why {
-            Came::TooSlow => self.fatal(code::PROTOCOL_VIOLATION, "what was begun did not end in time").await,
-            Came::TooMuch => self.fatal(code::OUT_OF_MEMORY, "too much is being sent here at once").await,
-            Came::Bytes | Came::End => Ok(()),
+            ReadResult::TooSlow => {
+                self.fatal(code::PROTOCOL_VIOLATION, "what was begun did not end in time").await
+            }
+            ReadResult::TooMuch => {
+                self.fatal(code::OUT_OF_MEMORY, "too much is being sent here at once").await
+            }
+            ReadResult::Bytes | ReadResult::End => Ok(()),
         }
     }
 
@@ -244,16 +248,16 @@
     }
 
     /// Writes what is due, then waits for more, for as long as the client may take.
-    pub async fn flush_and_read(&mut self) -> io::Result<Came> {
+    pub async fn flush_and_read(&mut self) -> io::Result<ReadResult> {
         self.flush().await?;
         let now = world::now();
         let resting = self.inbox.is_empty();
-        if resting && !self.arrivals.is_empty() {
-            self.arrivals = VecDeque::new();
+        if resting && !self.receive_times.is_empty() {
+            self.receive_times = VecDeque::new();
         }
         if resting && self.asked && self.all.answered_last() && self.nothing_came() {
             self.end(CloseReason::Stopping);
-            return Ok(Came::End);
+            return Ok(ReadResult::End);
         }
         if !resting {
             self.partial.get_or_insert(now);
@@ -315,19 +319,19 @@
         match read {
             Some(Ok(n)) if n > 0 => {
                 self.received += n as u64;
-                return Ok(if self.affordable() { Came::Bytes } else { Came::TooMuch });
+                return Ok(if self.affordable() { ReadResult::Bytes } else { ReadResult::TooMuch });
             }
             Some(Err(e)) => {
                 self.end(CloseReason::ReadFailed);
                 return Err(e);
             }
             // Half of a message hears that it came too late.
-            None if !resting => return Ok(Came::TooSlow),
+            None if !resting => return Ok(ReadResult::TooSlow),
             None if stops => self.end(CloseReason::Stopping),
             Some(Ok(_)) if !evicted => self.end(CloseReason::ClientEnded),
             _ => self.end(CloseReason::Rested),
         }
-        Ok(Came::End)
+        Ok(ReadResult::End)
     }
 
     /// Whether nothing waits to be read. Guards against a close on a request that is here already.
@@ -344,10 +348,10 @@
     /// When the last byte came of the message that was decoded last.
     pub fn came(&mut self) -> Instant {
         let end = self.received - self.inbox.len() as u64;
-        while self.arrivals.front().is_some_and(|a| a.upto < end) {
-            self.arrivals.pop_front();
+        while self.receive_times.front().is_some_and(|a| a.upto < end) {
+            self.receive_times.pop_front();
         }
-        self.arrivals.front().map_or(self.heard, |a| a.at)
+        self.receive_times.front().map_or(self.heard, |a| a.at)
     }
 
     /// Returns once nothing more is to be begun for the request that is open. Where it `reads`, what the client sends
@@ -366,7 +370,7 @@
             return future::or(gone, cut_off).await;
         }
         loop {
-            if let ReadAhead::Abandoned(why) = self.read_ahead(Ahead::PassingOver).await {
+            if let ReadAhead::Abandoned(why) = self.read_ahead(ReadAheadMode::Discard).await {
                 return why;
             }
             // Others have their turn while much comes.
@@ -375,7 +379,7 @@
     }
 
     /// Reads what the client sends behind a request that is open, or returns why nothing more is to be begun for it.
-    pub async fn read_ahead(&mut self, ahead: Ahead) -> ReadAhead {
+    pub async fn read_ahead(&mut self, ahead: ReadAheadMode) -> ReadAhead {
         let all = self.all;
         let cut_off = async {
             all.until_cut_off().await;
@@ -392,12 +396,12 @@
     }
 
     /// Waits for bytes behind a request that is open; false once the client has closed its connection.
-    async fn receive(&mut self, ahead: Ahead) -> bool {
+    async fn receive(&mut self, ahead: ReadAheadMode) -> bool {
         if mutants::on("departures are not seen") {
             return future::pending().await;
         }
         let too_much = self.inbox.len() > MAX_READ_AHEAD_BYTES || !self.affordable();
-        if too_much && ahead == Ahead::Bounded && !self.overrun {
+        if too_much && ahead == ReadAheadMode::Bounded && !self.overrun {
             self.hung_up().await;
             return false;
         }
@@ -417,14 +421,14 @@
 
     /// Keeps when these bytes came, which were read behind an open request.
     fn arrived(&mut self, count: usize) {
-        if self.arrivals.is_empty() && self.inbox.len() > count {
-            self.arrivals.push_back(RequestInfo { upto: self.received, at: self.heard });
+        if self.receive_times.is_empty() && self.inbox.len() > count {
+            self.receive_times.push_back(ReceiveTime { upto: self.received, at: self.heard });
         }
         self.received += count as u64;
-        let many = self.arrivals.len() >= MAX_ARRIVALS;
-        match self.arrivals.back_mut() {
+        let many = self.receive_times.len() >= MAX_ARRIVALS;
+        match self.receive_times.back_mut() {
             Some(last) if many => last.upto = self.received,
-            _ => self.arrivals.push_back(RequestInfo { upto: self.received, at: world::now() }),
+            _ => self.receive_times.push_back(ReceiveTime { upto: self.received, at: world::now() }),
         }
     }
 
--- a/src/net/console.rs
+++ b/src/net/console.rs
@@ -128,7 +128,7 @@
             Ok(Who { who }) => who,
             Err(e) => return no(400, format!("the body is no {{\"who\":\"ID\"}}: {e}")),
         };
-        if !self.core.knows(&who) {
+        if !self.core.knows_host(&who) {
             return no(404, format!("no database host is called {who:?}"));
         }
         match self.upgrade.by_hand(&who, out) {
@@ -160,7 +160,7 @@
             return no(405, format!("{path} takes {method}, not {}", call.method));
         }
         match path {
-            "/ops/readiness" => match self.clients.admission.unready() {
+            "/ops/readiness" => match self.clients.admission.not_ready_reason() {
                 None => Answer(200, json!({"ready": true})),
                 Some(why) => Answer(503, json!({"ready": false, "why": why})),
             },
@@ -183,11 +183,11 @@
             "/ops/database-hosts/down" => self.by_hand(&call.body, true),
             "/ops/database-hosts/up" => self.by_hand(&call.body, false),
             "/ops/drain/start" => {
-                self.clients.admission.drain();
+                self.clients.admission.start_draining();
                 Answer(200, json!({"draining": true}))
             }
             _ => {
-                self.clients.admission.undrain();
+                self.clients.admission.stop_draining();
                 Answer(200, json!({"draining": false}))
             }
         }
--- a/src/net/core.rs
+++ b/src/net/core.rs
@@ -76,7 +76,7 @@
 }
 
 /// What all proxies call a server, whatever number each of them has for it.
-pub fn shared_name(name: &str) -> u32 {
+pub fn shared_host_id(name: &str) -> u32 {
     let hash = fnv1a(name);
     (hash ^ (hash >> 32)) as u32
 }
@@ -96,13 +96,13 @@
 
 /// What the hosts' owner is told to do.
 #[derive(Debug)]
-pub enum Chore {
+pub enum HostTask {
     Probe(HostId),
     CloseIdle(HostId),
 }
 
 /// A request as the core knows it, whatever protocol brought it.
-pub struct Call {
+pub struct Request {
     pub class: u8,
     pub session: u64,
     pub group: GroupId,
@@ -120,7 +120,7 @@
 }
 
 /// How one attempt ended, with what the answer told of its server.
-pub struct Ending {
+pub struct AttemptEnd {
     pub host: HostId,
     pub number: u8,
     pub outcome: Outcome,
@@ -130,7 +130,7 @@
 
 /// What is counted of a class since the start, whatever protocol brought its requests.
 #[derive(Clone, Default, Serialize)]
-pub struct Calls {
+pub struct ClassCounts {
     pub success: u64,
     pub busy: u64,
     pub failure: u64,
@@ -141,7 +141,7 @@
 /// What operators are told.
 #[derive(Serialize)]
 pub struct Figures {
-    calls: BTreeMap<String, Calls>,
+    calls: BTreeMap<String, ClassCounts>,
     backend_calls: u64,
     inflight: usize,
     hosts_listed: usize,
@@ -153,7 +153,7 @@
     headroom: Option<BTreeMap<GroupId, Left>>,
 }
 
-struct Open {
+struct OpenRequest {
     orders: Sender<Directive>,
     give_up_at: Micros,
     attempts: u8,
@@ -164,7 +164,7 @@
 struct Inner {
     router: Router,
     actions: Vec<Action>,
-    open: BTreeMap<RequestId, Open>,
+    open: BTreeMap<RequestId, OpenRequest>,
     last_id: RequestId,
     timers: BinaryHeap<Reverse<(Micros, u64)>>,
     names: BTreeMap<HostId, String>,
@@ -174,7 +174,7 @@
     /// Those that have left the list, and when.
     left: BTreeMap<HostId, Micros>,
     groups: BTreeSet<GroupId>,
-    calls: Vec<Calls>,
+    calls: Vec<ClassCounts>,
 }
 
 /// Owner of the decision module.
@@ -192,17 +192,17 @@
     /// For how long discovery may be silent before the list of before will have to do.
     silent: Duration,
     timer_set: (Sender<()>, Receiver<()>),
-    chores: Sender<Chore>,
+    host_tasks: Sender<HostTask>,
     /// What is left of the hosts' capacity, where it is learnt, whether it binds, and the lots for that.
     headroom: RefCell<Option<Headroom>>,
-    sheds: Cell<bool>,
-    lots: RefCell<Rand64>,
+    sheds_load: Cell<bool>,
+    draws: RefCell<Rand64>,
     /// What each class is worth, and whether it writes.
-    worths: Vec<HeadroomClass>,
+    headroom_classes: Vec<HeadroomClass>,
     /// The record of load, where it is kept.
     recorder: RefCell<Option<Recorder>>,
     /// Where news for other proxies go, where there are any to hear them.
-    says: RefCell<Option<Sender<Vec<Item>>>>,
+    peer_outbox: RefCell<Option<Sender<Vec<Item>>>>,
     /// Closed once discovery has spoken.
     listed: (Sender<()>, Receiver<()>),
     /// Whether any list has come, also one of before.
@@ -211,15 +211,15 @@
 
 impl Core {
     /// A core that knows nothing yet; what the hosts' owner must do comes out of the receiver.
-    pub fn new(settings: Settings, dialect: Dialect, seed: u64) -> (Core, Receiver<Chore>) {
-        let (chores, todo) = unbounded();
+    pub fn new(settings: Settings, dialect: Dialect, seed: u64) -> (Core, Receiver<HostTask>) {
+        let (host_tasks, todo) = unbounded();
         let limits = &settings.limits;
         let retry_in = if limits.retry_after { limits.max_retry_after / 4 } else { 0 };
         let silent = if backoff::takes_turns(settings.proxy_count) { Duration::ZERO } else { SILENT };
         let kept = settings.safety.cold_duration.saturating_mul(KEPT_COLD);
         let effects = settings.classes.iter().map(|c| c.idempotency).collect();
         let worth = |c: &crate::Class| HeadroomClass { worth: c.worth, writes: c.access == Access::Write };
-        let worths = settings.classes.iter().map(worth).collect();
+        let headroom_classes = settings.classes.iter().map(worth).collect();
         let inner = Inner {
             router: Router::new(settings.clone(), seed),
             actions: Vec::new(),
@@ -231,7 +231,7 @@
             shared: BTreeMap::new(),
             left: BTreeMap::new(),
             groups: BTreeSet::new(),
-            calls: vec![Calls::default(); dialect.classes.len()],
+            calls: vec![ClassCounts::default(); dialect.classes.len()],
         };
         let core = Core {
             clock: Clock::start(),
@@ -243,13 +243,13 @@
             kept,
             silent,
             timer_set: async_channel::bounded(1),
-            chores,
+            host_tasks,
             recorder: RefCell::default(),
             headroom: RefCell::default(),
-            sheds: Cell::default(),
-            lots: RefCell::new(Rand64::new(u128::from(seed) ^ 0x6865_6164)),
-            worths,
-            says: RefCell::default(),
+            sheds_load: Cell::default(),
+            draws: RefCell::new(Rand64::new(u128::from(seed) ^ 0x6865_6164)),
+            headroom_classes,
+            peer_outbox: RefCell::default(),
             listed: async_channel::bounded(1),
             has_list: Cell::default(),
         };
@@ -270,11 +270,12 @@
 
     /// Whether `ready` returns at once.
     pub fn is_ready(&self) -> bool {
-        self.listed.0.is_closed() || (self.knows_servers() && world::since(self.clock.started) >= self.silent)
+        self.listed.0.is_closed()
+            || (self.knows_any_host() && world::since(self.clock.started) >= self.silent)
     }
 
     /// Counts something of a class.
-    pub fn count(&self, class: u8, what: impl FnOnce(&mut Calls) -> &mut u64) {
+    pub fn count(&self, class: u8, what: impl FnOnce(&mut ClassCounts) -> &mut u64) {
         if let Some(calls) = self.inner.borrow_mut().calls.get_mut(usize::from(class)) {
             *what(calls) += 1;
         }
@@ -296,28 +297,28 @@
     }
 
     /// From now on headroom is learnt; where it binds, it also turns away.
-    pub fn learn_headroom(&self, sheds: bool) {
-        *self.headroom.borrow_mut() = Some(Headroom::new(self.worths.clone()));
-        self.sheds.set(sheds);
+    pub fn learn_headroom(&self, sheds_load: bool) {
+        *self.headroom.borrow_mut() = Some(Headroom::new(self.headroom_classes.clone()));
+        self.sheds_load.set(sheds_load);
     }
 
     /// Whether a request may come in; always, where headroom does not bind.
-    pub fn lets_in(&self, call: &Call) -> bool {
+    pub fn lets_in(&self, call: &Request) -> bool {
         // What is turned away here has come too.
         self.note(|r| r.arrived(call.class, call.group, call.expected));
         let mut headroom = self.headroom.borrow_mut();
         let Some(headroom) = headroom.as_mut() else { return true };
-        let lot = self.lots.borrow_mut().rand_float();
-        headroom.arrived(call.class, call.group, lot, self.clock.now()) || !self.sheds.get()
+        let lot = self.draws.borrow_mut().rand_float();
+        headroom.arrived(call.class, call.group, lot, self.clock.now()) || !self.sheds_load.get()
     }
 
     /// From now on load is recorded so, or not at all.
-    pub fn record(&self, recorder: Option<Recorder>) {
+    pub fn set_recorder(&self, recorder: Option<Recorder>) {
         *self.recorder.borrow_mut() = recorder;
     }
 
     /// What was recorded in this interval; nothing where nothing is.
-    pub fn recorded(&self, at_ms: u64, for_ms: u64) -> Option<Record> {
+    pub fn take_record(&self, at_ms: u64, for_ms: u64) -> Option<Record> {
         self.recorder.borrow_mut().as_mut().map(|r| r.take(at_ms, for_ms))
     }
 
@@ -340,7 +341,7 @@
 
     /// Whether a class's requests write.
     pub fn writes(&self, class: u8) -> bool {
-        self.worths.get(usize::from(class)).is_some_and(|c| c.writes)
+        self.headroom_classes.get(usize::from(class)).is_some_and(|c| c.writes)
     }
 
     /// The number of a tenant that the settings name.
@@ -354,42 +355,42 @@
     }
 
     /// Whether any list has named any server.
-    pub fn knows_servers(&self) -> bool {
+    pub fn knows_any_host(&self) -> bool {
         !self.inner.borrow().ids.is_empty()
     }
 
     /// Whether a list names this database host, or did so lately, or operators leave it out.
-    pub fn knows(&self, name: &str) -> bool {
+    pub fn knows_host(&self, name: &str) -> bool {
         self.inner.borrow().ids.contains_key(name)
     }
 
     /// Operators leave a database host out, or use it again. A name that no list holds yet is kept for
     /// when one does.
-    pub fn by_hand(&self, name: &str, out: bool, since: Micros) {
-        let host = self.inner.borrow_mut().number(name);
+    pub fn override_host(&self, name: &str, out: bool, since: Micros) {
+        let host = self.inner.borrow_mut().host_id(name);
         self.feed(Event::HostOverride { host, out, since });
     }
 
     /// Whether operators leave a database host out.
-    pub fn is_out(&self, name: &str) -> bool {
+    pub fn is_left_out(&self, name: &str) -> bool {
         let inner = self.inner.borrow();
         inner.ids.get(name).is_some_and(|id| inner.router.out_since(*id).is_some())
     }
 
     /// Since when operators leave a database host out, if they do.
-    pub fn out_since(&self, host: HostId) -> Option<Micros> {
+    pub fn left_out_since(&self, host: HostId) -> Option<Micros> {
         self.inner.borrow().router.out_since(host)
     }
 
     /// A request came in: the ticket through which its task hears of it. Where its last bytes are still
-    /// `coming`, its time begins with `Ticket::whole`.
-    pub fn open(&self, call: &Call, coming: bool) -> Ticket<'_> {
+    /// `coming`, its time begins with `RequestHandle::whole`.
+    pub fn open(&self, call: &Request, coming: bool) -> RequestHandle<'_> {
         let (orders, mailbox) = unbounded();
         let id = {
             let mut inner = self.inner.borrow_mut();
             inner.last_id = inner.last_id.wrapping_add(1);
             let id = inner.last_id;
-            inner.open.insert(id, Open { orders, give_up_at: call.give_up_at, attempts: 0, coming });
+            inner.open.insert(id, OpenRequest { orders, give_up_at: call.give_up_at, attempts: 0, coming });
             id
         };
         let now = self.clock.now();
@@ -408,16 +409,16 @@
             expected_duration: call.expected,
         };
         self.feed(if coming { Event::RequestHead(arrival) } else { Event::Request(arrival) });
-        Ticket { core: self, id, mailbox, answered: Cell::new(false), of: (call.class, call.group) }
+        RequestHandle { core: self, id, mailbox, answered: Cell::new(false), of: (call.class, call.group) }
     }
 
     /// From now on news for other proxies go there; what is not taken at once is dropped.
-    pub fn talks_to(&self, says: Sender<Vec<Item>>) {
-        *self.says.borrow_mut() = Some(says);
+    pub fn set_peer_outbox(&self, peer_outbox: Sender<Vec<Item>>) {
+        *self.peer_outbox.borrow_mut() = Some(peer_outbox);
     }
 
     /// Another proxy said this.
-    pub fn heard(&self, from: u16, items: &[Item]) {
+    pub fn receive_from_peer(&self, from: u16, items: &[Item]) {
         let news = {
             let inner = self.inner.borrow();
             let own = |host| inner.shared.get(&host).copied().flatten();
@@ -427,14 +428,14 @@
     }
 
     /// Whether another process serves the same clients: what it answers binds the reads of this one's sessions.
-    pub fn other_process(&self, runs: bool) {
+    pub fn set_other_process(&self, runs: bool) {
         self.feed(Event::Sessions(SessionEvent::OtherProcess(runs)));
     }
 
     /// The answer to a request has begun and is passed on in pieces: where it is a write, what keeps its session's
     /// reads to what it commits, until it is dropped.
-    pub fn streamed_write(self: &Rc<Core>, call: &Call) -> Option<StreamedWrite> {
-        if !self.worths.get(usize::from(call.class))?.writes {
+    pub fn streamed_write(self: &Rc<Core>, call: &Request) -> Option<StreamedWrite> {
+        if !self.headroom_classes.get(usize::from(call.class))?.writes {
             return None;
         }
         self.feed(Event::Sessions(SessionEvent::StreamBegins(call.session)));
@@ -442,20 +443,20 @@
     }
 
     /// An answer that is not whole yet has told this of its server.
-    pub fn noted(&self, host: HostId, note: HostReport) {
+    pub fn partial_answer(&self, host: HostId, note: HostReport) {
         if !mutants::on("notes wait for the answer's end") {
             self.feed(Event::PartialAnswer { host, note });
         }
     }
 
     /// A probe returned.
-    pub fn probed(&self, host: HostId, report: Option<HostReport>) {
+    pub fn probe_finished(&self, host: HostId, report: Option<HostReport>) {
         let ok = report.is_some();
         self.feed(Event::Probed { host, ok, report: report.unwrap_or_default() });
     }
 
     /// News of the list, in the module's numbers. Returns the number of every entry.
-    pub fn list(&self, listing: &Listing, cached: bool) -> Vec<HostId> {
+    pub fn apply_listing(&self, listing: &Listing, cached: bool) -> Vec<HostId> {
         let kind = match (cached, listing.full) {
             (true, _) => ListUpdate::Cached,
             (false, true) => ListUpdate::Full,
@@ -467,7 +468,7 @@
         };
         let mut entries = Vec::new();
         for e in &listing.entries {
-            let host = self.inner.borrow_mut().number(&e.name);
+            let host = self.inner.borrow_mut().host_id(&e.name);
             self.inner.borrow_mut().groups.insert(e.group);
             entries.push(HostEntry {
                 host,
@@ -485,7 +486,7 @@
             });
         }
         let ids: Vec<HostId> = entries.iter().map(|e| e.host).collect();
-        self.inner.borrow_mut().note_leavers(&entries, listing.full, self.clock.now());
+        self.inner.borrow_mut().track_removed(&entries, listing.full, self.clock.now());
         if !cached {
             self.listed.0.close();
         }
@@ -501,7 +502,7 @@
 
     /// Lets go of the names that left the list long ago, and returns their numbers. Guards against a
     /// day on which servers are replaced by new ones without end.
-    pub fn forget(&self) -> Vec<HostId> {
+    pub fn forget_removed_hosts(&self) -> Vec<HostId> {
         let now = self.clock.now();
         let mut inner = self.inner.borrow_mut();
         let Inner { left, names, ids, router, shared, .. } = &mut *inner;
@@ -514,7 +515,7 @@
             left.remove(id);
             if let Some(name) = names.remove(id) {
                 ids.remove(&name);
-                shared.remove(&shared_name(&name));
+                shared.remove(&shared_host_id(&name));
             }
         }
         gone
@@ -553,8 +554,8 @@
                     inner.open.get(&id).into_iter().for_each(|o| tell(o, Directive::Withdraw));
                 }
                 Action::Timer { at, mark } => inner.timers.push(Reverse((at, mark))),
-                Action::Probe(host) => drop(self.chores.try_send(Chore::Probe(host))),
-                Action::CloseIdle(host) => drop(self.chores.try_send(Chore::CloseIdle(host))),
+                Action::Probe(host) => drop(self.host_tasks.try_send(HostTask::Probe(host))),
+                Action::CloseIdle(host) => drop(self.host_tasks.try_send(HostTask::CloseIdle(host))),
                 Action::Log(text) => {
                     // Operators know names, the module numbers.
                     let number = text.split(' ').nth(1).unwrap_or("");
@@ -566,11 +567,11 @@
                     }
                 }
                 Action::Broadcast(news) => {
-                    if let Some(says) = self.says.borrow().as_ref() {
-                        let shared = |id| inner.names.get(&id).map(|name| shared_name(name));
+                    if let Some(peer_outbox) = self.peer_outbox.borrow().as_ref() {
+                        let shared = |id| inner.names.get(&id).map(|name| shared_host_id(name));
                         let items = news.into_iter().filter_map(|n| talk::item(n, shared)).collect();
                         // A door that is shut, or behind, says newer things later.
-                        let _ = says.try_send(items);
+                        let _ = peer_outbox.try_send(items);
                     }
                 }
                 // Discovery pushes by itself.
@@ -608,7 +609,7 @@
 }
 
 impl Inner {
-    fn note_leavers(&mut self, entries: &[HostEntry], full: bool, now: Micros) {
+    fn track_removed(&mut self, entries: &[HostEntry], full: bool, now: Micros) {
         let named: BTreeSet<HostId> = entries.iter().map(|e| e.host).collect();
         let missing = self.names.keys().filter(|id| full && !named.contains(id));
         let deleted = entries.iter().filter(|e| e.state == HostStatus::Removed).map(|e| &e.host);
@@ -621,11 +622,11 @@
     }
 
     /// A server's number: drawn from its name, so that all proxies agree on the order of servers.
-    fn number(&mut self, name: &str) -> HostId {
+    fn host_id(&mut self, name: &str) -> HostId {
         if let Some(&id) = self.ids.get(name) {
             return id;
         }
-        let shared = shared_name(name);
+        let shared = shared_host_id(name);
         let mut id: HostId = shared;
         while self.names.contains_key(&id) {
             id = id.wrapping_add(1);
@@ -638,7 +639,7 @@
     }
 }
 
-fn tell(open: &Open, order: Directive) {
+fn tell(open: &OpenRequest, order: Directive) {
     // The mailbox is unbounded, and closed only when its request is over.
     let _ = open.orders.try_send(order);
 }
@@ -658,7 +659,7 @@
 }
 
 /// A request's place in the core; dropping it gives the place back.
-pub struct Ticket<'a> {
+pub struct RequestHandle<'a> {
     core: &'a Core,
     id: RequestId,
     mailbox: Receiver<Directive>,
@@ -667,7 +668,7 @@
     of: (u8, GroupId),
 }
 
-impl Ticket<'_> {
+impl RequestHandle<'_> {
     /// The module's next order for this request.
     pub async fn order(&self) -> Directive {
         match self.mailbox.recv().await {
@@ -698,7 +699,7 @@
     }
 
     /// An attempt of this request ended; its connection is given back or closed by now.
-    pub fn ended(&self, e: Ending) {
+    pub fn ended(&self, e: AttemptEnd) {
         let finished = self.answered.get() || e.outcome == Outcome::Ok;
         self.answered.set(finished);
         let how = match e.outcome {
@@ -745,7 +746,7 @@
     }
 }
 
-impl Drop for Ticket<'_> {
+impl Drop for RequestHandle<'_> {
     fn drop(&mut self) {
         if mutants::on("places are kept") {
             return;
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -91,7 +91,7 @@
         return Err(format!("status {} for {path}", http.status));
     }
     *accepted = Some(world::now());
-    let mut apply = |listing: &Listing| hosts.listed(&core.list(listing, false), listing);
+    let mut apply = |listing: &Listing| hosts.listed(&core.apply_listing(listing, false), listing);
     if path == PATH {
         let whole = by(world::now() + HEARTBEAT_TIMEOUT, http.whole()).await;
         let whole = Listing::parse(&whole.ok_or("a list that does not end in time")??);
--- a/src/net/hand_orders.rs
+++ b/src/net/hand_orders.rs
@@ -48,7 +48,7 @@
     pub fn give(&self, host: &str, out: bool) -> Result<Taken, String> {
         // Another process may have taken an order that was not heard of yet.
         self.read_folder(false);
-        if self.core.is_out(host) != out {
+        if self.core.is_left_out(host) != out {
             self.give_anew(host, out)?;
         }
         let is_saved = self.book.borrow().is_saved(host, self.core.clock.now());
@@ -65,7 +65,7 @@
         }
         self.book.borrow_mut().record(host, order);
         info!(target: "upgrade", "{host} is {} by hand", if out { "left out" } else { "used again" });
-        self.core.by_hand(host, out, order.stamp);
+        self.core.override_host(host, out, order.stamp);
         Ok(())
     }
 
@@ -162,6 +162,6 @@
 
     fn apply(&self, host: &str, order: Order) {
         info!(target: "upgrade", "{host} was {} by hand", if order.out { "left out" } else { "used again" });
-        self.core.by_hand(host, order.out, order.stamp);
+        self.core.override_host(host, order.out, order.stamp);
     }
 }
--- a/src/net/hosts.rs
+++ b/src/net/hosts.rs
@@ -5,7 +5,7 @@
 
 mod connection;
 
-use super::core::{Chore, Clock, Core, StreamedWrite};
+use super::core::{Clock, Core, HostTask, StreamedWrite};
 use super::listing::{Listing, Status};
 use super::world::{self, Spawner};
 use super::{Budget, Held, by, complain, read};
@@ -228,7 +228,7 @@
     /// News of the list; `ids` are the numbers of its entries.
     pub fn listed(&self, ids: &[HostId], listing: &Listing) {
         let mut hosts = self.hosts.borrow_mut();
-        for gone in self.core.forget() {
+        for gone in self.core.forget_removed_hosts() {
             hosts.remove(&gone);
         }
         let now = world::now();
@@ -424,7 +424,7 @@
         // What binds is told at once, though the rest of the answer may never come.
         let waits = || {
             if heard.get().role == Some(Role::Replica) && !told.replace(true) {
-                self.core.noted(host_id, heard.get());
+                self.core.partial_answer(host_id, heard.get());
             }
         };
         match by(self.core.clock.instant(until), opened.connection.answer(heard, waits)).await {
@@ -468,7 +468,7 @@
         }
         if note.role == Some(Role::Replica) {
             // The value was read long before: where it stood then says nothing of how far it is behind.
-            self.core.noted(host_id, HostReport { position: None, ..note });
+            self.core.partial_answer(host_id, HostReport { position: None, ..note });
         }
         if ready == Some(Backend::ReadyForQuery) && connection.inbox.is_empty() {
             self.give_back(host_id, connection);
@@ -498,7 +498,7 @@
             Some(self.report(std::str::from_utf8(&value).ok()?))
         });
         let report = report.await.flatten();
-        self.core.probed(host_id, report);
+        self.core.probe_finished(host_id, report);
     }
 
     /// Reads `x0=1767225600.123,x1=1,util=0.61`.
@@ -520,7 +520,7 @@
     fn off_for(&self, host_id: HostId) -> Option<Micros> {
         let told = self.hosts.borrow().get(&host_id).and_then(|h| h.off_since);
         let told = told.map(|at| world::since(at).as_micros() as Micros);
-        let since = self.core.out_since(host_id);
+        let since = self.core.left_out_since(host_id);
         let by_hand = since.map(|at| self.core.clock.now().saturating_sub(at));
         told.max(by_hand)
     }
@@ -583,11 +583,11 @@
     }
 
     /// Does what the module asks for beside requests, for as long as the program runs.
-    pub async fn run_chores(self: Rc<Hosts>, todo: Receiver<Chore>, executor: Spawner) {
+    pub async fn run_chores(self: Rc<Hosts>, todo: Receiver<HostTask>, executor: Spawner) {
         while let Ok(chore) = todo.recv().await {
             match chore {
-                Chore::CloseIdle(host_id) => self.close_idle(host_id),
-                Chore::Probe(host_id) => {
+                HostTask::CloseIdle(host_id) => self.close_idle(host_id),
+                HostTask::Probe(host_id) => {
                     let hosts = self.clone();
                     executor.spawn(async move { hosts.probe(host_id).await });
                 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -2,7 +2,7 @@
 //! on order, in tests only, `world` is the door to the machine, `endpoints` plain configuration of the proxy's own sockets, `backoff` the waits between tries, `listing`
 //! the list as a message; `events` counts what happens by its reason; `core` owns the decision module, time and the figures; `capture` the record of load, `hosts`
 //! the connections to database hosts, `discovery` the watch of the list, `peers` the talk with other proxies,
-//! `statements` the desk for plain statements, `admission` clients' places, `line` their connections, `life` a request's
+//! `statements` the desk for plain statements, `admission` clients' places, `client_connection` their connections, `request` a request's
 //! life, `pipeline` the requests of a connection behind one another, `client` their sessions, `order_files` the files of orders by hand,
 //! `hand_orders` those orders in one process, `upgrade` what processes beside each other tell and share, `console` the operators' door, `proxy` all of them; `signals` what a
 //! running program follows.
@@ -14,6 +14,7 @@
 pub mod backoff;
 pub mod capture;
 pub mod client;
+pub mod client_connection;
 pub mod console;
 pub mod core;
 pub mod discovery;
@@ -22,13 +23,12 @@
 pub mod faults;
 pub mod hand_orders;
 pub mod hosts;
-pub mod life;
-pub mod line;
 pub mod listing;
 pub mod order_files;
 pub mod peers;
 pub mod pipeline;
 pub mod proxy;
+pub mod request;
 pub mod signals;
 pub mod statements;
 pub mod upgrade;
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -46,7 +46,7 @@
         let started_ms = core.clock.now() / 1_000;
         let door = RefCell::new(Door::new(talk.ordinal, talk.each.len(), started_ms));
         let (say, said) = async_channel::bounded(WAITING);
-        core.talks_to(say);
+        core.set_peer_outbox(say);
         // Of two proxies at one address the first counts.
         let numbers = talk.each.iter().copied().zip(0..=u16::MAX).rev().collect();
         Peers { core, talk, numbers, door, said, stopping: async_channel::bounded(1) }
@@ -160,7 +160,7 @@
             let who = self.numbers.get(&from).copied();
             let taken = self.door.borrow_mut().take(who, &bytes[..n], self.core.clock.now() / 1_000);
             if let Ok(message) = taken {
-                self.core.heard(message.sender.ordinal, &message.items);
+                self.core.receive_from_peer(message.sender.ordinal, &message.items);
             }
         }
     }
--- a/src/net/pipeline.rs
+++ b/src/net/pipeline.rs
@@ -4,9 +4,9 @@
 //! A request begins as soon as none that came before it could change what it does: a write and a request of the same
 //! group, or two writes, go one after the other; all else is worked on at the same time.
 
-use super::admission::Claim;
-use super::life::{Answer, ClientWatch};
-use super::line::Abandoned;
+use super::admission::IdClaim;
+use super::client_connection::Abandoned;
+use super::request::{ClientWatch, PendingAnswer};
 use crate::GroupId;
 use std::collections::VecDeque;
 use std::future::{self, Future};
@@ -15,15 +15,15 @@
 
 /// What is known of a request before it begins.
 #[derive(Clone, Copy)]
-pub struct Footprint {
+pub struct RequestScope {
     pub class: u8,
     pub group: GroupId,
     pub writes: bool,
 }
 
-impl Footprint {
+impl RequestScope {
     /// Whether it has to wait for the end of a request that came before it.
-    fn must_follow(&self, earlier: &Footprint) -> bool {
+    fn must_follow(&self, earlier: &RequestScope) -> bool {
         match (self.writes, earlier.writes) {
             (true, true) => true,
             (true, false) | (false, true) => self.group == earlier.group,
@@ -33,24 +33,24 @@
 }
 
 /// The work on a request, up to its answer; nothing if its client left before. It begins when it is first polled.
-pub type Serving<'a> = Pin<Box<dyn Future<Output = Option<Answer>> + 'a>>;
+pub type ServeFuture<'a> = Pin<Box<dyn Future<Output = Option<PendingAnswer>> + 'a>>;
 
 /// How far a request has come.
 pub enum Progress<'a> {
-    Unanswered { serving: Serving<'a>, begun: bool },
-    Answered(Option<Answer>),
+    Unanswered { serving: ServeFuture<'a>, begun: bool },
+    Answered(Option<PendingAnswer>),
 }
 
 /// A request behind another.
-pub struct Entry<'a> {
-    pub footprint: Footprint,
-    pub claim: Claim<'a>,
+pub struct PipelineEntry<'a> {
+    pub scope: RequestScope,
+    pub claim: IdClaim<'a>,
     /// The memory of its statement.
     pub bytes: usize,
     pub progress: Progress<'a>,
 }
 
-impl Entry<'_> {
+impl PipelineEntry<'_> {
     fn is_answered(&self) -> bool {
         matches!(self.progress, Progress::Answered(_))
     }
@@ -79,7 +79,7 @@
 
 /// The requests behind the one whose turn it is.
 pub struct Pipeline<'a> {
-    entries: VecDeque<Entry<'a>>,
+    entries: VecDeque<PipelineEntry<'a>>,
     watch: &'a ClientWatch,
 }
 
@@ -98,16 +98,16 @@
 
     /// The memory of their statements and answers.
     pub fn held_bytes(&self) -> usize {
-        self.entries.iter().map(Entry::held_bytes).sum()
+        self.entries.iter().map(PipelineEntry::held_bytes).sum()
     }
 
     /// One more, behind all others.
-    pub fn push(&mut self, entry: Entry<'a>) {
+    pub fn push(&mut self, entry: PipelineEntry<'a>) {
         self.entries.push_back(entry);
     }
 
     /// The one whose turn comes next.
-    pub fn pop(&mut self) -> Option<Entry<'a>> {
+    pub fn pop(&mut self) -> Option<PipelineEntry<'a>> {
         let next = self.entries.pop_front();
         if self.entries.is_empty() {
             // A connection at rest keeps no memory of what it once had open.
@@ -117,7 +117,7 @@
     }
 
     /// Works on all that may be worked on now; `head` is the open request whose turn it is, if there is one.
-    pub fn advance(&mut self, head: Option<&Footprint>, context: &mut Context<'_>) {
+    pub fn advance(&mut self, head: Option<&RequestScope>, context: &mut Context<'_>) {
         for index in 0..self.entries.len() {
             let may_begin = self.may_begin(index, head);
             if let Some(entry) = self.entries.get_mut(index) {
@@ -126,11 +126,11 @@
         }
     }
 
-    fn may_begin(&self, index: usize, head: Option<&Footprint>) -> bool {
-        let footprint = &self.entries[index].footprint;
+    fn may_begin(&self, index: usize, head: Option<&RequestScope>) -> bool {
+        let scope = &self.entries[index].scope;
         let unanswered = self.entries.range(..index).filter(|earlier| !earlier.is_answered());
-        let mut earlier = head.into_iter().chain(unanswered.map(|e| &e.footprint));
-        !earlier.any(|earlier| footprint.must_follow(earlier))
+        let mut earlier = head.into_iter().chain(unanswered.map(|e| &e.scope));
+        !earlier.any(|earlier| scope.must_follow(earlier))
     }
 
     /// Does this, and meanwhile works on the requests.
--- a/src/net/proxy.rs
+++ b/src/net/proxy.rs
@@ -36,7 +36,7 @@
     pub clients: Rc<Clients>,
     pub hosts: Rc<Hosts>,
     /// Where discovery has moved to.
-    pub moves: Sender<SocketAddr>,
+    pub discovery_addresses: Sender<SocketAddr>,
     pub upgrade: Rc<Upgrade>,
     /// The talk with other proxies, where there is any.
     pub peers: Option<Rc<Peers>>,
@@ -66,10 +66,10 @@
         let admission = Admission::new(core.clone(), most, bytes, executor.clone());
         let clients = Clients::new(core.clone(), hosts.clone(), admission, config.way_back, executor.clone());
         let clients = Rc::new(clients);
-        clients.serve_plain(Statements::of(&file.statements, &config.dialect));
+        clients.set_statements(Statements::from_config(&file.statements, &config.dialect));
 
         if let Some(known) = &config.known {
-            hosts.listed(&core.list(known, true), known);
+            hosts.listed(&core.apply_listing(known, true), known);
         }
         let upgrade =
             Upgrade::new(config.tmp.clone(), core.clone(), clients.admission.clone(), hosts.clone());
@@ -96,7 +96,7 @@
             core.learn_headroom(file.headroom.shed);
         }
         executor.spawn(capture::run(core.clone(), file.capture.clone(), config.name.clone()));
-        let (moves, moved) = async_channel::unbounded();
+        let (discovery_addresses, moved) = async_channel::unbounded();
         let (discovery, backoff) = (
             config.discovery,
             Backoff::new(config.settings.list_mode, config.settings.proxy_count, config.seed),
@@ -108,7 +108,19 @@
         executor.spawn(watch);
         let (name, address, linger) = (config.name.clone(), config.listen, config.linger);
         let longest = Duration::from_micros(longest);
-        Ok(Proxy { core, clients, hosts, moves, upgrade, peers, socket, name, address, linger, longest })
+        Ok(Proxy {
+            core,
+            clients,
+            hosts,
+            discovery_addresses,
+            upgrade,
+            peers,
+            socket,
+            name,
+            address,
+            linger,
+            longest,
+        })
     }
 
     /// Serves until told to stop, and stops in order.
--- a/src/net/life.rs
+++ b/src/net/request.rs
@@ -1,13 +1,13 @@
-//! A request's life, from its ticket to its answer: `Life::serve` reads from top to bottom. It owns nothing beyond that:
+//! A request's life, from its ticket to its answer: `RequestHandler::serve` reads from top to bottom. It owns nothing beyond that:
 //! the connection is its line's, the attempt its host's owner's, the turn of its answer its session's. It must never choose
 //! a host or judge an outcome: at each point of choice it asks the core.
 
 use super::admission::Admission;
-use super::core::{Call, Core, Directive, Ending, Ticket};
+use super::client_connection::{Abandoned, ClientConnection, ReadResult};
+use super::core::{AttemptEnd, Core, Directive, Request, RequestHandle};
 use super::events::RefusalReason;
 use super::hosts::{Asking, Attempted, CheckedStart, Hosts, LongAnswer, Opened, PlainAnswer};
-use super::line::{Abandoned, Came, Line};
-use super::statements::Terms;
+use super::statements::PlainRoute;
 use super::world::{self, Stream};
 use crate::invariants::{self, Violation};
 use crate::mutants;
@@ -28,12 +28,12 @@
 const MOST_PATIENCE_MS: u64 = 60_000;
 
 /// The one final answer to a request.
-pub enum Verdict {
+pub enum FinalAnswer {
     Served(Row),
     /// The answer to a plain statement, all of its results.
     Plain(Vec<u8>),
     /// The client has its row already, and the end of the command.
-    Passed,
+    Streamed,
     Refused {
         retry_in: Micros,
     },
@@ -43,24 +43,26 @@
 }
 
 /// What a request ends with, until its turn comes.
-pub enum Answer {
-    Whole(Verdict),
+pub enum PendingAnswer {
+    Complete(FinalAnswer),
     /// A row whose value is passed on as its client takes it.
-    Long(Box<LongAnswer>),
+    StreamedRow(Box<LongAnswer>),
     /// The same of all that a plain statement gives.
-    Stream(Box<PlainAnswer>),
+    StreamedResult(Box<PlainAnswer>),
 }
 
-impl Answer {
+impl PendingAnswer {
     /// The memory that it holds.
     pub fn held_bytes(&self) -> usize {
         match self {
-            Answer::Whole(Verdict::Served(row)) => row.value.as_ref().map_or(0, Vec::len),
-            Answer::Whole(Verdict::Plain(bytes)) => bytes.len(),
-            Answer::Whole(Verdict::Rejected(fields)) => fields.whole.len(),
-            Answer::Whole(Verdict::Passed | Verdict::Refused { .. } | Verdict::Failed) => 0,
+            PendingAnswer::Complete(FinalAnswer::Served(row)) => row.value.as_ref().map_or(0, Vec::len),
+            PendingAnswer::Complete(FinalAnswer::Plain(bytes)) => bytes.len(),
+            PendingAnswer::Complete(FinalAnswer::Rejected(fields)) => fields.whole.len(),
+            PendingAnswer::Complete(
+                FinalAnswer::Streamed | FinalAnswer::Refused { .. } | FinalAnswer::Failed,
+            ) => 0,
             // What has come of them waits at their connections.
-            Answer::Long(_) | Answer::Stream(_) => 0,
+            PendingAnswer::StreamedRow(_) | PendingAnswer::StreamedResult(_) => 0,
         }
     }
 }
@@ -115,49 +117,49 @@
 }
 
 /// How a request hears of its client.
-pub enum Client<'l, 'a> {
+pub enum ClientLink<'l, 'a> {
     /// Its statement is whole, and its session reads on meanwhile.
     Watched(&'l ClientWatch),
     /// So many bytes of its statement are still to come, which it reads itself.
-    Reading { line: &'l mut Line<'a>, left: &'l mut usize },
+    Reading { line: &'l mut ClientConnection<'a>, left: &'l mut usize },
 }
 
-impl Client<'_, '_> {
+impl ClientLink<'_, '_> {
     /// How many bytes of the statement are still to come.
     fn left(&self) -> usize {
         match self {
-            Client::Watched(_) => 0,
-            Client::Reading { left, .. } => **left,
+            ClientLink::Watched(_) => 0,
+            ClientLink::Reading { left, .. } => **left,
         }
     }
 
     /// Whether the client has closed the connection, as the machine knows at this moment.
     fn has_left(&self) -> bool {
         match self {
-            Client::Watched(watch) => watch.has_left(),
-            Client::Reading { line, .. } => line.is_hung_up(),
+            ClientLink::Watched(watch) => watch.has_left(),
+            ClientLink::Reading { line, .. } => line.is_hung_up(),
         }
     }
 
     /// Returns once nothing more is to be begun for the request.
     async fn abandoned(&mut self) -> Abandoned {
         match self {
-            Client::Watched(watch) => watch.abandoned().await,
+            ClientLink::Watched(watch) => watch.abandoned().await,
             // What is still to come of a long statement stays where it is until a host is chosen.
-            Client::Reading { line, left } => line.abandoned(**left == 0).await,
+            ClientLink::Reading { line, left } => line.abandoned(**left == 0).await,
         }
     }
 
     /// The client comes first: guards against another attempt that begins for one that has left.
     async fn look(&self) {
-        if let Client::Watched(watch) = self {
+        if let ClientLink::Watched(watch) = self {
             watch.look().await;
         }
     }
 }
 
 /// Why a long statement did not get to a host.
-enum Upload {
+enum UploadError {
     /// The outcome that the lack of a connection amounts to; nothing has run.
     NoConnection(Outcome),
     /// The client broke it off.
@@ -172,8 +174,8 @@
 }
 
 /// One request, while it is served.
-pub struct Life<'l, 'a> {
-    pub client: Client<'l, 'a>,
+pub struct RequestHandler<'l, 'a> {
+    pub client: ClientLink<'l, 'a>,
     pub core: &'l Rc<Core>,
     pub hosts: &'l Rc<Hosts>,
     pub admission: &'l Rc<Admission>,
@@ -193,37 +195,39 @@
 }
 
 /// What ended an attempt.
-enum Happened {
+enum AttemptEvent {
     Ended(Attempted),
     Ordered(Directive),
-    Uploaded(Result<Opened, Upload>),
+    Uploaded(Result<Opened, UploadError>),
     Abandoned(Abandoned),
 }
 
-impl Happened {
+impl AttemptEvent {
     /// How the attempt ended.
     fn outcome(&self) -> Outcome {
         match self {
-            Happened::Ended(attempted) => attempted.outcome,
-            Happened::Uploaded(Err(Upload::NoConnection(outcome))) => *outcome,
-            Happened::Uploaded(_) | Happened::Ordered(_) | Happened::Abandoned(_) => Outcome::Cancelled,
+            AttemptEvent::Ended(attempted) => attempted.outcome,
+            AttemptEvent::Uploaded(Err(UploadError::NoConnection(outcome))) => *outcome,
+            AttemptEvent::Uploaded(_) | AttemptEvent::Ordered(_) | AttemptEvent::Abandoned(_) => {
+                Outcome::Cancelled
+            }
         }
     }
 }
 
 /// What follows on the end of an attempt.
-enum Next {
+enum NextStep {
     /// The end of the request.
-    Done(Option<Answer>),
+    Done(Option<PendingAnswer>),
     /// The module's next order, where it has come already.
     Order(Option<Directive>),
 }
 
-impl Life<'_, '_> {
+impl RequestHandler<'_, '_> {
     /// The life of one request. Nothing if its client left before it was answered, or can no longer be answered in order.
     pub async fn serve(
-        &mut self, call: &Call, statement: &Statement, plain: Option<&Terms>,
-    ) -> Option<Answer> {
+        &mut self, call: &Request, statement: &Statement, plain: Option<&PlainRoute>,
+    ) -> Option<PendingAnswer> {
         let (core, hosts) = (self.core, self.hosts);
         // At the door, before it could wait for anything.
         if self.admission.is_cut_off() {
@@ -241,8 +245,8 @@
             core.count(call.class, |c| &mut c.backend_calls);
         };
         let watch = match &self.client {
-            Client::Watched(watch) => Some(*watch),
-            Client::Reading { .. } => None,
+            ClientLink::Watched(watch) => Some(*watch),
+            ClientLink::Reading { .. } => None,
         };
         let asks = |now| Asking {
             client_left: watch.is_some_and(ClientWatch::has_left),
@@ -263,7 +267,7 @@
                     self.check_refusal(call, &statement.id, may_have_run);
                     return self.refuse(&statement.id, RefusalReason::Module, retry_in);
                 }
-                Directive::Fail => return whole(Verdict::Failed),
+                Directive::Fail => return whole(FinalAnswer::Failed),
                 // The attempt ended on its own just before.
                 Directive::Withdraw => continue,
             };
@@ -289,7 +293,7 @@
                 // The client's pace says nothing of the host's.
                 attempt.begun = world::now();
             }
-            if let Happened::Uploaded(Ok(opened)) = happened {
+            if let AttemptEvent::Uploaded(Ok(opened)) = happened {
                 // Its last byte is here: its time begins.
                 let give_up_at = give_up_at(statement, core.clock.now(), self.way_back);
                 written();
@@ -301,39 +305,39 @@
             may_have_run |= !ended.never_ran();
             before = Some(ended);
             let next = match happened {
-                Happened::Ended(attempted) => {
+                AttemptEvent::Ended(attempted) => {
                     self.take_in(attempted, &attempt, &ticket, call, statement, once)
                 }
-                Happened::Uploaded(Err(Upload::NoConnection(outcome))) => {
+                AttemptEvent::Uploaded(Err(UploadError::NoConnection(outcome))) => {
                     if once {
                         ticket.answered();
                     }
                     attempt.ended(&ticket, outcome, HostReport::default());
                     let refused = || self.refuse(&statement.id, RefusalReason::NoConnection, core.retry_in);
-                    if once { Next::Done(refused()) } else { Next::Order(None) }
+                    if once { NextStep::Done(refused()) } else { NextStep::Order(None) }
                 }
-                Happened::Ordered(other) => {
+                AttemptEvent::Ordered(other) => {
                     if matches!(other, Directive::Attempt { .. }) {
                         let about = format_args!("id {:?}", statement.id);
                         core.events.violated(Violation::SecondAttempt, &about);
                     }
                     attempt.ended(&ticket, Outcome::Cancelled, heard.get());
-                    Next::Order(Some(other))
+                    NextStep::Order(Some(other))
                 }
-                Happened::Uploaded(_) => {
+                AttemptEvent::Uploaded(_) => {
                     ticket.abandoned();
                     attempt.ended(&ticket, Outcome::Cancelled, HostReport::default());
-                    Next::Done(None)
+                    NextStep::Done(None)
                 }
-                Happened::Abandoned(why) => {
+                AttemptEvent::Abandoned(why) => {
                     ticket.abandoned();
                     attempt.ended(&ticket, Outcome::Cancelled, heard.get());
-                    Next::Done(self.last_answer(why, &statement.id, sent_on.get()))
+                    NextStep::Done(self.last_answer(why, &statement.id, sent_on.get()))
                 }
             };
             match next {
-                Next::Done(answer) => return answer,
-                Next::Order(next) => order = next,
+                NextStep::Done(answer) => return answer,
+                NextStep::Order(next) => order = next,
             }
             self.client.look().await;
         }
@@ -341,7 +345,7 @@
 
     /// The module's next order, or why none is followed any more.
     async fn next_order(
-        &mut self, ticket: &Ticket<'_>, had: Option<Directive>,
+        &mut self, ticket: &RequestHandle<'_>, had: Option<Directive>,
     ) -> Result<Directive, Abandoned> {
         let abandoned = async { Err(self.client.abandoned().await) };
         let ordered = async {
@@ -354,22 +358,22 @@
     }
 
     /// The answer to a request that is abandoned: none to a client that has left.
-    fn last_answer(&self, why: Abandoned, id: &str, sent_on: bool) -> Option<Answer> {
+    fn last_answer(&self, why: Abandoned, id: &str, sent_on: bool) -> Option<PendingAnswer> {
         match why {
             Abandoned::ClientGone => None,
-            Abandoned::CutOff if sent_on => whole(Verdict::Failed),
+            Abandoned::CutOff if sent_on => whole(FinalAnswer::Failed),
             Abandoned::CutOff => self.refuse(id, RefusalReason::Stopping, self.core.retry_in),
         }
     }
 
     /// A refusal: no further try does harm.
-    fn refuse(&self, id: &str, reason: RefusalReason, retry_in: Micros) -> Option<Answer> {
+    fn refuse(&self, id: &str, reason: RefusalReason, retry_in: Micros) -> Option<PendingAnswer> {
         self.core.events.refused(id, reason);
-        whole(Verdict::Refused { retry_in })
+        whole(FinalAnswer::Refused { retry_in })
     }
 
     /// Tells where a request is refused that must not run again, and may have run.
-    fn check_refusal(&self, call: &Call, id: &str, may_have_run: bool) {
+    fn check_refusal(&self, call: &Request, id: &str, may_have_run: bool) {
         let Some(idempotency) = self.core.idempotency(call.class) else { return };
         if !invariants::may_refuse(idempotency, may_have_run, call.plain) {
             self.core.events.violated(Violation::RefusedAfterRun, &format_args!("id {id:?}"));
@@ -378,31 +382,31 @@
 
     /// Takes in what came of an attempt, which cannot be made again where it is made `once`.
     fn take_in(
-        &mut self, attempted: Attempted, attempt: &Attempt, ticket: &Ticket<'_>, call: &Call,
+        &mut self, attempted: Attempted, attempt: &Attempt, ticket: &RequestHandle<'_>, call: &Request,
         statement: &Statement, once: bool,
-    ) -> Next {
+    ) -> NextStep {
         let Attempted { mut outcome, note, mut row, rejected, long, plain, stream } = attempted;
         if let Some(e) = rejected {
             ticket.answered();
             attempt.ended(ticket, outcome, note);
-            return Next::Done(whole(Verdict::Rejected(e)));
+            return NextStep::Done(whole(FinalAnswer::Rejected(e)));
         }
         if let Some(mut long) = long {
             long.write = self.core.streamed_write(call);
             // The host has done its work: a slow reader must not look like a slow host.
             attempt.ended(ticket, outcome, note);
-            return Next::Done(Some(Answer::Long(long)));
+            return NextStep::Done(Some(PendingAnswer::StreamedRow(long)));
         }
         if let Some(stream) = stream {
             // As with a long row: the host has begun, and the rest is as fast as its reader.
             self.told = Some((note.position, world::since(attempt.begun)));
             attempt.ended(ticket, outcome, note);
-            return Next::Done(Some(Answer::Stream(stream)));
+            return NextStep::Done(Some(PendingAnswer::StreamedResult(stream)));
         }
         if let Some(bytes) = plain {
             self.told = Some((note.position, world::since(attempt.begun)));
             attempt.ended(ticket, outcome, note);
-            return Next::Done(whole(Verdict::Plain(bytes)));
+            return NextStep::Done(whole(FinalAnswer::Plain(bytes)));
         }
         let stale = || ticket.stale_outcome(attempt.host, &note, attempt.begun_at);
         if let Some(stale) = row.as_ref().filter(|_| !once).and_then(|_| stale()) {
@@ -413,65 +417,67 @@
         }
         attempt.ended(ticket, outcome, note);
         match row {
-            Some(row) => Next::Done(whole(Verdict::Served(row))),
+            Some(row) => NextStep::Done(whole(FinalAnswer::Served(row))),
             None if once && outcome.never_ran() => {
                 let retry_in = self.core.retry_in;
-                Next::Done(self.refuse(&statement.id, RefusalReason::NoConnection, retry_in))
+                NextStep::Done(self.refuse(&statement.id, RefusalReason::NoConnection, retry_in))
             }
-            None if once => Next::Done(whole(Verdict::Failed)),
-            None => Next::Order(None),
+            None if once => NextStep::Done(whole(FinalAnswer::Failed)),
+            None => NextStep::Order(None),
         }
     }
 
     /// The work, unless the module orders something else before, the client leaves, or the stop's time is over. An answer
     /// that is here comes first, for what it tells of its server; whether another attempt begins is looked at behind it.
     async fn beside(
-        &mut self, work: Pin<&mut impl Future<Output = Attempted>>, ticket: &Ticket<'_>,
-    ) -> Happened {
-        let work = async { Happened::Ended(work.await) };
-        let ordered = async { Happened::Ordered(ticket.order().await) };
-        let abandoned = async { Happened::Abandoned(self.client.abandoned().await) };
+        &mut self, work: Pin<&mut impl Future<Output = Attempted>>, ticket: &RequestHandle<'_>,
+    ) -> AttemptEvent {
+        let work = async { AttemptEvent::Ended(work.await) };
+        let ordered = async { AttemptEvent::Ordered(ticket.order().await) };
+        let abandoned = async { AttemptEvent::Abandoned(self.client.abandoned().await) };
         future::or(work, future::or(ordered, abandoned)).await
     }
 
     /// Passes on a long statement, unless the module orders something else before, or the stop's time is over.
-    async fn upload(&mut self, attempt: &Attempt, ticket: &Ticket<'_>, statement: &Statement) -> Happened {
+    async fn upload(
+        &mut self, attempt: &Attempt, ticket: &RequestHandle<'_>, statement: &Statement,
+    ) -> AttemptEvent {
         let (hosts, admission) = (self.hosts, self.admission);
         let upload = async {
             let client = &self.client;
             let asks = |now| Asking { client_left: client.has_left(), request: ticket.starts(now) };
             let opened = hosts.open(attempt.host, &statement.id, attempt.until, asks).await;
-            let (opened, start) = opened.map_err(Upload::NoConnection)?;
+            let (opened, start) = opened.map_err(UploadError::NoConnection)?;
             match &mut self.client {
-                Client::Reading { line, left } => {
+                ClientLink::Reading { line, left } => {
                     let mut upload = LongUpload { hosts, opened, statement, left };
                     upload.begin(start).await?;
                     upload.pass_on(line).await?;
                     Ok(upload.opened)
                 }
                 // It is whole already.
-                Client::Watched(_) => Ok(opened),
+                ClientLink::Watched(_) => Ok(opened),
             }
         };
-        let upload = async { Happened::Uploaded(upload.await) };
-        let ordered = async { Happened::Ordered(ticket.order().await) };
+        let upload = async { AttemptEvent::Uploaded(upload.await) };
+        let ordered = async { AttemptEvent::Ordered(ticket.order().await) };
         let cut_off = async {
             admission.until_cut_off().await;
-            Happened::Abandoned(Abandoned::CutOff)
+            AttemptEvent::Abandoned(Abandoned::CutOff)
         };
         future::or(upload, future::or(ordered, cut_off)).await
     }
 }
 
-fn whole(verdict: Verdict) -> Option<Answer> {
-    Some(Answer::Whole(verdict))
+fn whole(verdict: FinalAnswer) -> Option<PendingAnswer> {
+    Some(PendingAnswer::Complete(verdict))
 }
 
 impl Attempt {
     /// It has ended: the module hears how.
-    fn ended(&self, ticket: &Ticket<'_>, outcome: Outcome, note: HostReport) {
+    fn ended(&self, ticket: &RequestHandle<'_>, outcome: Outcome, note: HostReport) {
         let latency = world::since(self.begun);
-        ticket.ended(Ending { host: self.host, number: self.number, outcome, latency, note });
+        ticket.ended(AttemptEnd { host: self.host, number: self.number, outcome, latency, note });
     }
 }
 
@@ -485,7 +491,7 @@
 
 impl LongUpload<'_> {
     /// Passes on its beginning.
-    async fn begin(&mut self, start: CheckedStart) -> Result<(), Upload> {
+    async fn begin(&mut self, start: CheckedStart) -> Result<(), UploadError> {
         let mut piece = Vec::new();
         pg::put_long_query(&mut piece, self.statement.text(), *self.left);
         self.write(&piece).await?;
@@ -495,17 +501,17 @@
     }
 
     /// Passes on the rest, up to its last byte.
-    async fn pass_on(&mut self, line: &mut Line<'_>) -> Result<(), Upload> {
+    async fn pass_on(&mut self, line: &mut ClientConnection<'_>) -> Result<(), UploadError> {
         let mut piece = Vec::new();
         while *self.left > 0 {
             match line.more().await {
-                Ok(Came::Bytes) => {}
+                Ok(ReadResult::Bytes) => {}
                 Ok(why) => {
                     // It hears so; the connection ends in either case.
                     let _ = line.over(why).await;
-                    return Err(Upload::BrokenOff);
+                    return Err(UploadError::BrokenOff);
                 }
-                Err(_) => return Err(Upload::BrokenOff),
+                Err(_) => return Err(UploadError::BrokenOff),
             }
             piece.clear();
             *self.left -= line.inbox.move_to(&mut piece, *self.left);
@@ -514,14 +520,14 @@
         Ok(())
     }
 
-    async fn write(&mut self, piece: &[u8]) -> Result<(), Upload> {
+    async fn write(&mut self, piece: &[u8]) -> Result<(), UploadError> {
         let written = self.opened.write(piece).await;
-        written.map_err(|_| Upload::NoConnection(Outcome::ConnectFailed))
+        written.map_err(|_| UploadError::NoConnection(Outcome::ConnectFailed))
     }
 }
 
 /// What came of a value that is passed on in pieces.
-pub enum PassedOn {
+pub enum StreamResult {
     Whole,
     /// Its host broke it off before the client had any of it.
     Nothing,
@@ -534,7 +540,9 @@
 }
 
 /// Passes on a value as fast as its client takes it.
-pub async fn pass_on_value(line: &mut Line<'_>, hosts: &Hosts, mut long: Box<LongAnswer>) -> PassedOn {
+pub async fn pass_on_value(
+    line: &mut ClientConnection<'_>, hosts: &Hosts, mut long: Box<LongAnswer>,
+) -> StreamResult {
     let before = line.out.len();
     pg::put_long_row(&mut line.out, &long.column, long.value);
     let mut begun = false;
@@ -542,29 +550,29 @@
         match long.piece(&mut line.out).await {
             Ok(0) => break,
             Ok(_) => {}
-            Err(_) if begun => return PassedOn::BrokenOff { missing: long.missing() },
+            Err(_) if begun => return StreamResult::BrokenOff { missing: long.missing() },
             Err(_) => {
                 line.out.truncate(before);
-                return PassedOn::Nothing;
+                return StreamResult::Nothing;
             }
         }
         begun = true;
         if line.flush().await.is_err() {
-            return PassedOn::NotTaken;
+            return StreamResult::NotTaken;
         }
     }
     match hosts.finish(long).await {
         Some(tag) => {
             pg::put_complete(&mut line.out, &tag);
-            PassedOn::Whole
+            StreamResult::Whole
         }
-        None => PassedOn::BrokenOff { missing: 0 },
+        None => StreamResult::BrokenOff { missing: 0 },
     }
 }
 
 /// Fills a value that was broken off up to its length, so that the message ends and others can follow it. An error in place
 /// of the command's end tells the client that the value is none.
-pub async fn fill_value(line: &mut Line<'_>, mut missing: usize) -> io::Result<()> {
+pub async fn fill_value(line: &mut ClientConnection<'_>, mut missing: usize) -> io::Result<()> {
     while missing > 0 {
         let piece = missing.min(FILLER_BYTES);
         line.out.resize(line.out.len() + piece, b' ');
@@ -577,7 +585,7 @@
 /// Passes on the answer to a plain statement as fast as its client takes it: what it tells of its commit. Nothing if the
 /// host breaks it off.
 pub async fn pass_on_plain(
-    line: &mut Line<'_>, hosts: &Hosts, mut answer: Box<PlainAnswer>,
+    line: &mut ClientConnection<'_>, hosts: &Hosts, mut answer: Box<PlainAnswer>,
 ) -> Option<Option<Micros>> {
     line.out.append(&mut answer.beginning);
     line.flush().await.ok()?;
--- a/src/net/statements.rs
+++ b/src/net/statements.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 /// The terms of a plain statement.
-pub struct Terms {
+pub struct PlainRoute {
     pub class: u8,
     pub group: u32,
     pub deadline_ms: u64,
@@ -25,7 +25,7 @@
     shape: Rc<Shape>,
 }
 
-impl Terms {
+impl PlainRoute {
     /// A number for the statement's shape, to tell by eye.
     pub fn shape_number(&self) -> u64 {
         self.shape.number()
@@ -34,14 +34,14 @@
 
 /// A statement that is turned away: what its client is told, and what it says of transactions.
 #[derive(Default)]
-pub struct Turned {
+pub struct StatementRefusal {
     pub fields: ErrorFields,
     pub control: Option<Control>,
 }
 
-impl From<ErrorFields> for Turned {
-    fn from(fields: ErrorFields) -> Turned {
-        Turned { fields, control: None }
+impl From<ErrorFields> for StatementRefusal {
+    fn from(fields: ErrorFields) -> StatementRefusal {
+        StatementRefusal { fields, control: None }
     }
 }
 
@@ -65,7 +65,7 @@
 
 impl Statements {
     /// What the operator's file sets, if it switches them on.
-    pub fn of(conf: &Conf, dialect: &Dialect) -> Option<Rc<Statements>> {
+    pub fn from_config(conf: &Conf, dialect: &Dialect) -> Option<Rc<Statements>> {
         let statements = || Statements {
             desk: RefCell::new(Desk::new(conf.options())),
             classes: RefCell::new(numbers(conf, dialect)),
@@ -81,10 +81,12 @@
     }
 
     /// The terms of a statement; nothing if there is none in the text.
-    pub fn terms(&self, text: &str, user: &str, database: &str) -> Result<Option<Terms>, Turned> {
+    pub fn terms(
+        &self, text: &str, user: &str, database: &str,
+    ) -> Result<Option<PlainRoute>, StatementRefusal> {
         let refuse = |code: &str, message: String| {
             self.refused.set(self.refused.get() + 1);
-            Err(Turned::from(ErrorFields { code: code.into(), message, ..Default::default() }))
+            Err(StatementRefusal::from(ErrorFields { code: code.into(), message, ..Default::default() }))
         };
         let mut desk = self.desk.borrow_mut();
         let read = match desk.read(text) {
@@ -99,14 +101,14 @@
             Ok(route) => route,
             Err(Refusal::NotCarried(what) | Refusal::NoRoute(what)) => {
                 let turned = refuse(code::FEATURE_NOT_SUPPORTED, what);
-                return turned.map_err(|t| Turned { control: read.control(), ..t });
+                return turned.map_err(|t| StatementRefusal { control: read.control(), ..t });
             }
         };
         // Every rule has a class here: the file was checked against them.
         let Some(&class) = self.classes.borrow().get(route.rule) else {
             return refuse(code::UNDEFINED_OBJECT, "the rule's class is not known here".into());
         };
-        Ok(Some(Terms {
+        Ok(Some(PlainRoute {
             class,
             group: route.group,
             deadline_ms: route.deadline_ms,
@@ -122,7 +124,7 @@
     }
 
     /// A statement was served in this time.
-    pub fn learn(&self, terms: &Terms, took: Duration) {
+    pub fn learn(&self, terms: &PlainRoute, took: Duration) {
         self.desk.borrow_mut().learn(&terms.shape, took.as_micros() as u64);
     }
 
--- a/src/net/upgrade.rs
+++ b/src/net/upgrade.rs
@@ -261,7 +261,7 @@
         };
         self.peers.borrow_mut().insert(number, peer);
         self.share_limits();
-        self.core.other_process(true);
+        self.core.set_other_process(true);
         let _ = self.folder_due.0.try_send(());
         number
     }
@@ -273,7 +273,7 @@
         }
         info!(target: "upgrade", "the other process has ended");
         self.share_limits();
-        self.core.other_process(self.accompanied());
+        self.core.set_other_process(self.accompanied());
         self.orders.read_folder(false);
         self.orders.save();
         let _ = self.folder_due.0.try_send(());
@@ -342,8 +342,8 @@
 
     /// What this process holds, with all others but that of this meeting.
     fn held_beside(&self, number: u64) -> Held {
-        let (clients, bytes) = self.admission.held();
-        let ready = self.admission.unready().is_none();
+        let (clients, bytes) = self.admission.usage();
+        let ready = self.admission.not_ready_reason().is_none();
         let own = Held { ready, clients, bytes, hosts: self.hosts.held() };
         let peers = self.peers.borrow();
         peers.iter().filter(|(n, _)| **n != number).fold(own, |sum, (_, peer)| sum.with(&peer.held))
@@ -391,7 +391,7 @@
     /// All together stay inside the limits: what nobody holds is shared out evenly.
     fn share_limits(&self) {
         let others = self.peers.borrow().values().map(|peer| peer.held).reduce(|sum, held| sum.with(&held));
-        self.admission.share(others);
+        self.admission.share_limits(others);
         self.hosts.share(others);
     }
 
--- a/tests/talk.rs
+++ b/tests/talk.rs
@@ -154,7 +154,7 @@
     let name = format!("s-{}", host.address.port());
     let lag = unix_ms().saturating_sub(position_ms);
     assert!(n <= 256 && ordinal == 0 && primary && (30..20_000).contains(&lag), "{n} {ordinal} {lag}");
-    assert_eq!(named, sillfold::net::core::shared_name(&name));
+    assert_eq!(named, sillfold::net::core::shared_host_id(&name));
 }
 
 /// The old version has the address until it is told to stop; then the new one talks, and is another process to all.
