--- a/src/main.rs
+++ b/src/main.rs
@@ -94,13 +94,13 @@
 ) -> Result<(), String> {
     let (program_settings, proxy) =
         (config.program_settings.clone(), Proxy::start(&mut config, &operator.file, &Spawner::of(executor))?);
-    let (moves, served) = (proxy.moves.clone(), proxy.clients.clone());
+    let (discovery_addresses, served) = (proxy.discovery_addresses.clone(), proxy.clients.clone());
 
     // A task of its own, so that a SIGHUP during the stop is still a reload and not the program's end.
     let (stop, stopped) = async_channel::bounded(1);
     let follow_signals = async move {
         let reload = || {
-            reload(&mut config, &moves);
+            reload(&mut config, &discovery_addresses);
             reload_operator(&mut operator, &served, &program_settings);
         };
         signals::follow(signals, reload, &stop).await;
@@ -110,7 +110,7 @@
 }
 
 /// Takes in a changed file. What cannot change while the program runs is told; a bad file changes nothing.
-fn reload(config: &mut Config, moves: &Sender<SocketAddr>) {
+fn reload(config: &mut Config, discovery_addresses: &Sender<SocketAddr>) {
     let before = config.discovery;
     match config.reload() {
         Ok(waiting) => {
@@ -118,7 +118,7 @@
             info!(target: "sillfold", "reloaded, discovery is {}{}", config.discovery, waits.collect::<String>());
             if config.discovery != before {
                 // The receiver lives as long as the program.
-                let _ = moves.try_send(config.discovery);
+                let _ = discovery_addresses.try_send(config.discovery);
             }
         }
         Err(what) => error!(target: "sillfold", "the configuration stays as it was: {what}"),
@@ -147,7 +147,7 @@
                 Some(statements) if file.statements.enabled => {
                     statements.replace(&file.statements, program_settings)
                 }
-                _ => clients.serve_plain(Statements::of(&file.statements, program_settings)),
+                _ => clients.set_statements(Statements::from_config(&file.statements, program_settings)),
             }
             let on = if file.statements.enabled { "on" } else { "off" };
             info!(target: "sillfold", "the operator's file is taken: plain statements are {on}, {rules} rules");
--- a/src/net/proxy.rs
+++ b/src/net/proxy.rs
@@ -36,7 +36,7 @@
     pub clients: Rc<Clients>,
     pub hosts: Rc<Hosts>,
     /// Where discovery has moved to.
-    pub moves: Sender<SocketAddr>,
+    pub discovery_addresses: Sender<SocketAddr>,
     pub upgrade: Rc<Upgrade>,
     /// The talk with other proxies, where there is any.
     pub peers: Option<Rc<Peers>>,
@@ -67,10 +67,10 @@
         let clients =
             Clients::new(core.clone(), hosts.clone(), admission, config.response_margin, executor.clone());
         let clients = Rc::new(clients);
-        clients.serve_plain(Statements::of(&file.statements, &config.program_settings));
+        clients.set_statements(Statements::from_config(&file.statements, &config.program_settings));
 
         if let Some(known) = &config.known_list {
-            hosts.listed(&core.list(known, true), known);
+            hosts.listed(&core.apply_listing(known, true), known);
         }
         let upgrade =
             Upgrade::new(config.state_dir.clone(), core.clone(), clients.admission.clone(), hosts.clone());
@@ -97,7 +97,7 @@
             core.learn_headroom(file.headroom.shed);
         }
         executor.spawn(capture::run(core.clone(), file.capture.clone(), config.name.clone()));
-        let (moves, moved) = async_channel::unbounded();
+        let (discovery_addresses, moved) = async_channel::unbounded();
         let (discovery, backoff) = (
             config.discovery,
             Backoff::new(config.settings.list_mode, config.settings.proxy_count, config.seed),
@@ -109,7 +109,19 @@
         executor.spawn(watch);
         let (name, address, linger) = (config.name.clone(), config.listen, config.linger);
         let longest = Duration::from_micros(longest);
-        Ok(Proxy { core, clients, hosts, moves, upgrade, peers, socket, name, address, linger, longest })
+        Ok(Proxy {
+            core,
+            clients,
+            hosts,
+            discovery_addresses,
+            upgrade,
+            peers,
+            socket,
+            name,
+            address,
+            linger,
+            longest,
+        })
     }
 
     /// Serves until told to stop, and stops in order.
