--- a/src/net/core.rs
+++ b/src/net/core.rs
@@ -211,7 +211,9 @@
 
 impl Core {
     /// A core that knows nothing yet; what the hosts' owner must do comes out of the receiver.
-    pub fn new(settings: Settings, program_settings: ProgramSettings, seed: u64) -> (Core, Receiver<HostTask>) {
+    pub fn new(
+        settings: Settings, program_settings: ProgramSettings, seed: u64,
+    ) -> (Core, Receiver<HostTask>) {
         let (host_tasks, todo) = unbounded();
         let limits = &settings.limits;
         let retry_in = if limits.retry_after { limits.max_retry_after / 4 } else { 0 };
