--- a/src/main.rs
+++ b/src/main.rs
@@ -97,14 +97,14 @@
 ) -> Result<(), String> {
     let program_settings = config.program_settings.clone();
     let proxy = Proxy::start(&mut config, &operator.file, &Spawner::of(executor))?;
-    let discovery_changes = proxy.moves.clone();
+    let discovery_addresses = proxy.discovery_addresses.clone();
     let clients = proxy.clients.clone();
 
     // The task keeps running while the proxy stops, so that a SIGHUP then is still a reload and doesn't end the program.
     let (stop, stopped) = async_channel::bounded(1);
     let follow_signals = async move {
         let reload = || {
-            reload(&mut config, &discovery_changes);
+            reload(&mut config, &discovery_addresses);
             reload_operator(&mut operator, &clients, &program_settings);
         };
         signals::follow(signals, reload, &stop).await;
@@ -114,7 +114,7 @@
 }
 
 /// Reloads the platform's file, and logs the keys that take effect at the next start. An invalid file changes nothing.
-fn reload(config: &mut Config, discovery_changes: &Sender<SocketAddr>) {
+fn reload(config: &mut Config, discovery_addresses: &Sender<SocketAddr>) {
     let before = config.discovery;
     match config.reload() {
         Ok(keys) => {
@@ -122,7 +122,7 @@
             info!(target: "sillfold", "reloaded, discovery is {}{}", config.discovery, notes.collect::<String>());
             if config.discovery != before {
                 // The receiver is never dropped, so this doesn't fail.
-                let _ = discovery_changes.try_send(config.discovery);
+                let _ = discovery_addresses.try_send(config.discovery);
             }
         }
         Err(e) => error!(target: "sillfold", "the configuration stays as it was: {e}"),
@@ -151,7 +151,7 @@
                 Some(statements) if file.statements.enabled => {
                     statements.replace(&file.statements, program_settings)
                 }
-                _ => clients.serve_plain(Statements::of(&file.statements, program_settings)),
+                _ => clients.set_statements(Statements::from_config(&file.statements, program_settings)),
             }
             let on = if file.statements.enabled { "on" } else { "off" };
             info!(target: "sillfold", "the operator's file is taken: plain statements are {on}, {rules} rules");
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -306,7 +306,7 @@
             "kept" => SessionTokens::TrackedByProxy,
             other => return unknown_value("writeMarks", other),
         },
-        crossings_cost: conf.fees.cross_zone > 0.0,
+        cross_zone_costs: conf.fees.cross_zone > 0.0,
         positions: family.positions,
         limits: Limits {
             cancel: ceilings.cancel,
