--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,7 +1,7 @@
-//! The command line: `serve`, `check` and `explain`. It owns the names of the commands and what `check` and
-//! `explain` print. It must never open a socket.
+//! The command line: `serve`, `check` and `explain`. The module owns the commands, their options, and the output of
+//! `check` and `explain`. It must not open a socket.
 //!
-//! Exit codes: 0 for yes, 1 where `explain` met a bad line, 2 for a file or a configuration that will not do.
+//! Exit codes: 0 for success, 1 if `explain` met an invalid line, 2 for an invalid file or configuration.
 
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use serde::{Deserialize, Serialize};
@@ -12,7 +12,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// The longest line that `explain` takes, in bytes.
+/// The longest line or statement that `explain` accepts.
 const MAX_LINE_BYTES: u64 = 8 << 20;
 
 /// A proxy for replicated databases that speak the PostgreSQL protocol.
@@ -27,23 +27,23 @@
 
 #[derive(Subcommand)]
 pub enum Command {
-    /// Serve; this is also what no command means. LB_CONFIG names the platform's file.
+    /// Serve (the default command). LB_CONFIG names the platform's file.
     Serve(Serve),
-    /// Check the operator's file: its schema, its keys and its rules.
+    /// Validate the operator's file: its syntax, its keys and its rules.
     Check(Check),
-    /// Tell how statements are read, what they are expected to cost and where they go.
+    /// Show how statements are classified, how long they are expected to take and where they are routed.
     Explain(Explain),
 }
 
 #[derive(Args, Clone, Default)]
 pub struct Serve {
-    /// The operator's file, JSON5; without it everything in it is off.
+    /// The operator's file, in JSON5; without it all optional features are off.
     #[arg(long, value_name = "FILE", env = "SILLFOLD_FILE")]
     pub operator: Option<PathBuf>,
-    /// How the log is written, to standard error.
+    /// The format of the log, which is written to standard error.
     #[arg(long, value_name = "FORMAT", value_enum, default_value_t)]
     pub log: LogFormat,
-    /// How much is written: `debug` adds a line for each close, refusal, repeat and attempt that is not started.
+    /// The level of the log: `debug` adds a line for each closed connection, refusal, retry and attempt that is not started.
     #[arg(long, value_name = "LEVEL", value_enum, default_value_t, env = "SILLFOLD_LOG_LEVEL")]
     pub log_level: LogLevel,
 }
@@ -67,37 +67,37 @@
     /// The operator's file.
     #[arg(value_name = "FILE", required_unless_present = "schema")]
     file: Option<PathBuf>,
-    /// The platform's file, to check the rules' classes against; else LB_CONFIG, if it is set.
+    /// The platform's file, whose classes the rules may use; by default the one that LB_CONFIG names, if it is set.
     #[arg(long, value_name = "FILE", env = "LB_CONFIG")]
     platform: Option<PathBuf>,
-    /// Print the schema of the operator's file instead.
+    /// Print the JSON schema of the operator's file instead.
     #[arg(long)]
     schema: bool,
 }
 
 #[derive(Args)]
 pub struct Explain {
-    /// Print one JSON object a line.
+    /// Print one JSON object per line.
     #[arg(long)]
     json: bool,
-    /// The operator's file, whose functions and rules count. Without it the target is by effect alone.
+    /// The operator's file, whose functions and rules apply. Without it the target depends on the effect alone.
     #[arg(long, value_name = "FILE")]
     config: Option<PathBuf>,
-    /// The user for whom rules are asked.
+    /// The user that the rules are matched against.
     #[arg(long, default_value = "web")]
     user: String,
-    /// The database for which rules are asked.
+    /// The database that the rules are matched against.
     #[arg(long, default_value = "orders")]
     database: String,
-    /// Statements, one JSON object {"sql":"..."} a line; `-` is standard input.
+    /// A file of statements, one JSON object {"sql":"..."} per line; `-` is standard input.
     #[arg(long, value_name = "FILE", conflicts_with = "statement")]
     file: Option<PathBuf>,
-    /// One statement; read from standard input where neither it nor --file is given.
+    /// One statement; without it and --file, one statement is read from standard input.
     #[arg(value_name = "STATEMENT")]
     statement: Option<String>,
 }
 
-/// From here on what the program logs is written so.
+/// Starts logging to standard error.
 pub fn start_log(format: LogFormat, level: LogLevel) {
     let level = match level {
         LogLevel::Info => tracing::Level::INFO,
@@ -110,6 +110,7 @@
     }
 }
 
+/// Prints errors and notes to standard error.
 fn print_findings(findings: &Findings) {
     for line in &findings.errors {
         eprintln!("error: {line}");
@@ -120,6 +121,7 @@
 }
 
 impl Check {
+    /// Validates the operator's file or prints its schema; returns the exit code.
     pub fn run(&self) -> ExitCode {
         if self.schema {
             let schema = schemars::schema_for!(File);
@@ -137,19 +139,19 @@
         let Some(path) = &self.file else { return ExitCode::from(2) };
         let platform = match self.platform.as_deref().map(Config::from_file).transpose() {
             Ok(platform) => platform,
-            Err(what) => {
-                eprintln!("sillfold: {what}");
+            Err(e) => {
+                eprintln!("sillfold: {e}");
                 return ExitCode::from(2);
             }
         };
-        let known = platform.map(|p| classes(&p.settings, &p.program_settings.class_names));
-        let (file, findings) = File::load(path, known.as_ref());
+        let platform_classes = platform.map(|p| classes(&p.settings, &p.program_settings.class_names));
+        let (file, findings) = File::load(path, platform_classes.as_ref());
         print_findings(&findings);
         match file {
             Some(file) => {
-                let rules = file.statements.rules.len();
-                let on = if file.statements.enabled { "on" } else { "off" };
-                println!("{}: sound; plain statements are {on}, {rules} rules", path.display());
+                let rule_count = file.statements.rules.len();
+                let on_or_off = if file.statements.enabled { "on" } else { "off" };
+                println!("{}: sound; plain statements are {on_or_off}, {rule_count} rules", path.display());
                 ExitCode::SUCCESS
             }
             None => ExitCode::from(2),
@@ -157,21 +159,27 @@
     }
 }
 
-/// A line of the file.
+/// A line of the file of statements.
 #[derive(Deserialize)]
-struct Line {
+struct InputLine {
     sql: String,
 }
 
-/// What is told of one text.
+/// The explanation of one statement. The field names are the keys of the JSON output.
 #[derive(Serialize)]
-struct Told<'a> {
+struct Explanation<'a> {
     effect: &'a str,
+    /// Where the statement is routed.
     target: &'a str,
+    /// The fingerprint of the statement's shape, in hexadecimal.
     shape: String,
+    /// The number of statements in the text.
     statements: usize,
+    /// The expected service time, in microseconds.
     cost_us: u64,
+    /// Whether the shape was in the cache.
     cached: bool,
+    /// The reason for the effect, or for a refusal.
     why: String,
     #[serde(skip_serializing_if = "Option::is_none")]
     rule: Option<&'a str>,
@@ -182,6 +190,7 @@
 }
 
 impl Explain {
+    /// Explains the statements; returns the exit code.
     pub fn run(&self) -> ExitCode {
         let mut options = Options::default();
         if let Some(path) = &self.config {
@@ -192,14 +201,14 @@
                 None => return ExitCode::from(2),
             }
         }
-        let mut desk = StatementRouter::new(options);
-        match self.explain(&mut desk, &mut BufWriter::new(io::stdout().lock())) {
+        let mut router = StatementRouter::new(options);
+        match self.explain(&mut router, &mut BufWriter::new(io::stdout().lock())) {
             Ok(0) => ExitCode::SUCCESS,
-            Ok(bad) => {
-                eprintln!("sillfold: {bad} bad lines");
+            Ok(invalid_lines) => {
+                eprintln!("sillfold: {invalid_lines} bad lines");
                 ExitCode::FAILURE
             }
-            // Whoever reads the output has seen enough.
+            // The reader of the output closed it early, for example `head`.
             Err(e) if e.kind() == io::ErrorKind::BrokenPipe => ExitCode::SUCCESS,
             Err(e) => {
                 eprintln!("sillfold: {e}");
@@ -208,8 +217,8 @@
         }
     }
 
-    /// Explains all statements in order; returns how many lines were bad.
-    fn explain(&self, desk: &mut StatementRouter, out: &mut impl Write) -> io::Result<usize> {
+    /// Explains all statements in order; returns the number of invalid lines.
+    fn explain(&self, router: &mut StatementRouter, out: &mut impl Write) -> io::Result<usize> {
         let Some(file) = &self.file else {
             let mut text = Vec::new();
             match &self.statement {
@@ -219,7 +228,7 @@
             if text.len() as u64 > MAX_LINE_BYTES {
                 return Err(io::Error::other(format!("a statement of over {MAX_LINE_BYTES} bytes")));
             }
-            self.one(desk, &text, out)?;
+            self.explain_one(router, &text, out)?;
             out.flush()?;
             return Ok(0);
         };
@@ -231,60 +240,65 @@
                 opened.map_err(|e| io::Error::new(e.kind(), format!("{}: {e}", file.display())))?,
             ))
         };
-        let (mut bad, mut line) = (0, Vec::new());
+        let mut invalid_lines = 0;
+        let mut line = Vec::new();
         for number in 1.. {
             line.clear();
             if (&mut input).take(MAX_LINE_BYTES).read_until(b'\n', &mut line)? == 0 {
                 break;
             }
-            let long = line.len() as u64 >= MAX_LINE_BYTES && !line.ends_with(b"\n");
-            if long {
-                // The rest of it is no line of its own.
+            let too_long = line.len() as u64 >= MAX_LINE_BYTES && !line.ends_with(b"\n");
+            if too_long {
+                // Skips the rest of the line.
                 while !input.fill_buf()?.is_empty() {
                     let part = input.fill_buf()?;
-                    let (n, end) = match part.iter().position(|&b| b == b'\n') {
-                        Some(at) => (at + 1, true),
+                    let (skipped, at_line_end) = match part.iter().position(|&b| b == b'\n') {
+                        Some(newline) => (newline + 1, true),
                         None => (part.len(), false),
                     };
-                    input.consume(n);
-                    if end {
+                    input.consume(skipped);
+                    if at_line_end {
                         break;
                     }
                 }
             }
             let text = line.strip_suffix(b"\n").unwrap_or(&line);
-            if text.iter().all(u8::is_ascii_whitespace) && !long {
+            if text.iter().all(u8::is_ascii_whitespace) && !too_long {
                 continue;
             }
-            let parsed = match serde_json::from_slice::<Line>(text) {
-                _ if long => Err(format!("over {MAX_LINE_BYTES} bytes")),
+            let parsed = match serde_json::from_slice::<InputLine>(text) {
+                _ if too_long => Err(format!("over {MAX_LINE_BYTES} bytes")),
                 Ok(parsed) => Ok(parsed),
                 Err(e) => Err(e.to_string()),
             };
             match parsed {
-                Ok(Line { sql }) => self.one(desk, sql.as_bytes(), out)?,
+                Ok(InputLine { sql }) => self.explain_one(router, sql.as_bytes(), out)?,
                 Err(e) => {
-                    // In the order of the lines, whatever both are written to.
+                    // Keeps the order of the lines where output and errors go to the same place.
                     out.flush()?;
                     eprintln!("line {number}: {e}");
-                    bad += 1;
+                    invalid_lines += 1;
                 }
             }
         }
         out.flush()?;
-        Ok(bad)
+        Ok(invalid_lines)
     }
 
-    fn one(&self, desk: &mut StatementRouter, bytes: &[u8], out: &mut impl Write) -> io::Result<()> {
+    /// Explains one statement.
+    fn explain_one(
+        &self, router: &mut StatementRouter, bytes: &[u8], out: &mut impl Write,
+    ) -> io::Result<()> {
         let read = match std::str::from_utf8(bytes) {
-            Ok(text) => desk.read(text).map(|read| (read, text)),
+            Ok(text) => router.read(text).map(|read| (read, text)),
             Err(_) => Err(sillfold_route::sql::ReadError::Encoding),
         };
-        let (read, text) = match read {
+        let (statement, text) = match read {
             Ok(read) => read,
             Err(e) => {
-                let (shape, why) = (format!("{:016x}", 0), e.message().to_string());
-                let told = Told {
+                let shape = format!("{:016x}", 0);
+                let why = e.message().to_string();
+                let explanation = Explanation {
                     effect: "invalid",
                     target: Target::Refuse.name(),
                     shape,
@@ -296,48 +310,52 @@
                     class: None,
                     group: None,
                 };
-                return self.print(&told, out);
+                return self.print(&explanation, out);
             }
         };
-        let (mut target, mut why) = (read.target(), read.reason.to_string());
-        let mut given = None;
+        let mut target = statement.target();
+        let mut why = statement.reason.to_string();
+        let mut route = None;
         if self.config.is_some() {
-            match desk.route(&read, text, &self.user, &self.database) {
-                Ok(route) => {
-                    target = if route.writes { Target::Primary } else { Target::Replica };
-                    given = Some(route);
+            match router.route(&statement, text, &self.user, &self.database) {
+                Ok(found) => {
+                    target = if found.writes { Target::Primary } else { Target::Replica };
+                    route = Some(found);
                 }
-                Err(RouteError::NotSupported(what) | RouteError::NoRoute(what)) => {
-                    (target, why) = (Target::Refuse, what);
+                Err(RouteError::NotSupported(reason) | RouteError::NoRoute(reason)) => {
+                    (target, why) = (Target::Refuse, reason);
                 }
             }
         }
-        let rule = given.as_ref().and_then(|g: &Route| desk.rules().get(g.rule_index));
-        let told = Told {
-            effect: read.effect.name(),
+        let rule = route.as_ref().and_then(|route: &Route| router.rules().get(route.rule_index));
+        let explanation = Explanation {
+            effect: statement.effect.name(),
             target: target.name(),
-            shape: format!("{:016x}", read.shape.fingerprint()),
-            statements: read.statement_count,
-            cost_us: read.estimate.p50_us,
-            cached: read.cached,
+            shape: format!("{:016x}", statement.shape.fingerprint()),
+            statements: statement.statement_count,
+            cost_us: statement.estimate.p50_us,
+            cached: statement.cached,
             why,
             rule: rule.map(|r| r.name.as_str()),
             class: rule.map(|r| r.class.as_str()),
-            group: given.as_ref().map(|g| g.group),
+            group: route.as_ref().map(|route| route.group),
         };
-        self.print(&told, out)
+        self.print(&explanation, out)
     }
 
-    fn print(&self, told: &Told, out: &mut impl Write) -> io::Result<()> {
+    /// Prints an explanation as one line, of JSON or of text.
+    fn print(&self, explanation: &Explanation, out: &mut impl Write) -> io::Result<()> {
         if self.json {
-            serde_json::to_writer(&mut *out, told)?;
+            serde_json::to_writer(&mut *out, explanation)?;
             return writeln!(out);
         }
-        write!(out, "{:<8} {:<8} {} ", told.effect, told.target, told.shape)?;
-        write!(out, "{} statements, about {} us", told.statements, told.cost_us)?;
-        if let (Some(rule), Some(class), Some(group)) = (told.rule, told.class, told.group) {
+        write!(out, "{:<8} {:<8} {} ", explanation.effect, explanation.target, explanation.shape)?;
+        write!(out, "{} statements, about {} us", explanation.statements, explanation.cost_us)?;
+        if let (Some(rule), Some(class), Some(group)) =
+            (explanation.rule, explanation.class, explanation.group)
+        {
             write!(out, ", rule {rule:?} gives {class}, group {group}")?;
         }
-        writeln!(out, ": {}", told.why)
+        writeln!(out, ": {}", explanation.why)
     }
 }
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -267,7 +267,7 @@
 
 impl BandConf {
     /// The range in microseconds.
-    fn band(&self) -> DurationRange {
+    fn range(&self) -> DurationRange {
         let us = |ms: f64| (ms * 1e3).round() as u64;
         DurationRange { from_us: us(self.from), below_us: self.below.map_or(u64::MAX, us) }
     }
@@ -281,8 +281,8 @@
             reads: self.effects.contains(&EffectConf::Read),
             writes: self.effects.contains(&EffectConf::Write),
             tables: self.tables.iter().map(|t| TablePattern::new(t)).collect(),
-            cost: self.cost_ms.band(),
-            tail: self.tail_ms.band(),
+            cost: self.cost_ms.range(),
+            tail: self.tail_ms.range(),
             users: self.users.clone(),
             databases: self.databases.clone(),
             class: self.class.clone(),
