--- a/tests/sizes.rs
+++ b/tests/sizes.rs
@@ -1,6 +1,6 @@
-//! Sizes: 350 proxies and 700 servers, and 1,024 of each. Nothing is cut off in silence: every server of a list is
-//! known and routable, every proxy is heard and spoken to, and the process stays small. `docs/sizes.md` is the table of
-//! what is bounded. Pure routers draw their lots from seed 1, the program from `1f`.
+//! Large deployments: 350 proxies with 700 hosts, and 1,024 of each. Nothing is silently cut off: every host of a list is
+//! known and routable, datagrams from and to every proxy arrive, and the process stays small. `docs/sizes.md` lists the
+//! limits. Routers without a program draw their random numbers from seed 1, the program from seed `1f`.
 
 mod support;
 
@@ -11,22 +11,27 @@
 use std::time::{Duration, Instant};
 use support::{ManyHosts, PATIENCE, Proxy, add_console, unix_ms};
 
-/// Proxies and servers of the deployments that are looked at.
+/// The numbers of proxies and hosts of the tested deployments.
 const DEPLOYMENTS: [(u32, u32); 2] = [(350, 700), (1_024, 1_024)];
-const MOST_PROXIES: usize = 1_024;
-const MOST_SERVERS: usize = 1_024;
-/// A list with servers that left it lately.
-const LONG_LIST: usize = 3_700;
+/// The proxies of the largest deployment.
+const MAX_PROXIES: usize = 1_024;
+/// The hosts of the largest deployment.
+const MAX_HOSTS: usize = 1_024;
+/// The hosts of a list that still holds recently removed ones.
+const LONG_LIST_HOSTS: usize = 3_700;
+/// The hosts of a group.
 const MEMBERS: u32 = 5;
-/// A process has to stay under this.
-const MOST_MEMORY_KB: u64 = 48 * 1024;
+/// The memory limit of a process.
+const MAX_MEMORY_KB: u64 = 48 * 1024;
 
+/// A millisecond.
 const MS: Micros = 1_000;
-const T0: Micros = 1_000_000_000;
-/// The module's step of news to peers.
-const PERIOD: Micros = 100 * MS;
+/// The time at which a model starts.
+const START_US: Micros = 1_000_000_000;
+/// The interval at which the decision module sends updates to peers.
+const BROADCAST_INTERVAL_US: Micros = 100 * MS;
 
-// ---- Pure routers ----
+// ---- Routers without a program ----
 
 fn settings(proxies: u32) -> Settings {
     let class = |access, idempotency| Class {
@@ -72,45 +77,48 @@
     }
 }
 
-/// A router and what it was told so far.
+/// A router with a simulated clock.
 struct Model {
     router: Router,
     now: Micros,
-    requests: RequestId,
+    /// The id of the last request.
+    last_request: RequestId,
 }
 
 impl Model {
-    /// One of so many, with so many servers in groups of this size.
+    /// One of `proxies` proxies, with a list of `hosts` hosts in groups of `members`.
     fn start(proxies: u32, hosts: u32, members: u32) -> Model {
-        let mut model = Model { router: Router::new(settings(proxies), 1), now: T0, requests: 0 };
+        let mut model = Model { router: Router::new(settings(proxies), 1), now: START_US, last_request: 0 };
         let entries = (0..hosts).map(|host| entry(host, members, HostStatus::Ready)).collect();
-        model.tell(Event::List { kind: ListUpdate::Full, entries });
+        model.handle(Event::List { kind: ListUpdate::Full, entries });
         model
     }
 
-    fn tell(&mut self, event: Event) -> Vec<Action> {
+    /// Handles an event; returns the router's actions.
+    fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.router.handle(self.now, &[event], &mut actions);
         actions
     }
 
-    fn arrival(&mut self, class: u8, group: GroupId) -> RequestInfo {
-        self.requests += 1;
+    /// A new request, which its client gives up after two seconds.
+    fn new_request(&mut self, class: u8, group: GroupId) -> RequestInfo {
+        self.last_request += 1;
         let give_up_at = self.now + 2_000 * MS;
-        RequestInfo { id: self.requests, class, group, give_up_at, ..RequestInfo::default() }
+        RequestInfo { id: self.last_request, class, group, give_up_at, ..RequestInfo::default() }
     }
 
-    /// Where a read of this group goes; it is answered there.
-    fn read_goes_to(&mut self, group: GroupId) -> Option<HostId> {
-        let arrival = self.arrival(0, group);
-        let id = arrival.id;
-        let actions = self.tell(Event::Request(arrival));
+    /// Sends a read to this group and answers it; returns the host it was sent to.
+    fn route_read(&mut self, group: GroupId) -> Option<HostId> {
+        let request = self.new_request(0, group);
+        let id = request.id;
+        let actions = self.handle(Event::Request(request));
         let host = actions.iter().find_map(|action| match action {
             Action::Send { host, .. } => Some(*host),
             _ => None,
         })?;
         self.now += MS;
-        self.tell(Event::Outcome(AttemptResult {
+        self.handle(Event::Outcome(AttemptResult {
             id,
             attempt: 0,
             host,
@@ -124,6 +132,7 @@
     }
 }
 
+/// The list's entry of a host in groups of `members`; the first host of each group is the primary.
 fn entry(host: HostId, members: u32, state: HostStatus) -> HostEntry {
     HostEntry {
         host,
@@ -137,9 +146,9 @@
     }
 }
 
-/// Each server in turn is the only one of its group that takes work.
+/// Each host in turn is the only one of its group that isn't draining.
 #[test]
-fn every_server_of_a_large_list_is_routable() {
+fn every_host_of_a_large_list_is_routable() {
     for (proxies, hosts) in DEPLOYMENTS {
         let mut model = Model::start(proxies, hosts, MEMBERS);
         assert_eq!(model.router.host_counts(), (hosts as usize, 0));
@@ -148,95 +157,97 @@
             let members = group * MEMBERS..((group + 1) * MEMBERS).min(hosts);
             let state = |member| if member == host { HostStatus::Ready } else { HostStatus::Draining };
             let entries = members.map(|member| entry(member, MEMBERS, state(member))).collect();
-            model.tell(Event::List { kind: ListUpdate::Delta, entries });
-            assert_eq!(model.read_goes_to(group), Some(host), "{proxies} proxies, {hosts} servers");
+            model.handle(Event::List { kind: ListUpdate::Delta, entries });
+            assert_eq!(model.route_read(group), Some(host), "{proxies} proxies, {hosts} hosts");
         }
     }
 }
 
-/// The same, where all are members of one group.
+/// The same with all hosts in one group.
 #[test]
-fn every_server_of_a_large_group_is_routable() {
+fn every_host_of_a_large_group_is_routable() {
     for (proxies, hosts) in DEPLOYMENTS {
         let mut model = Model::start(proxies, hosts, hosts);
         let mut routed = BTreeSet::new();
         for _ in 0..hosts {
-            let host = model.read_goes_to(0).expect("one takes it");
+            let host = model.route_read(0).expect("a host is ready");
             assert!(routed.insert(host), "{host} drains");
             let entries = [entry(host, hosts, HostStatus::Draining)].into();
-            model.tell(Event::List { kind: ListUpdate::Delta, entries });
+            model.handle(Event::List { kind: ListUpdate::Delta, entries });
         }
-        assert_eq!(model.read_goes_to(0), None);
+        assert_eq!(model.route_read(0), None);
     }
 }
 
-/// Requests pay for what is said; those of a class that nobody knows pay too, and cost the model little.
+/// The router sends updates in proportion to its requests. Requests of an unknown class count too, and are cheap for
+/// the model.
 #[test]
-fn the_position_of_every_server_is_told_to_the_other_proxies() {
+fn the_position_of_every_host_is_broadcast() {
     for (proxies, hosts) in DEPLOYMENTS {
         let mut model = Model::start(proxies, hosts, MEMBERS);
         for host in 0..hosts {
             let report = HostReport { position: Some(model.now - MS), ..HostReport::default() };
-            model.tell(Event::Probed { host, ok: true, report });
+            model.handle(Event::Probed { host, ok: true, report });
         }
-        let (mut told, mut longest) = (BTreeSet::new(), 0);
+        let mut broadcast_hosts = BTreeSet::new();
+        let mut longest = 0;
         for _ in 0..hosts {
-            model.now += PERIOD;
+            model.now += BROADCAST_INTERVAL_US;
             for _ in 0..proxies * 12 {
-                let arrival = model.arrival(u8::MAX, 0);
-                for action in model.tell(Event::Request(arrival)) {
-                    let Action::Broadcast(news) = action else { continue };
-                    longest = longest.max(datagram_length(&news));
-                    told.extend(news.iter().filter_map(|news| match news {
+                let request = model.new_request(u8::MAX, 0);
+                for action in model.handle(Event::Request(request)) {
+                    let Action::Broadcast(updates) = action else { continue };
+                    longest = longest.max(datagram_length(&updates));
+                    broadcast_hosts.extend(updates.iter().filter_map(|update| match update {
                         PeerUpdate::HostPosition { host, .. } => Some(*host),
                         PeerUpdate::TenantRate { .. } => None,
                     }));
                 }
             }
-            if told.len() == hosts as usize {
+            if broadcast_hosts.len() == hosts as usize {
                 break;
             }
         }
-        assert_eq!(told.len(), hosts as usize, "{proxies} proxies");
-        println!("{proxies} proxies, {hosts} servers: the longest datagram has {longest} bytes");
+        assert_eq!(broadcast_hosts.len(), hosts as usize, "{proxies} proxies");
+        println!("{proxies} proxies, {hosts} hosts: the longest datagram has {longest} bytes");
     }
 }
 
-/// The length of the one datagram that holds all of it.
-fn datagram_length(news: &[PeerUpdate]) -> usize {
-    let shared = |host| Some(u32::MAX - host);
-    let items: Vec<Item> = news.iter().filter_map(|&news| talk::to_item(news, shared)).collect();
+/// The length of one datagram with all updates. Fails if they do not fit.
+fn datagram_length(updates: &[PeerUpdate]) -> usize {
+    let name_hash = |host| Some(u32::MAX - host);
+    let items: Vec<Item> = updates.iter().filter_map(|&update| talk::to_item(update, name_hash)).collect();
     let sender = Sender { ordinal: u16::MAX, incarnation: unix_ms(), sequence: u32::MAX };
     let (datagram, packed) = Datagram::pack(sender, &items);
-    assert_eq!(packed, news.len());
+    assert_eq!(packed, updates.len());
     datagram.bytes().len()
 }
 
-// ---- The talk, pure ----
+// ---- Datagrams without a program ----
 
-/// A proxy says something with each of the module's periods at most.
+/// Each proxy sends at most one datagram per broadcast interval.
 #[test]
-fn the_words_of_every_proxy_are_read_however_many_there_are() {
+fn the_datagrams_of_every_proxy_are_read() {
     for (proxies, _) in DEPLOYMENTS {
-        let mut doors: Vec<PeerChannel> =
+        let mut peers: Vec<PeerChannel> =
             (1..proxies).map(|n| PeerChannel::new(n as u16, proxies as usize, 1_000)).collect();
         let mut own = PeerChannel::new(0, proxies as usize, 1_000);
-        let periods = 1_000_000 / PERIOD;
-        for period in 0..periods {
-            let now = T0 + period * PERIOD;
-            for (n, door) in (1..).zip(&mut doors) {
-                let (datagram, _) = door.pack(&[Item::TenantRate { tenant: 0, tenths_per_s: 5 }]);
-                assert_eq!(own.reserve_read(now), Ok(()), "period {period}, proxy {n} of {proxies}");
+        let intervals = 1_000_000 / BROADCAST_INTERVAL_US;
+        for interval in 0..intervals {
+            let now = START_US + interval * BROADCAST_INTERVAL_US;
+            for (n, peer) in (1..).zip(&mut peers) {
+                let (datagram, _) = peer.pack(&[Item::TenantRate { tenant: 0, tenths_per_s: 5 }]);
+                assert_eq!(own.reserve_read(now), Ok(()), "interval {interval}, proxy {n} of {proxies}");
                 assert!(own.receive(Some(n), datagram.bytes(), now / MS).is_ok());
             }
         }
-        assert_eq!(own.counters.heard, periods * u64::from(proxies - 1));
+        assert_eq!(own.counters.heard, intervals * u64::from(proxies - 1));
     }
 }
 
 // ---- The program ----
 
-/// One entry of a list, in a single line or indented.
+/// An entry of the discovery service's list.
 fn listed(number: usize, group: usize, address: SocketAddr) -> serde_json::Value {
     serde_json::json!({
         "name": format!("replica-{number:06}.storage.internal.example"),
@@ -255,53 +266,54 @@
     serde_json::json!({ "index": index, "snapshot": true, "endpoints": entries })
 }
 
-/// Waits until the program knows so many hosts.
-fn knows_hosts(proxy: &Proxy, count: usize) {
-    let begun = Instant::now();
+/// Waits until the program's list has this number of hosts.
+fn wait_for_hosts(proxy: &Proxy, count: usize) {
+    let started = Instant::now();
     while proxy.figures()["hosts_listed"].as_u64() != Some(count as u64) {
-        assert!(begun.elapsed() < PATIENCE, "{} of {count}", proxy.figures()["hosts_listed"]);
+        assert!(started.elapsed() < PATIENCE, "{} of {count}", proxy.figures()["hosts_listed"]);
     }
 }
 
-fn is_small(proxy: &Proxy, what: &str) {
+/// Checks that the process stays under its memory limit.
+fn assert_small(proxy: &Proxy, situation: &str) {
     let memory = proxy.memory_kb();
-    println!("{what}: {memory} KB");
-    assert!(memory < MOST_MEMORY_KB, "{what}: {memory} KB");
+    println!("{situation}: {memory} KB");
+    assert!(memory < MAX_MEMORY_KB, "{situation}: {memory} KB");
 }
 
 #[test]
-fn a_long_list_is_taken_whole_in_one_line_and_indented() {
-    let nobody = "127.0.0.1:9".parse().expect("an address");
+fn a_long_list_is_accepted_in_one_line_and_indented() {
+    let unused_address = "127.0.0.1:9".parse().expect("an address");
     let proxy = Proxy::with_console(&[], 1024);
     proxy.agent.asked();
-    let sizes = [350, 700, MOST_SERVERS, LONG_LIST].into_iter().enumerate();
+    let sizes = [350, 700, MAX_HOSTS, LONG_LIST_HOSTS].into_iter().enumerate();
     for (step, count) in sizes {
-        let entries: Vec<_> = (0..count).map(|n| listed(n, n / MEMBERS as usize, nobody)).collect();
+        let entries: Vec<_> = (0..count).map(|n| listed(n, n / MEMBERS as usize, unused_address)).collect();
         let index = 100 + 2 * step;
         proxy.agent.line(&list(index, entries.clone()).to_string());
-        knows_hosts(&proxy, count);
-        // Another number of hosts, so that it shows that this one was taken too.
+        wait_for_hosts(&proxy, count);
+        // Has one host less, so that the test sees whether this list is accepted too.
         let indented = serde_json::to_string_pretty(&list(index + 1, entries[..count - 1].to_vec()));
         proxy.agent.line(&indented.expect("JSON"));
-        knows_hosts(&proxy, count - 1);
+        wait_for_hosts(&proxy, count - 1);
         proxy.agent.end_watch();
         assert!(proxy.agent.asked().contains(&format!("index={} ", index + 1)));
-        is_small(&proxy, &format!("a list of {count} hosts, in one line and indented"));
+        assert_small(&proxy, &format!("a list of {count} hosts, in one line and indented"));
     }
 }
 
-/// Under its usual limit of descriptors, which is lower than the number of hosts.
+/// The limit of descriptors leaves fewer connections to hosts than there are hosts.
 #[test]
 fn every_host_of_a_large_list_is_reached() {
-    let hosts = ManyHosts::start(MOST_SERVERS);
+    let hosts = ManyHosts::start(MAX_HOSTS);
     let proxy = Proxy::with_console(&[], 1024);
     proxy.agent.asked();
     let entries = hosts.addresses.iter().enumerate().map(|(n, &address)| listed(n, n, address)).collect();
     proxy.agent.line(&list(42, entries).to_string());
-    knows_hosts(&proxy, MOST_SERVERS);
+    wait_for_hosts(&proxy, MAX_HOSTS);
     let mut client = proxy.client();
     for round in 0..2 {
-        for group in 0..MOST_SERVERS {
+        for group in 0..MAX_HOSTS {
             let id = format!("{round}-{group}");
             let statement =
                 support::read(&id, "history", 9_000).replace("cluster=3", &format!("cluster={group}"));
@@ -309,18 +321,19 @@
             assert_eq!(answer.value, Some(group.to_string()), "{}", answer.message);
         }
     }
-    is_small(&proxy, &format!("{MOST_SERVERS} hosts asked twice each"));
+    assert_small(&proxy, &format!("{MAX_HOSTS} hosts asked twice each"));
 }
 
-/// The program as the first of many proxies, the others of which are sockets of the test.
+/// The program as the first of many proxies; the others are sockets of the test.
 struct Fleet {
     proxy: Proxy,
-    /// Where the program is spoken to.
+    /// The address on which the program receives datagrams.
     listen: SocketAddr,
     others: Vec<UdpSocket>,
 }
 
-fn among(proxies: usize, hosts: &[&support::Host], change: impl Fn(String) -> String) -> Fleet {
+/// Starts the program with these hosts as the first of `proxies` proxies; `change` edits its configuration.
+fn start_fleet(proxies: usize, hosts: &[&support::Host], change: impl Fn(String) -> String) -> Fleet {
     let bind = |_| UdpSocket::bind("127.0.0.1:0").expect("a loopback port");
     let others: Vec<UdpSocket> = (1..proxies).map(bind).collect();
     let listen = SocketAddr::new(support::address(), 20_500);
@@ -336,11 +349,11 @@
     Fleet { proxy, listen, others }
 }
 
-/// They speak at the same moment, while the program stands still; and more often in a second than 2,000 times.
+/// All peers send at the same moment, while the program is suspended, and together more than 2,000 datagrams per second.
 #[test]
-fn every_other_proxy_is_heard_also_where_all_speak_at_once() {
+fn datagrams_of_all_peers_at_once_are_received() {
     for (proxies, _) in DEPLOYMENTS {
-        let Fleet { proxy, listen, others } = among(proxies as usize, &[], |config| config);
+        let Fleet { proxy, listen, others } = start_fleet(proxies as usize, &[], |config| config);
         let incarnation = unix_ms();
         for round in 1..=3 {
             proxy.freeze();
@@ -351,37 +364,37 @@
             }
             proxy.thaw();
             let expected = u64::from(round) * others.len() as u64;
-            let begun = Instant::now();
+            let started = Instant::now();
             while proxy.figures()["peers"]["heard"].as_u64() != Some(expected) {
                 let figures = proxy.figures();
-                assert!(begun.elapsed() < PATIENCE / 4, "round {round}: {expected}, {}", figures["peers"]);
+                assert!(started.elapsed() < PATIENCE / 4, "round {round}: {expected}, {}", figures["peers"]);
             }
         }
         assert_eq!(proxy.figures()["peers"]["floods"].as_u64(), Some(0));
-        is_small(&proxy, &format!("{proxies} proxies heard three times each"));
+        assert_small(&proxy, &format!("{proxies} proxies heard three times each"));
     }
 }
 
-/// Where its host stands, which every answer tells.
+/// The program broadcasts the position of its host, which each answer carries.
 #[test]
-fn every_other_proxy_is_spoken_to() {
+fn every_peer_receives_datagrams() {
     let state = support::HostState {
         value: "v",
         role: support::HostRole::Writer,
         position: support::HostPosition::Now,
     };
     let host = support::ScriptedHost::start(state);
-    let Fleet { proxy, others, .. } = among(MOST_PROXIES, &[&host.host], |config| {
+    let Fleet { proxy, others, .. } = start_fleet(MAX_PROXIES, &[&host.host], |config| {
         config.replace("\"positions\":false", "\"positions\":true")
     });
     let mut client = proxy.client();
-    let begun = Instant::now();
+    let started = Instant::now();
     for n in 0.. {
-        client.ask(&support::read(&format!("pays-{n}"), "history", 9_000));
+        client.ask(&support::read(&format!("request-{n}"), "history", 9_000));
         if n % 100 == 0 && proxy.figures()["peers"]["sent"].as_u64() > Some(0) {
             break;
         }
-        assert!(begun.elapsed() < PATIENCE, "{}", proxy.figures()["peers"]);
+        assert!(started.elapsed() < PATIENCE, "{}", proxy.figures()["peers"]);
     }
     for (n, socket) in (1..).zip(&others) {
         socket.set_read_timeout(Some(Duration::from_secs(5))).expect("set");
@@ -392,30 +405,37 @@
     }
 }
 
-/// More of them than two datagrams hold.
+/// Two datagrams cannot hold the rates of all tenants.
 #[test]
-fn what_every_tenant_asks_for_is_said_however_many_there_are() {
+fn the_rate_of_every_tenant_is_broadcast() {
     const TENANTS: usize = 400;
     let host = support::Host::start(|_, _| support::Reply::Row("v"));
     let tenants: Vec<String> = (0..TENANTS).map(|n| format!(r#"{{"name":"t{n}","quotaRps":5}}"#)).collect();
-    let Fleet { proxy, others, .. } = among(2, &[&host], |config| {
+    let Fleet { proxy, others, .. } = start_fleet(2, &[&host], |config| {
         config.replace("\"azs\":", &format!("\"tenants\":[{}],\"azs\":", tenants.join(",")))
     });
     others[0].set_read_timeout(Some(Duration::from_millis(1))).expect("set");
-    let (mut client, mut told, begun) = (proxy.client(), BTreeSet::new(), Instant::now());
+    let mut client = proxy.client();
+    let mut received_tenants = BTreeSet::new();
+    let started = Instant::now();
     for n in 0.. {
-        client.ask(&support::read(&format!("pays-{n}"), "history", 9_000));
+        client.ask(&support::read(&format!("request-{n}"), "history", 9_000));
         let mut bytes = [0; 512];
         while let Ok(length) = others[0].recv(&mut bytes) {
             let message = Message::read(&bytes[..length]).expect("a datagram");
-            told.extend(message.items.iter().filter_map(|item| match item {
+            received_tenants.extend(message.items.iter().filter_map(|item| match item {
                 Item::TenantRate { tenant, .. } => Some(*tenant),
                 Item::HostPosition { .. } => None,
             }));
         }
-        if told.len() == TENANTS {
+        if received_tenants.len() == TENANTS {
             return;
         }
-        assert!(begun.elapsed() < PATIENCE / 2, "{} of {TENANTS}, the last is {:?}", told.len(), told.last());
+        assert!(
+            started.elapsed() < PATIENCE / 2,
+            "{} of {TENANTS}, the last is {:?}",
+            received_tenants.len(),
+            received_tenants.last()
+        );
     }
 }
--- a/tests/talk.rs
+++ b/tests/talk.rs
@@ -1,5 +1,5 @@
-//! Proxies that talk: the real program, with the test as one of its peers, and two of it with each other. The test's
-//! own words are made by the same crate, since their form is tested there.
+//! The exchange of datagrams between proxies: the real program with the test as one of its peers, and two programs with
+//! each other. The test encodes its datagrams with the same crate, whose own tests cover the format.
 
 mod support;
 
@@ -12,8 +12,8 @@
     SystemTime::now().duration_since(UNIX_EPOCH).expect("a time").as_millis() as u64
 }
 
-/// A host that tells where it stands when it is probed, this far behind.
-fn tells(behind_ms: u64) -> Host {
+/// A host that reports its position when it is probed: this far behind the present, and primary.
+fn host_with_position(behind_ms: u64) -> Host {
     Host::start(move |_, text| match text {
         "SHOW usage" => {
             let x0 = (unix_ms() - behind_ms) as f64 / 1e3;
@@ -23,24 +23,24 @@
     })
 }
 
-/// A socket that passes for a peer.
-fn peer() -> UdpSocket {
+/// A socket that stands in for a peer.
+fn peer_socket() -> UdpSocket {
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a loopback port");
     socket.set_read_timeout(Some(PATIENCE)).expect("set");
     socket
 }
 
-fn at(socket: &UdpSocket) -> SocketAddr {
+fn address_of(socket: &UdpSocket) -> SocketAddr {
     socket.local_addr().expect("bound")
 }
 
-/// An address that nobody has now.
-fn free() -> SocketAddr {
-    at(&peer())
+/// An address that no socket is bound to.
+fn unused_address() -> SocketAddr {
+    address_of(&peer_socket())
 }
 
-/// The configuration of proxy `ordinal` of those that talk at these addresses.
-fn talking(config: String, ordinal: usize, each: &[SocketAddr]) -> String {
+/// The configuration of proxy `ordinal` of a fleet that exchanges datagrams at these addresses.
+fn with_peers(config: String, ordinal: usize, each: &[SocketAddr]) -> String {
     let listed: Vec<String> = each.iter().map(|a| format!("\"{a}\"")).collect();
     let keys = format!("{{\"peer_listen\":\"{}\",\"peers\":[{}],", each[ordinal], listed.join(","));
     config
@@ -52,93 +52,95 @@
         .replace("\"cancel\":true", "\"cancel\":true,\"mayProbe\":true,\"peerMessages\":true")
 }
 
+/// Starts proxy `ordinal` of the fleet at these addresses, with a console.
 fn start(host: &Host, ordinal: usize, each: &[SocketAddr]) -> Proxy {
     Proxy::start_with(&[host], 1024, |config| {
         let listen = config.split('"').nth(7).expect("the address").replace("20433", "20480");
-        talking(config.replacen('{', &format!("{{\"console\":\"{listen}\","), 1), ordinal, each)
+        with_peers(config.replacen('{', &format!("{{\"console\":\"{listen}\","), 1), ordinal, each)
     })
 }
 
-/// Waits until a figure of the talk is so.
-fn until(proxy: &Proxy, figure: &str, so: impl Fn(u64) -> bool) -> u64 {
-    let begun = Instant::now();
+/// Waits until a figure of the exchange meets the condition, and returns it.
+fn wait_for_figure(proxy: &Proxy, figure: &str, condition: impl Fn(u64) -> bool) -> u64 {
+    let started = Instant::now();
     loop {
         let value = proxy.figures()["peers"][figure].as_u64().expect("the figure is there");
-        if so(value) {
+        if condition(value) {
             return value;
         }
-        assert!(begun.elapsed() < PATIENCE, "{figure} is {value}");
+        assert!(started.elapsed() < PATIENCE, "{figure} is {value}");
     }
 }
 
 #[test]
-fn two_proxies_tell_each_other_where_a_host_stands() {
-    let (host, each) = (tells(20), [free(), free()]);
+fn two_proxies_exchange_the_position_of_a_host() {
+    let (host, each) = (host_with_position(20), [unused_address(), unused_address()]);
     let proxies = [start(&host, 0, &each), start(&host, 1, &each)];
     for proxy in &proxies {
         proxy.agent.line(&list(42, true, &[(&host, "SERVING")]));
     }
     let mut client = proxies[0].client();
-    let begun = Instant::now();
+    let started = Instant::now();
     for n in 0.. {
-        // Requests pay for the talk.
+        // The proxy sends datagrams in proportion to its requests.
         assert_eq!(client.ask(&read(&format!("t{n}"), "history", 9000)).value.as_deref(), Some("v"));
         if proxies[1].figures()["peers"]["heard"].as_u64() > Some(0) {
             break;
         }
-        assert!(begun.elapsed() < PATIENCE, "{}", proxies[1].figures());
+        assert!(started.elapsed() < PATIENCE, "{}", proxies[1].figures());
     }
     let figures = proxies[0].figures();
     let (sent, bytes) = (figures["peers"]["sent"].as_u64(), figures["peers"]["bytes"].as_u64());
     assert!(sent > Some(0) && bytes <= sent.map(|n| n * 256), "{figures}");
 }
 
-/// Strangers, nonsense, words of another version, too long ones and floods: each is counted, and a request is served
-/// beside them in the time it takes.
+/// Datagrams from unknown addresses, invalid, outdated and too long ones, and floods are counted, and do not delay a
+/// request.
 #[test]
-fn what_is_no_peers_word_costs_nothing_but_a_count() {
-    let (host, own, stranger) = (tells(20), peer(), peer());
-    let listen = free();
-    let proxy = start(&host, 0, &[listen, at(&own)]);
+fn dropped_datagrams_are_counted_and_do_not_delay_requests() {
+    let (host, own, stranger) = (host_with_position(20), peer_socket(), peer_socket());
+    let listen = unused_address();
+    let proxy = start(&host, 0, &[listen, address_of(&own)]);
     proxy.logged("talks with");
     let sender = Sender { ordinal: 1, incarnation: unix_ms(), sequence: 1 };
-    let (word, _) = Datagram::pack(sender, &[Item::TenantRate { tenant: 0, tenths_per_s: 5 }]);
-    stranger.send_to(word.bytes(), listen).expect("sent");
-    until(&proxy, "foreign", |n| n == 1);
-    own.send_to(word.bytes(), listen).expect("sent");
-    until(&proxy, "heard", |n| n == 1);
-    own.send_to(word.bytes(), listen).expect("sent");
-    until(&proxy, "repeated", |n| n == 1);
+    let (datagram, _) = Datagram::pack(sender, &[Item::TenantRate { tenant: 0, tenths_per_s: 5 }]);
+    stranger.send_to(datagram.bytes(), listen).expect("sent");
+    wait_for_figure(&proxy, "foreign", |n| n == 1);
+    own.send_to(datagram.bytes(), listen).expect("sent");
+    wait_for_figure(&proxy, "heard", |n| n == 1);
+    own.send_to(datagram.bytes(), listen).expect("sent");
+    wait_for_figure(&proxy, "repeated", |n| n == 1);
     for bytes in [&b""[..], b"nonsense", &[0; 256], &[1; 257], &[255; 60_000]] {
         own.send_to(bytes, listen).expect("sent");
     }
-    until(&proxy, "unreadable", |n| n == 5);
+    wait_for_figure(&proxy, "unreadable", |n| n == 5);
     let older = Sender { incarnation: sender.incarnation - 1, ..sender };
     own.send_to(Datagram::pack(older, &[]).0.bytes(), listen).expect("sent");
-    until(&proxy, "outdated", |n| n == 1);
-    // More in a moment than is read in a second.
+    wait_for_figure(&proxy, "outdated", |n| n == 1);
+    // Sends more datagrams at once than are read in a second.
     for _ in 0..20_000 {
         let _ = stranger.send_to(&[7; 256], listen);
     }
-    let (mut client, asked) = (proxy.client(), Instant::now());
+    let mut client = proxy.client();
+    let asked = Instant::now();
     assert_eq!(client.ask(&read("beside", "history", 9000)).value.as_deref(), Some("v"));
     assert!(asked.elapsed() < Duration::from_secs(2), "{:?}", asked.elapsed());
     let figures = proxy.figures();
     assert_eq!((&figures["peers"]["heard"], figures["inflight"].as_u64()), (&1.into(), Some(0)));
 }
 
-/// The test, as the peer, is told positions in datagrams that any proxy can read.
+/// The test, as a peer, receives the position of a host under the hash of its name.
 #[test]
-fn what_is_said_names_hosts_as_all_do() {
-    let (host, own) = (tells(30), peer());
-    let proxy = start(&host, 0, &[free(), at(&own)]);
+fn datagrams_name_hosts_by_the_hash_of_their_name() {
+    let (host, own) = (host_with_position(30), peer_socket());
+    let proxy = start(&host, 0, &[unused_address(), address_of(&own)]);
     proxy.agent.line(&list(42, true, &[(&host, "SERVING")]));
     let mut client = proxy.client();
-    let told = std::thread::spawn(move || {
+    let receiver = std::thread::spawn(move || {
         let mut bytes = [0; 2_000];
         loop {
-            let n = own.recv(&mut bytes).expect("something is said");
-            let message = Message::read(&bytes[..n]).expect("it can be read");
+            let n = own.recv(&mut bytes).expect("a datagram arrives");
+            let message = Message::read(&bytes[..n]).expect("the datagram is valid");
             if let Some(Item::HostPosition { host, position_ms, primary }) = message.items.first().copied() {
                 return (n, message.sender.ordinal, host, position_ms, primary);
             }
@@ -146,53 +148,53 @@
     });
     for n in 0.. {
         client.ask(&read(&format!("s{n}"), "history", 9000));
-        if told.is_finished() {
+        if receiver.is_finished() {
             break;
         }
     }
-    let (n, ordinal, named, position_ms, primary) = told.join().expect("told");
+    let (n, ordinal, named, position_ms, primary) = receiver.join().expect("a position is received");
     let name = format!("s-{}", host.address.port());
     let lag = unix_ms().saturating_sub(position_ms);
     assert!(n <= 256 && ordinal == 0 && primary && (30..20_000).contains(&lag), "{n} {ordinal} {lag}");
     assert_eq!(named, sillfold::net::core::shared_host_id(&name));
 }
 
-/// The old version has the address until it is told to stop; then the new one talks, and is another process to all.
+/// The old version holds the address until SIGTERM; then the new version takes it over, as another process to the peers.
 #[test]
-fn a_new_version_talks_once_the_old_one_stops() {
-    let (host, own) = (tells(20), peer());
-    let listen = free();
-    let mut old = start(&host, 0, &[listen, at(&own)]);
+fn a_new_version_exchanges_datagrams_once_the_old_one_stops() {
+    let (host, own) = (host_with_position(20), peer_socket());
+    let listen = unused_address();
+    let mut old = start(&host, 0, &[listen, address_of(&own)]);
     old.logged("talks with");
     old.agent.line(&list(42, true, &[(&host, "SERVING")]));
     let new = old.beside();
     new.logged("another process has it");
     new.agent.line(&list(43, true, &[(&host, "SERVING")]));
     new.logged("serves on");
-    let say = |number| {
-        let sender = Sender { ordinal: 1, incarnation: 5, sequence: number };
+    let send = |sequence| {
+        let sender = Sender { ordinal: 1, incarnation: 5, sequence };
         own.send_to(Datagram::pack(sender, &[]).0.bytes(), listen).expect("sent");
     };
-    say(1);
-    until(&old, "heard", |n| n == 1);
+    send(1);
+    wait_for_figure(&old, "heard", |n| n == 1);
     assert_eq!(new.figures()["peers"]["heard"], 0);
-    let told = Instant::now();
+    let stopped = Instant::now();
     old.signal("TERM");
     new.logged("talks with");
-    assert!(told.elapsed() < Duration::from_millis(1_500), "{:?}", told.elapsed());
-    say(2);
-    until(&new, "heard", |n| n == 1);
+    assert!(stopped.elapsed() < Duration::from_millis(1_500), "{:?}", stopped.elapsed());
+    send(2);
+    wait_for_figure(&new, "heard", |n| n == 1);
     assert!(old.wait().success());
 }
 
-/// Where the settings do not allow talk, the addresses are checked and left alone.
+/// If the settings do not permit the exchange, the addresses are validated but not used.
 #[test]
-fn without_leave_nothing_listens_and_a_bad_address_is_named() {
-    let (host, listen, other) = (tells(20), free(), free());
+fn without_permission_no_socket_is_bound_and_an_invalid_address_is_reported() {
+    let (host, listen, other) = (host_with_position(20), unused_address(), unused_address());
     let proxy = Proxy::start_with(&[&host], 1024, |config| {
-        talking(config, 0, &[listen, other]).replace("\"peerMessages\":true", "\"peerMessages\":false")
+        with_peers(config, 0, &[listen, other]).replace("\"peerMessages\":true", "\"peerMessages\":false")
     });
-    UdpSocket::bind(listen).expect("nobody has it");
+    UdpSocket::bind(listen).expect("the address is unused");
     drop(proxy);
     let config = r#"{"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","peers":["127.0.0.1:3","here"],"settings":SETTINGS}"#;
     let (child, _) = program(&config.replace("SETTINGS", SETTINGS), &[]);
