--- a/src/config.rs
+++ b/src/config.rs
@@ -62,7 +62,7 @@
     /// The limit of open connections to database hosts.
     pub max_host_connections: usize,
     /// The addresses for exchanging datagrams with peers; none if the settings do not permit it or addresses are missing.
-    pub talk: Option<Talk>,
+    pub peer_endpoints: Option<Talk>,
     /// How long the proxy still accepts clients after SIGTERM.
     pub linger: Duration,
     /// The time taken off the client's deadline for sending the answer back.
@@ -191,9 +191,10 @@
         if linger_ms > MAX_LINGER_MS {
             return Err(format!("linger_ms: {linger_ms} is over {MAX_LINGER_MS}"));
         }
-        let talk = peer_addresses(&file, &settings)?;
-        let reserved =
-            RESERVED_SOCKETS + console.map_or(0, |_| CONSOLE_CONNECTIONS) + usize::from(talk.is_some());
+        let peer_endpoints = peer_endpoints(&file, &settings)?;
+        let reserved = RESERVED_SOCKETS
+            + console.map_or(0, |_| CONSOLE_CONNECTIONS)
+            + usize::from(peer_endpoints.is_some());
         // Two fifths of the other descriptors are for database hosts, the rest for clients.
         let max_host_connections = (sockets - reserved) * 2 / 5;
         let max_clients = sockets - reserved - max_host_connections;
@@ -210,7 +211,7 @@
             max_clients,
             max_client_bytes: memory_mb * (1 << 20) / CLIENT_BYTES_DIVISOR,
             max_host_connections,
-            talk,
+            peer_endpoints,
             linger: Duration::from_millis(linger_ms),
             response_margin: RESPONSE_MARGIN_US,
             #[cfg(feature = "mutants")]
@@ -224,7 +225,7 @@
 
 /// The addresses for exchanging datagrams with peers. All given addresses are validated. The result is none unless the
 /// settings permit the exchange and the file gives `peer_listen` and `peers`.
-fn peer_addresses(file: &File, settings: &Settings) -> Result<Option<Talk>, String> {
+fn peer_endpoints(file: &File, settings: &Settings) -> Result<Option<Talk>, String> {
     let parse = |key: &str, text: &String| {
         text.parse().map_err(|_| format!("{key}: {text:?} is no address and port"))
     };
--- a/src/net/proxy.rs
+++ b/src/net/proxy.rs
@@ -75,7 +75,7 @@
         let upgrade =
             Upgrade::new(config.state_dir.clone(), core.clone(), clients.admission.clone(), hosts.clone());
         let upgrade = Rc::new(upgrade);
-        let peers = config.talk.clone().map(|talk| Rc::new(Peers::new(core.clone(), talk)));
+        let peers = config.peer_endpoints.clone().map(|talk| Rc::new(Peers::new(core.clone(), talk)));
         peers.iter().for_each(|peers| executor.spawn(peers.clone().run()));
         if let Some(door) = door {
             let console =
