--- a/crates/sql/src/analysis.rs
+++ b/crates/sql/src/analysis.rs
@@ -1,23 +1,23 @@
-//! The result of analysing a shape: its effect, tables, keys and cost features. It holds the types that the
-//! scan over the tokens and the walk over the syntax tree both fill; it knows neither of them.
+//! The result of analyzing a shape: its effect, tables, keys and cost features. Both the token scan and the walk over the
+//! syntax tree fill these types, which depend on neither.
 
 use std::borrow::Cow;
 
-/// What running a statement does, the milder before the stricter.
+/// The effect of running a statement. Later variants are stricter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Effect {
-    /// Nothing: any member that is current enough may run it.
+    /// No effect: any member that is current enough may run it.
     Read,
-    /// It may change data: only the primary.
+    /// It may change data: only the primary may run it.
     Write,
-    /// It changes the session, or needs what was left there.
+    /// It changes the state of its session, or depends on that state.
     Session,
-    /// It is no statement.
+    /// The text is not a statement.
     Invalid,
 }
 
 impl Effect {
-    /// Its name, as operators write it.
+    /// The effect's name, as operators write it.
     pub fn name(self) -> &'static str {
         match self {
             Effect::Read => "read",
@@ -28,77 +28,77 @@
     }
 }
 
-/// What a text says of transactions.
+/// What a text does to its session's transaction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TransactionControl {
-    /// It begins one.
+    /// It begins a transaction.
     Begin,
-    /// It ends one.
+    /// It ends the transaction.
     End,
-    /// It means one that is open, or prepared elsewhere.
+    /// It needs an open transaction or names a prepared one, and neither begins nor ends the session's own.
     Within,
 }
 
-/// What this side cannot carry, whatever the rules say.
+/// Why the proxy cannot serve a statement, whatever the rules say.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unsupported {
-    /// BEGIN and what belongs to it; of several, the last that begins or ends one.
+    /// Transaction control. If a text has several, the last that begins or ends a transaction counts.
     Transaction(TransactionControl),
-    /// State of a session.
+    /// Session state.
     Session,
     /// The data stream of COPY.
     Copy,
 }
 
-/// A column that is set equal to a literal, by the literal's place among the shape's placeholders.
+/// A column that a statement sets or requires to be equal to a literal.
 #[derive(Clone, Debug, PartialEq)]
 pub struct KeyLiteral {
-    /// The column's bare name.
+    /// The column's name without a table.
     pub column: Box<str>,
-    /// Which placeholder.
+    /// The literal's index among the shape's placeholders.
     pub literal_index: u16,
-    /// Whether the literal is negative.
+    /// Whether the literal has a minus sign before it.
     pub negative: bool,
 }
 
-/// What a syntax tree shows of a statement's cost.
+/// Features of a syntax tree that determine the guessed cost of a statement.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct CostFeatures {
-    /// Tables joined to the first of their query.
+    /// Tables joined to the first table of their query.
     pub joins: u16,
-    /// Calls of aggregates, and GROUP BY clauses.
+    /// Calls of aggregate functions, and GROUP BY clauses.
     pub aggregates: u16,
-    /// ORDER BY, DISTINCT, and set operations that compare.
+    /// ORDER BY without LIMIT, DISTINCT, and set operations.
     pub sorts: u16,
     /// Queries within queries.
     pub subqueries: u16,
-    /// Queries that read a table with no predicate.
+    /// Queries that read a table without a predicate.
     pub unfiltered: u16,
-    /// Whether the outermost result has a LIMIT or is one row.
+    /// Whether the outermost result has a LIMIT or is a single row.
     pub limited: bool,
-    /// Whether the outermost query or change finds its rows by a key's literal.
+    /// Whether the outermost query or change finds its rows by a literal key.
     pub keyed: bool,
 }
 
-/// All that is known of a shape.
+/// The analysis of a shape.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Analysis {
-    /// What running it does.
+    /// The effect of running it.
     pub effect: Effect,
-    /// Why, for whoever asks.
+    /// The reason for the effect, for people to read.
     pub reason: Cow<'static, str>,
-    /// What stands against carrying it at all.
+    /// Why the proxy cannot serve it, if so.
     pub unsupported: Option<Unsupported>,
-    /// Its tables, as written, each once.
+    /// The tables, as written, each once.
     pub tables: Vec<Box<str>>,
-    /// Columns that every row concerned has equal to a literal.
+    /// The columns that are equal to a literal in every row concerned.
     pub keys: Vec<KeyLiteral>,
-    /// What its syntax tree shows of its cost.
+    /// Features that determine the guessed cost.
     pub features: CostFeatures,
 }
 
 impl Analysis {
-    /// A harmless statement of which nothing else is known yet.
+    /// The analysis to start from: a read of which nothing is known yet.
     pub(crate) fn new() -> Analysis {
         Analysis {
             effect: Effect::Read,
@@ -110,21 +110,22 @@
         }
     }
 
-    /// Bytes on the heap.
+    /// The bytes that the analysis has on the heap.
     pub fn heap_bytes(&self) -> usize {
-        let why = if let Cow::Owned(text) = &self.reason { text.capacity() } else { 0 };
+        let reason = if let Cow::Owned(text) = &self.reason { text.capacity() } else { 0 };
         let tables: usize = self.tables.iter().map(|t| t.len()).sum();
         let keys: usize = self.keys.iter().map(|k| k.column.len()).sum();
-        why + tables
+        reason
+            + tables
             + keys
             + self.tables.capacity() * size_of::<Box<str>>()
             + self.keys.capacity() * size_of::<KeyLiteral>()
     }
 
-    /// Takes over an effect that is stricter than the present one, with its reason.
-    pub(crate) fn raise(&mut self, effect: Effect, why: impl Into<Cow<'static, str>>) {
+    /// Replaces the effect and its reason if the given effect is stricter.
+    pub(crate) fn raise(&mut self, effect: Effect, reason: impl Into<Cow<'static, str>>) {
         if effect > self.effect {
-            (self.effect, self.reason) = (effect, why.into());
+            (self.effect, self.reason) = (effect, reason.into());
         }
     }
 }
--- a/crates/sql/src/analyze.rs
+++ b/crates/sql/src/analyze.rs
@@ -1,20 +1,20 @@
-//! The judgement of a shape, by two independent analyses: the scan over its tokens and the walk over its
-//! syntax tree; of two effects the stricter counts. It must never see the statement itself: the result is a
-//! function of the shape and of the lists of functions, of nothing else.
+//! Analyzes a shape in two independent ways, by a scan over its tokens and by a walk over its syntax tree. Of the two
+//! effects the stricter counts. The result must depend on the shape and the lists of functions alone, never on the
+//! statement itself, because it is cached by shape.
 
 use crate::analysis::{Analysis, Effect, Unsupported};
 use crate::functions::Functions;
-use crate::scan::Scan;
+use crate::scan::TokenScan;
 use crate::tree;
 
-/// ParseLimits on the work for one shape; beyond them it is a write.
+/// Limits on the work for one shape. A shape that exceeds them counts as a write.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ParseLimits {
-    /// The longest shape that is parsed, in bytes.
+    /// The longest shape that is parsed.
     pub max_shape_bytes: usize,
-    /// The deepest nesting of parentheses that is parsed.
+    /// The deepest nesting of parentheses and brackets that is parsed.
     pub max_depth: usize,
-    /// The most operators and joining words in one statement: each may be a level of the tree.
+    /// The most operators and joining words in one statement. Each may add a level to the syntax tree.
     pub max_operators: usize,
 }
 
@@ -24,23 +24,23 @@
     }
 }
 
-/// Judges a shape.
+/// Analyzes a shape.
 pub fn analyze(shape: &str, functions: &Functions, limits: &ParseLimits) -> Analysis {
-    let mut scan = Scan::new(functions);
+    let mut scan = TokenScan::new(functions);
     let mut too_deep = false;
     if shape.len() <= limits.max_shape_bytes {
         scan.run(shape);
     } else {
-        // Its first words still tell what it can't be carried as; all else does not matter.
-        scan.heads(shape);
+        // The first words still determine whether the statement is unsupported. The rest doesn't matter.
+        scan.run_first_words(shape);
         scan.analysis.raise(Effect::Write, "it is longer than what is read");
     }
-    if scan.deepest > limits.max_depth || scan.links > limits.max_operators {
+    if scan.max_depth > limits.max_depth || scan.operators > limits.max_operators {
         too_deep = true;
         scan.analysis.raise(Effect::Write, "it is nested more deeply than what is read");
     }
     let mut analysis = scan.analysis;
-    // Utility statements are told by their first words alone; the parser knows few of them.
+    // Utility statements are identified by their first words alone; the parser supports few of them.
     let parse =
         shape.len() <= limits.max_shape_bytes && !too_deep && analysis.unsupported.is_none() && !scan.utility;
     if parse {
@@ -49,10 +49,10 @@
                 (analysis.tables, analysis.keys, analysis.features) = (tree.tables, tree.keys, tree.features);
                 analysis.raise(tree.effect, tree.reason);
             }
-            Err(what) => analysis.raise(Effect::Write, format!("it does not parse: {what}")),
+            Err(message) => analysis.raise(Effect::Write, format!("it does not parse: {message}")),
         }
     } else {
-        // Whatever the tokens say: what only one of the two analyses has seen is no read.
+        // A statement that only one of the two analyses has seen is never a read, whatever its tokens are.
         analysis.raise(Effect::Write, "it is not parsed");
     }
     if analysis.effect == Effect::Session && analysis.unsupported.is_none() {
@@ -65,13 +65,14 @@
 }
 
 impl crate::StatementReader {
-    /// The verdict on the statement that was read last. Not only its shape's, which may be kept: a text that
-    /// another setting of the server would cut otherwise is never a read.
+    /// Analyzes the statement that was read last. Unlike [`analyze()`], whose result may be cached by shape, it considers
+    /// the statement's quoting: a text in which another setting of the server would end a string elsewhere is never a
+    /// read.
     pub fn analyze(&self, functions: &Functions, limits: &ParseLimits) -> Analysis {
         self.restrict_if_ambiguous(analyze(self.shape(), functions, limits))
     }
 
-    /// The same, for a shape's analysis that is known already.
+    /// Makes a shape's analysis a write if the quoting of the statement that was read last is ambiguous.
     pub fn restrict_if_ambiguous(&self, mut analysis: Analysis) -> Analysis {
         if self.quoting_is_ambiguous() {
             analysis.raise(Effect::Write, "another setting of the server would end a string elsewhere");
--- a/crates/sql/src/functions.rs
+++ b/crates/sql/src/functions.rs
@@ -1,38 +1,38 @@
-//! What is known of functions: those without effects, those that belong to a session, all others may write.
-//! It owns the list that comes with the program and what operators add to it. It must never guess: a name
-//! that nobody listed is not known.
+//! The functions whose effects are known: those without any, and those that use session state. All others may write. The
+//! list consists of the built-in functions and the operator's additions. A name that neither lists is unknown; nothing is
+//! guessed.
 
 use std::collections::{HashMap, HashSet};
 
-/// The list that comes with the program, as `functions.txt` explains it.
-const LIST: &str = include_str!("functions.txt");
+/// The built-in list. `functions.txt` explains its format.
+const BUILTIN_LIST: &str = include_str!("functions.txt");
 
-/// What a call of a function does.
+/// The effect of calling a function.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FunctionKind {
-    /// Nothing beyond its value.
+    /// It has no effect beyond its result.
     SideEffectFree,
-    /// The same, over many rows.
+    /// It is an aggregate, without effect beyond its result.
     Aggregate,
-    /// It changes the session, or needs what was left in it.
+    /// It changes the state of its session, or depends on that state.
     Session,
 }
 
-/// What operators say beside the list.
+/// The operator's additions to the built-in list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FunctionAdditions {
-    /// Functions without effects, as they are called: `area` or `gis.area`.
+    /// Functions without effects, as statements call them: `area` or `gis.area`.
     pub side_effect_free: Vec<String>,
-    /// Names, of functions, views or anything else, whose mention makes a statement a write.
+    /// Names of functions, views or anything else whose mention makes a statement a write.
     pub with_effects: Vec<String>,
-    /// Whether the list that comes with the program counts.
+    /// Whether the built-in list is ignored.
     pub omit_builtin: bool,
 }
 
-/// All functions that are known, by the name under which statements call them.
+/// The known functions, by the name under which statements call them.
 pub struct Functions {
     known: HashMap<Box<str>, FunctionKind>,
-    effects: HashSet<Box<str>>,
+    with_effects: HashSet<Box<str>>,
 }
 
 impl Default for Functions {
@@ -42,10 +42,10 @@
 }
 
 impl Functions {
-    /// The list with what operators add; their word outranks it.
+    /// The built-in list with the operator's additions, which override it.
     pub fn new(additions: &FunctionAdditions) -> Functions {
         let mut known = HashMap::new();
-        let lines = LIST.lines().filter(|_| !additions.omit_builtin);
+        let lines = BUILTIN_LIST.lines().filter(|_| !additions.omit_builtin);
         for (kind, names) in lines.filter_map(|l| l.split_once(':')).filter(|l| !l.0.starts_with('#')) {
             let kind = match kind {
                 "aggregate" => FunctionKind::Aggregate,
@@ -57,35 +57,35 @@
         known.extend(
             additions.side_effect_free.iter().map(|n| (Box::from(n.as_str()), FunctionKind::SideEffectFree)),
         );
-        let effects: HashSet<Box<str>> =
+        let with_effects: HashSet<Box<str>> =
             additions.with_effects.iter().map(|n| Box::from(n.as_str())).collect();
-        known.retain(|name, _| !effects.contains(name));
-        Functions { known, effects }
+        known.retain(|name, _| !with_effects.contains(name));
+        Functions { known, with_effects }
     }
 
-    /// What is known of a function by its parts, names in quotes without them. A list name counts bare or in
-    /// `pg_catalog`, one of operators as they wrote it.
+    /// The kind of a function, by the unquoted parts of its name. A name without a schema also matches a call in the schema
+    /// `pg_catalog`. A name that the operator wrote with a schema matches only with that schema.
     pub fn kind(&self, parts: &[impl AsRef<str>]) -> Option<FunctionKind> {
         match parts {
             [name] => self.known.get(name.as_ref()).copied(),
             [schema, name] if schema.as_ref() == "pg_catalog" && !name.as_ref().contains('.') => {
                 self.known.get(name.as_ref()).copied()
             }
-            // Guards against a schema's own function of a known name.
+            // Guards against a function in another schema that has the name of a known one.
             parts => {
-                let whole: Vec<&str> = parts.iter().map(AsRef::as_ref).collect();
-                self.known.get(whole.join(".").as_str()).copied()
+                let parts: Vec<&str> = parts.iter().map(AsRef::as_ref).collect();
+                self.known.get(parts.join(".").as_str()).copied()
             }
         }
     }
 
-    /// Whether the mention of a name, or of one in a schema, is a write.
+    /// Whether the operator listed the name, with or without a schema, as having effects.
     pub fn has_effects(&self, name: &str) -> bool {
-        self.effects.contains(name)
+        self.with_effects.contains(name)
     }
 
-    /// Whether anything is said of effects at all.
+    /// Whether the operator listed any name as having effects.
     pub fn any_with_effects(&self) -> bool {
-        !self.effects.is_empty()
+        !self.with_effects.is_empty()
     }
 }
--- a/crates/sql/src/lex.rs
+++ b/crates/sql/src/lex.rs
@@ -1,25 +1,25 @@
-//! Tokens, shapes and literals: the one reading of a statement's text that everything else rests on. It owns
-//! where a token begins and ends, as PostgreSQL's own scanner sees it. It must never analyze a statement,
-//! and never drop anything of which a verdict depends: only literals, comments and white space go.
+//! Tokens, shapes and literals of a statement's text, which all analysis rests on. Tokens begin and end where PostgreSQL's
+//! own scanner has them begin and end. The reader must never decide what a statement does, and must drop nothing that the
+//! effect depends on: only literals, comments, white space, and the repeated rows and elements of lists are left out.
 
 use logos::{Lexer, Logos, Skip};
 use std::ops::Range;
 
-/// Why a text is no statement at all, whatever the server's settings are.
+/// Why a text is not a statement under any setting of the server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadError {
-    /// A NUL, which the protocol cannot carry.
+    /// It contains a NUL, which the protocol cannot transmit.
     Nul,
-    /// Bytes that are not UTF-8.
+    /// It contains bytes that are not UTF-8.
     Encoding,
-    /// A quoted literal, name or comment that does not end.
+    /// A quoted literal, a quoted name or a comment does not end.
     Unterminated,
-    /// Nothing but white space and comments.
+    /// It contains only white space and comments.
     Empty,
 }
 
 impl ReadError {
-    /// What a client is told.
+    /// The message for the client.
     pub fn message(self) -> &'static str {
         match self {
             ReadError::Nul => "a NUL stands in the statement",
@@ -30,9 +30,10 @@
     }
 }
 
-/// A token as it stands in the text.
+/// A token of a statement's text.
 #[derive(Logos, Clone, Copy, Debug, PartialEq, Eq)]
-// Bytes, not characters: beyond ASCII all belong to words, and a text that is UTF-8 is never cut inside one.
+// Matching bytes instead of characters is safe: every byte beyond ASCII belongs to a word, a name, a string or a comment,
+// so a UTF-8 text is never split inside a character.
 #[logos(error = Unterminated, utf8 = false)]
 #[logos(skip r"[ \t\r\n\x0b\x0c]+")]
 pub(crate) enum Token {
@@ -42,20 +43,21 @@
     #[regex(r"[A-Za-z_\x80-\xff]", word)]
     Word,
     #[token("\"", quoted_name)]
-    Quoted,
+    QuotedName,
     #[regex("[uU]&\"", quoted_name)]
-    UnicodeQuoted,
-    /// A string; the flag says that another setting of the server would see its end elsewhere.
+    UnicodeQuotedName,
+    /// A string in which backslashes have no meaning. The flag is set if the server would end it elsewhere with another
+    /// setting.
     #[regex("'|[nN]'", plain_string)]
-    Plain(bool),
+    PlainString(bool),
     #[regex("[eE]'", escape_string)]
-    Escape,
+    EscapeString,
     #[regex("[uU]&'", plain_string)]
-    Unicode(bool),
+    UnicodeString(bool),
     #[regex("[bBxX]'", plain_string)]
-    Bits(bool),
+    BitString(bool),
     #[regex(r"\$([A-Za-z_\x80-\xff][A-Za-z0-9_\x80-\xff]*)?\$", dollar_string)]
-    Dollar,
+    DollarString,
     #[regex(r"\$[0-9]+")]
     Parameter,
     #[regex(r"([0-9][0-9_]*(\.[0-9_]*)?|\.[0-9][0-9_]*)([eE][+-]?[0-9][0-9_]*)?")]
@@ -66,11 +68,11 @@
     #[token("::")]
     #[token(":=")]
     #[token("..")]
-    Double,
+    CompoundSymbol,
     #[token("(")]
-    Open,
+    OpenParen,
     #[token(")")]
-    Close,
+    CloseParen,
     #[token("[")]
     OpenBracket,
     #[token("]")]
@@ -81,35 +83,40 @@
     Semicolon,
     #[token(".")]
     Dot,
-    /// What no statement holds outside quotes; the parser says the rest.
+    /// A character that no statement has outside of quotes. The parser rejects it.
     #[regex(r"[:$\\{}\x01-\x08\x0e-\x1f\x7f]")]
     Other,
 }
 
-/// The logos error: something quoted does not end, the only way in which no token comes.
+/// The error of the lexer. A quoted text or comment that does not end is the only reason for which no token is found.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Unterminated;
 
-type Cut<'s> = Lexer<'s, Token>;
+type TokenLexer<'s> = Lexer<'s, Token>;
 
-/// What may stand in a word behind its first byte.
-const WORD: [bool; 256] = {
-    let (mut table, mut b) = ([false; 256], 0);
-    while b < 256 {
-        table[b] = (b as u8).is_ascii_alphanumeric() || b == b'_' as usize || b == b'$' as usize || b >= 0x80;
-        b += 1;
+/// Whether a byte may follow the first byte of a word.
+const IS_WORD_BYTE: [bool; 256] = {
+    let mut table = [false; 256];
+    let mut byte = 0;
+    while byte < 256 {
+        table[byte] = (byte as u8).is_ascii_alphanumeric()
+            || byte == b'_' as usize
+            || byte == b'$' as usize
+            || byte >= 0x80;
+        byte += 1;
     }
     table
 };
 
-/// The rest of a word. Most bytes of a statement are in words, and a table takes a third of what states take.
-fn word(lex: &mut Cut) {
+/// Consumes the rest of a word. Most bytes of a statement are in words, and a table lookup takes a third of the time of
+/// the lexer's state machine.
+fn word(lex: &mut TokenLexer) {
     let rest = lex.remainder();
-    lex.bump(rest.iter().position(|&b| !WORD[usize::from(b)]).unwrap_or(rest.len()));
+    lex.bump(rest.iter().position(|&b| !IS_WORD_BYTE[usize::from(b)]).unwrap_or(rest.len()));
 }
 
-/// Comments nest, as in PostgreSQL and not in most other languages.
-fn block_comment(lex: &mut Cut) -> Result<Skip, Unterminated> {
+/// Consumes the rest of a block comment. Comments nest in PostgreSQL, unlike in most other languages.
+fn block_comment(lex: &mut TokenLexer) -> Result<Skip, Unterminated> {
     let bytes = lex.remainder();
     let (mut depth, mut at) = (1usize, 0);
     while depth > 0 {
@@ -123,7 +130,8 @@
     Ok(Skip)
 }
 
-fn quoted_name(lex: &mut Cut) -> Result<(), Unterminated> {
+/// Consumes the rest of a quoted name, in which a doubled quote stands for one.
+fn quoted_name(lex: &mut TokenLexer) -> Result<(), Unterminated> {
     let bytes = lex.remainder();
     let mut at = 0;
     loop {
@@ -136,58 +144,62 @@
     }
 }
 
-/// Groups within groups that are looked at for folding.
-const DEEPEST: usize = 128;
+/// The nesting of groups up to which lists and rows are folded.
+const MAX_FOLDED_DEPTH: usize = 128;
 
-/// Where a string goes on: white space that holds a line's end, maybe with `--` comments, and a quote.
-/// Guards against `E'a'` and `'b\'c'` on two lines being taken for two strings with other ends.
-fn continued(bytes: &[u8], mut at: usize) -> Option<usize> {
-    let mut line = false;
+/// The position after the opening quote of a string's next part. PostgreSQL joins parts that are separated by white space
+/// with at least one line end, which may include `--` comments. Guards against `E'a'` and `'b\'c'` on two lines being read
+/// as two strings, of which the second would end elsewhere.
+fn next_part(bytes: &[u8], mut at: usize) -> Option<usize> {
+    let mut has_line_end = false;
     loop {
         match bytes.get(at)? {
-            b'\n' | b'\r' => line = true,
+            b'\n' | b'\r' => has_line_end = true,
             b' ' | b'\t' | 0x0b | 0x0c => {}
             b'-' if bytes.get(at + 1) == Some(&b'-') => {
                 at += bytes[at..].iter().position(|b| matches!(b, b'\n' | b'\r'))?;
                 continue;
             }
-            b'\'' if line => return Some(at + 1),
+            b'\'' if has_line_end => return Some(at + 1),
             _ => return None,
         }
         at += 1;
     }
 }
 
-/// A string whose backslashes mean nothing, up to its end. True where with `standard_conforming_strings`
-/// off a backslash would hide one of its quotes, so that the string would end elsewhere.
-fn plain_string(lex: &mut Cut) -> Result<bool, Unterminated> {
+/// Consumes the rest of a string in which backslashes have no meaning. Returns true if the string would end elsewhere with
+/// `standard_conforming_strings` off, because a backslash would then escape one of its quotes.
+fn plain_string(lex: &mut TokenLexer) -> Result<bool, Unterminated> {
     let bytes = lex.remainder();
-    let (mut at, mut unsure, mut begun) = (0, false, 0);
+    let mut at = 0;
+    let mut ambiguous = false;
+    let mut segment_start = 0;
     loop {
         at += memchr::memchr(b'\'', &bytes[at..]).ok_or(Unterminated)?;
-        let slashes = bytes[begun..at].iter().rev().take_while(|&&b| b == b'\\').count();
-        unsure |= slashes % 2 == 1;
+        let backslashes = bytes[segment_start..at].iter().rev().take_while(|&&b| b == b'\\').count();
+        ambiguous |= backslashes % 2 == 1;
         at += 1;
         if bytes.get(at) == Some(&b'\'') {
             at += 1;
-            begun = at;
-        } else if let Some(next) = continued(bytes, at) {
-            (at, begun) = (next, next);
+            segment_start = at;
+        } else if let Some(next) = next_part(bytes, at) {
+            (at, segment_start) = (next, next);
         } else {
             lex.bump(at);
-            return Ok(unsure);
+            return Ok(ambiguous);
         }
     }
 }
 
-fn escape_string(lex: &mut Cut) -> Result<(), Unterminated> {
+/// Consumes the rest of a string in which a backslash escapes the next character.
+fn escape_string(lex: &mut TokenLexer) -> Result<(), Unterminated> {
     let bytes = lex.remainder();
     let mut at = 0;
     loop {
         match bytes.get(at).ok_or(Unterminated)? {
             b'\\' => at += 2,
             b'\'' if bytes.get(at + 1) == Some(&b'\'') => at += 2,
-            b'\'' => match continued(bytes, at + 1) {
+            b'\'' => match next_part(bytes, at + 1) {
                 Some(next) => at = next,
                 None => break,
             },
@@ -198,7 +210,8 @@
     Ok(())
 }
 
-fn dollar_string(lex: &mut Cut) -> Result<(), Unterminated> {
+/// Consumes the rest of a dollar-quoted string, up to the tag that began it.
+fn dollar_string(lex: &mut TokenLexer) -> Result<(), Unterminated> {
     let (tag, rest) = (lex.slice(), lex.remainder());
     let mut at = 0;
     loop {
@@ -211,16 +224,16 @@
     }
 }
 
-/// The rest of an operator, as PostgreSQL's scanner cuts it: up to a comment, and without a sign at its end
-/// unless it holds a character that no operator of standard SQL has.
-fn operator(lex: &mut Cut) {
+/// Consumes the rest of an operator, as PostgreSQL's scanner does: it ends before a comment, and has no sign at its end
+/// unless it contains a character that no operator of standard SQL has.
+fn operator(lex: &mut TokenLexer) {
     let bytes = &lex.source()[lex.span().start..];
-    let symbol = |b: &&u8| b"+-*/<>=~!@#%^&|`?".contains(b);
-    let whole = &bytes[..bytes.iter().take_while(symbol).count()];
-    let comment = whole.windows(2).skip(1).position(|w| w == b"--" || w == b"/*");
-    let mut length = comment.map_or(whole.len(), |at| at + 1);
-    let odd = whole[..length].iter().any(|b| b"~!@#%^&|`?".contains(b));
-    while !odd && length > 1 && matches!(whole[length - 1], b'+' | b'-') {
+    let is_symbol = |b: &&u8| b"+-*/<>=~!@#%^&|`?".contains(b);
+    let symbols = &bytes[..bytes.iter().take_while(is_symbol).count()];
+    let comment = symbols.windows(2).skip(1).position(|w| w == b"--" || w == b"/*");
+    let mut length = comment.map_or(symbols.len(), |at| at + 1);
+    let non_standard = symbols[..length].iter().any(|b| b"~!@#%^&|`?".contains(b));
+    while !non_standard && length > 1 && matches!(symbols[length - 1], b'+' | b'-') {
         length -= 1;
     }
     lex.bump(length - 1);
@@ -229,135 +242,147 @@
 /// A literal that a placeholder of the shape stands for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Literal {
-    /// Where it stands in the statement, quotes and all.
+    /// Its bytes in the statement's text, including quotes.
     pub span: Range<usize>,
-    /// Whether others were folded into it, so that it is only the first of several.
+    /// Whether other literals were folded into it, so that it is only the first of several.
     pub folded: bool,
 }
 
-/// A group that ended: where it begins and ends in the shape, and its first slot.
+/// A group that was closed.
 #[derive(Clone, Copy)]
-struct Ended {
+struct ClosedGroup {
+    /// Where the group begins in the shape.
     begin: usize,
+    /// Where the group ends in the shape.
     end: usize,
-    slots: usize,
+    /// The index of the group's first literal.
+    first_literal: usize,
 }
 
 /// A parenthesis or bracket that is open.
-struct Group {
-    /// Where it begins in the shape, and how many slots there were.
+struct OpenGroup {
+    /// Where the group begins in the shape.
     begin: usize,
-    slots: usize,
-    /// Whether its literals are a list in which their number decides nothing.
-    list: bool,
-    /// Where the present element begins, and whether all before it are the one literal that stands for them.
+    /// The index of the group's first literal.
+    first_literal: usize,
+    /// Whether the group is a list, whose shape doesn't depend on the number of its literals.
+    is_list: bool,
+    /// Where the current element begins in the shape.
     element: usize,
-    element_slots: usize,
-    literals: bool,
-    /// The group before, in which this one stands, ended here last.
-    inner: Option<Ended>,
+    /// The index of the current element's first literal.
+    element_first_literal: usize,
+    /// Whether all elements so far are literals, folded into the first one.
+    only_literals: bool,
+    /// The last group that was closed within this one.
+    last_closed: Option<ClosedGroup>,
 }
 
-/// The reading of one statement's text; kept and used again, so that a warm reading allocates nothing.
+/// Reads a statement's text into its shape and its literals. It is reused for many statements, so that reading one
+/// usually allocates nothing.
 #[derive(Default)]
 pub struct StatementReader {
     shape: Vec<u8>,
-    slots: Vec<Literal>,
-    groups: Vec<Group>,
-    /// The group that ended last outside all others.
-    outermost: Option<Ended>,
-    /// Groups that are open beyond the deepest that is looked at for folding.
-    beyond: usize,
-    statements: usize,
-    unsure: bool,
+    literals: Vec<Literal>,
+    open_groups: Vec<OpenGroup>,
+    /// The last group that was closed outside of all others.
+    last_closed: Option<ClosedGroup>,
+    /// Open groups nested deeper than [`MAX_FOLDED_DEPTH`].
+    unfolded_groups: usize,
+    statement_count: usize,
+    quoting_is_ambiguous: bool,
 }
 
 impl StatementReader {
-    /// The shape: tokens, each followed by a space; every string is `'?'` and every number `0`.
+    /// The shape: the tokens, each followed by a space. Every string is `'?'`, every bit string `b'?'` and every number `0`.
     pub fn shape(&self) -> &str {
-        // All of it is ASCII or whole words of a text that is UTF-8.
+        // The shape consists of ASCII and of whole words of a UTF-8 text.
         std::str::from_utf8(&self.shape).unwrap_or_default()
     }
-    /// The same as bytes, which is how a cache looks for it.
+    /// The shape's bytes, by which a cache looks it up.
     pub fn shape_bytes(&self) -> &[u8] {
         &self.shape
     }
     /// The literals, in the order of the shape's placeholders.
     pub fn literals(&self) -> &[Literal] {
-        &self.slots
+        &self.literals
     }
-    /// Statements that are not empty.
+    /// The number of statements in the text that are not empty.
     pub fn statement_count(&self) -> usize {
-        self.statements
+        self.statement_count
     }
-    /// Whether `standard_conforming_strings = off` would read other tokens.
+    /// Whether the text has other tokens with `standard_conforming_strings` off.
     pub fn quoting_is_ambiguous(&self) -> bool {
-        self.unsure
+        self.quoting_is_ambiguous
     }
 
-    /// Gives memory back beyond so many bytes of shape. Guards against one long statement's keeping it.
+    /// Releases the buffers if the shape's has grown beyond this many bytes. Guards against one long statement whose memory
+    /// is kept for good.
     pub fn shrink(&mut self, bytes: usize) {
         if self.shape.capacity() > bytes {
             self.shape = Vec::new();
-            self.slots = Vec::new();
+            self.literals = Vec::new();
         }
     }
 
-    /// Reads bytes as they came from a client.
+    /// Reads bytes as they came from a client, and returns them as text.
     pub fn read_bytes<'t>(&mut self, bytes: &'t [u8]) -> Result<&'t str, ReadError> {
         let text = std::str::from_utf8(bytes).map_err(|_| ReadError::Encoding)?;
         self.read(text).map(|()| text)
     }
 
-    /// Reads a text: afterwards shape, slots and the rest are this statement's. Takes time in proportion to
-    /// its length, and memory for no more than its shape.
+    /// Reads a text, whose shape and literals replace those of the text before. It takes time in proportion to the text's
+    /// length, and memory for no more than the shape and the literals.
     pub fn read(&mut self, text: &str) -> Result<(), ReadError> {
         self.shape.clear();
-        self.slots.clear();
-        self.groups.clear();
-        (self.statements, self.unsure, self.outermost) = (0, false, None);
-        self.beyond = 0;
-        let (mut begun, mut creates, mut atomic) = (false, false, 0);
+        self.literals.clear();
+        self.open_groups.clear();
+        (self.statement_count, self.quoting_is_ambiguous, self.last_closed) = (0, false, None);
+        self.unfolded_groups = 0;
+        let mut in_statement = false;
+        let mut creates = false;
+        // Open BEGIN ATOMIC and CASE blocks, each of which an END closes.
+        let mut atomic_depth = 0;
         if memchr::memchr(0, text.as_bytes()).is_some() {
             return Err(ReadError::Nul);
         }
         let mut lex = Token::lexer(text.as_bytes());
         while let Some(token) = lex.next() {
             let token = token.map_err(|Unterminated| ReadError::Unterminated)?;
-            if token == Token::Semicolon && atomic == 0 {
-                (begun, creates) = (false, false);
+            if token == Token::Semicolon && atomic_depth == 0 {
+                (in_statement, creates) = (false, false);
                 continue;
             }
-            if token == Token::Word && (creates || !begun) {
-                // The body of a function between BEGIN ATOMIC and END is one statement with its CREATE.
+            if token == Token::Word && (creates || !in_statement) {
+                // The body of a function between BEGIN ATOMIC and END belongs to the statement of its CREATE.
                 let word = lex.slice();
                 let is = |w: &str| word.eq_ignore_ascii_case(w.as_bytes());
                 creates |= is("create");
-                match atomic {
-                    0 if is("atomic") && self.shape.ends_with(b"begin ") => atomic = 1,
+                match atomic_depth {
+                    0 if is("atomic") && self.shape.ends_with(b"begin ") => atomic_depth = 1,
                     0 => {}
-                    _ if is("case") => atomic += 1,
-                    _ if is("end") => atomic -= 1,
+                    _ if is("case") => atomic_depth += 1,
+                    _ if is("end") => atomic_depth -= 1,
                     _ => {}
                 }
             }
             if token == Token::Semicolon {
                 continue;
             }
-            if !begun {
-                (begun, self.statements) = (true, self.statements + 1);
-                if self.statements > 1 {
+            if !in_statement {
+                (in_statement, self.statement_count) = (true, self.statement_count + 1);
+                if self.statement_count > 1 {
                     self.shape.extend_from_slice(b"; ");
                 }
-                self.groups.clear();
-                (self.outermost, self.beyond) = (None, 0);
+                self.open_groups.clear();
+                (self.last_closed, self.unfolded_groups) = (None, 0);
             }
-            self.take(token, lex.slice(), lex.span());
+            self.add_token(token, lex.slice(), lex.span());
         }
-        if self.statements == 0 { Err(ReadError::Empty) } else { Ok(()) }
+        if self.statement_count == 0 { Err(ReadError::Empty) } else { Ok(()) }
     }
 
-    fn take(&mut self, token: Token, slice: &[u8], span: Range<usize>) {
+    /// Adds a token to the shape, and to the literals if it is one.
+    fn add_token(&mut self, token: Token, slice: &[u8], span: Range<usize>) {
         match token {
             Token::Word => {
                 let at = self.shape.len();
@@ -365,47 +390,56 @@
                 self.shape[at..].make_ascii_lowercase();
                 self.shape.push(b' ');
             }
-            Token::Plain(unsure) | Token::Unicode(unsure) => {
-                self.unsure |= unsure;
-                self.literal(b"'?' ", span);
+            Token::PlainString(ambiguous) | Token::UnicodeString(ambiguous) => {
+                self.quoting_is_ambiguous |= ambiguous;
+                self.add_literal(b"'?' ", span);
             }
-            Token::Bits(unsure) => {
-                self.unsure |= unsure;
-                self.literal(b"b'?' ", span);
+            Token::BitString(ambiguous) => {
+                self.quoting_is_ambiguous |= ambiguous;
+                self.add_literal(b"b'?' ", span);
             }
-            Token::Escape | Token::Dollar => self.literal(b"'?' ", span),
-            Token::Number => self.literal(b"0 ", span),
-            // Guards against a memory that grows with the depth of what will not be parsed anyway.
-            Token::Open | Token::OpenBracket if self.groups.len() >= DEEPEST => {
-                self.beyond += 1;
-                self.shape.extend_from_slice(if token == Token::Open { b"( " } else { b"[ " });
+            Token::EscapeString | Token::DollarString => self.add_literal(b"'?' ", span),
+            Token::Number => self.add_literal(b"0 ", span),
+            // Guards against memory that grows with the depth of a statement that is not parsed anyway.
+            Token::OpenParen | Token::OpenBracket if self.open_groups.len() >= MAX_FOLDED_DEPTH => {
+                self.unfolded_groups += 1;
+                self.shape.extend_from_slice(if token == Token::OpenParen { b"( " } else { b"[ " });
             }
-            Token::Close | Token::CloseBracket if self.beyond > 0 => {
-                self.beyond -= 1;
-                self.shape.extend_from_slice(if token == Token::Close { b") " } else { b"] " });
+            Token::CloseParen | Token::CloseBracket if self.unfolded_groups > 0 => {
+                self.unfolded_groups -= 1;
+                self.shape.extend_from_slice(if token == Token::CloseParen { b") " } else { b"] " });
             }
-            Token::Open | Token::OpenBracket => {
-                let lists: [&[u8]; 4] = [b" in ", b" any ", b" all ", b" some "];
-                let list = lists.iter().any(|w| self.shape.ends_with(w));
-                let list = list || token == Token::OpenBracket;
-                let (begin, slots) = (self.shape.len(), self.slots.len());
-                self.shape.extend_from_slice(if token == Token::Open { b"( " } else { b"[ " });
+            Token::OpenParen | Token::OpenBracket => {
+                let list_words: [&[u8]; 4] = [b" in ", b" any ", b" all ", b" some "];
+                let is_list = list_words.iter().any(|w| self.shape.ends_with(w));
+                let is_list = is_list || token == Token::OpenBracket;
+                let begin = self.shape.len();
+                let first_literal = self.literals.len();
+                self.shape.extend_from_slice(if token == Token::OpenParen { b"( " } else { b"[ " });
                 let element = self.shape.len();
-                let (element_slots, literals, inner) = (slots, false, None);
-                self.groups.push(Group { begin, slots, list, element, element_slots, literals, inner });
+                let (element_first_literal, only_literals, last_closed) = (first_literal, false, None);
+                self.open_groups.push(OpenGroup {
+                    begin,
+                    first_literal,
+                    is_list,
+                    element,
+                    element_first_literal,
+                    only_literals,
+                    last_closed,
+                });
             }
-            Token::Close | Token::CloseBracket => {
+            Token::CloseParen | Token::CloseBracket => {
                 self.end_element();
-                self.shape.extend_from_slice(if token == Token::Close { b") " } else { b"] " });
-                self.close();
+                self.shape.extend_from_slice(if token == Token::CloseParen { b") " } else { b"] " });
+                self.close_group();
             }
-            Token::Comma if self.beyond > 0 => self.shape.extend_from_slice(b", "),
+            Token::Comma if self.unfolded_groups > 0 => self.shape.extend_from_slice(b", "),
             Token::Comma => {
                 if !self.end_element() {
                     self.shape.extend_from_slice(b", ");
                 }
-                if let Some(group) = self.groups.last_mut() {
-                    (group.element, group.element_slots) = (self.shape.len(), self.slots.len());
+                if let Some(group) = self.open_groups.last_mut() {
+                    (group.element, group.element_first_literal) = (self.shape.len(), self.literals.len());
                 }
             }
             _ => {
@@ -415,87 +449,89 @@
         }
     }
 
-    fn literal(&mut self, placeholder: &[u8], span: Range<usize>) {
+    fn add_literal(&mut self, placeholder: &[u8], span: Range<usize>) {
         self.shape.extend_from_slice(placeholder);
-        self.slots.push(Literal { span, folded: false });
+        self.literals.push(Literal { span, folded: false });
     }
 
-    /// An element of the innermost group ends. In a list, one that is only a literal goes into the literal
-    /// before it; true if it did, and the comma behind it goes with it.
+    /// Ends an element of the innermost group. In a list, an element that is only a literal is folded into the literal
+    /// before it. Returns whether it was; the comma after it is then left out too.
     fn end_element(&mut self) -> bool {
-        let Some(group) = self.groups.last_mut() else { return false };
-        if !group.list {
+        let Some(group) = self.open_groups.last_mut() else { return false };
+        if !group.is_list {
             return false;
         }
         let element = &self.shape[group.element..];
-        let literal = element.strip_prefix(b"- ").or(element.strip_prefix(b"+ ")).unwrap_or(element);
-        let literal: &[u8] = match literal {
+        let unsigned = element.strip_prefix(b"- ").or(element.strip_prefix(b"+ ")).unwrap_or(element);
+        let placeholder: &[u8] = match unsigned {
             b"'?' " => b"'?' ",
             b"0 " => b"0 ",
             b"b'?' " => b"b'?' ",
             _ => {
-                group.literals = false;
+                group.only_literals = false;
                 return false;
             }
         };
         self.shape.truncate(group.element);
-        if group.literals {
-            // Its comma stays: the next element stands where this one stood.
-            self.slots.truncate(group.element_slots);
-            if let Some(first) = self.slots.last_mut() {
+        if group.only_literals {
+            // The comma before this element stays, because the next element takes this one's place.
+            self.literals.truncate(group.element_first_literal);
+            if let Some(first) = self.literals.last_mut() {
                 first.folded = true;
             }
             return true;
         }
-        // Without its sign, as the others go.
-        self.shape.extend_from_slice(literal);
-        group.literals = true;
+        // The first literal loses its sign, as the folded ones do.
+        self.shape.extend_from_slice(placeholder);
+        group.only_literals = true;
         false
     }
 
-    /// The innermost group ends; where it is the same as its neighbour before it, it goes, and the comma too.
-    fn close(&mut self) {
-        let Some(group) = self.groups.pop() else { return };
-        // A list that folded ends in a comma that nothing follows.
-        let tail = self.shape.len() - 2;
-        if group.literals && self.shape[..tail].ends_with(b", ") {
-            self.shape.drain(tail - 2..tail);
+    /// Closes the innermost group. If it equals the group before it, as rows of VALUES do, it is folded into that one and
+    /// the comma between them is removed.
+    fn close_group(&mut self) {
+        let Some(group) = self.open_groups.pop() else { return };
+        // A list whose last literal was folded ends in a comma, which is removed.
+        let closing = self.shape.len() - 2;
+        if group.only_literals && self.shape[..closing].ends_with(b", ") {
+            self.shape.drain(closing - 2..closing);
         }
-        let last = Ended { begin: group.begin, end: self.shape.len(), slots: group.slots };
-        let outer = self.groups.last_mut();
-        let before = outer.as_ref().map_or(self.outermost, |o| o.inner);
-        let kept = match before.filter(|b| same(&self.shape, b, &last)) {
+        let closed =
+            ClosedGroup { begin: group.begin, end: self.shape.len(), first_literal: group.first_literal };
+        let outer = self.open_groups.last_mut();
+        let before = outer.as_ref().map_or(self.last_closed, |o| o.last_closed);
+        let kept = match before.filter(|b| is_repeated(&self.shape, b, &closed)) {
             Some(before) => {
-                let count = self.slots.len() - last.slots;
+                let count = self.literals.len() - closed.first_literal;
                 self.shape.truncate(before.end);
-                self.slots.truncate(last.slots);
-                self.slots[last.slots - count..].iter_mut().for_each(|s| s.folded = true);
+                self.literals.truncate(closed.first_literal);
+                self.literals[closed.first_literal - count..].iter_mut().for_each(|l| l.folded = true);
                 before
             }
-            None => last,
+            None => closed,
         };
         match outer {
             Some(outer) => {
-                // The element is the kept group: the comma that it stood behind may be gone.
-                (outer.element, outer.element_slots) =
-                    (outer.element.min(kept.begin), outer.element_slots.min(kept.slots));
-                outer.inner = Some(kept);
+                // The kept group is now the current element: the comma after which the element began may be gone.
+                (outer.element, outer.element_first_literal) =
+                    (outer.element.min(kept.begin), outer.element_first_literal.min(kept.first_literal));
+                outer.last_closed = Some(kept);
             }
-            None => self.outermost = Some(kept),
+            None => self.last_closed = Some(kept),
         }
     }
 }
 
-/// Whether two neighbours, a comma between, are the same to the letter, and neither belongs to a name before
-/// it: rows of VALUES, or tuples in a list. Guards against the arguments of a call passing for a row.
-fn same(shape: &[u8], before: &Ended, last: &Ended) -> bool {
+/// Whether two groups with a comma between them have the same text, and are rows of VALUES or tuples in a list: neither
+/// follows a name. Guards against the arguments of a call being taken for a row.
+fn is_repeated(shape: &[u8], before: &ClosedGroup, closed: &ClosedGroup) -> bool {
     let head = &shape[..before.begin];
-    &shape[before.end..last.begin] == b", "
-        && shape[before.begin..before.end] == shape[last.begin..last.end]
+    &shape[before.end..closed.begin] == b", "
+        && shape[before.begin..before.end] == shape[closed.begin..closed.end]
         && (head.ends_with(b"values ") || head.ends_with(b"( ") || head.ends_with(b", "))
 }
 
-/// The tokens of a shape, in order: a shape is a text that reads as itself.
+/// The tokens of a shape, in order. Reading a shape as a statement gives the same shape.
 pub(crate) fn tokens(shape: &str) -> impl Iterator<Item = (Token, &str)> {
     let mut lex = Token::lexer(shape.as_bytes());
     std::iter::from_fn(move || {
@@ -504,16 +540,16 @@
     })
 }
 
-/// The value of a literal as text, where it is certain: numbers without signs, points or leading zeros,
-/// strings without escapes.
+/// The value of a literal as text, if it is certain: that of a string without escapes, or of a number of digits only,
+/// without its leading zeros.
 pub fn literal_text(literal: &str) -> Option<String> {
     if let Some(inner) = literal.strip_prefix('\'').and_then(|l| l.strip_suffix('\'')) {
-        let plain = inner.replace("''", "");
-        return (!plain.contains(['\'', '\\'])).then(|| inner.replace("''", "'"));
+        let without_quotes = inner.replace("''", "");
+        return (!without_quotes.contains(['\'', '\\'])).then(|| inner.replace("''", "'"));
     }
     if let Some(rest) = literal.strip_prefix('$') {
-        let tag = rest.find('$')? + 2;
-        return literal.get(tag..literal.len() - tag).map(str::to_string);
+        let tag_len = rest.find('$')? + 2;
+        return literal.get(tag_len..literal.len() - tag_len).map(str::to_string);
     }
     if literal.bytes().all(|b| b.is_ascii_digit()) {
         let significant = literal.trim_start_matches('0');
--- a/crates/sql/src/lib.rs
+++ b/crates/sql/src/lib.rs
@@ -1,14 +1,16 @@
-//! Reads SQL statements as PostgreSQL does, far enough to route them: tokens, the shape, the verdict, the
-//! tables and keys. Pure: no clock, no I/O, no state beyond a reading. It must never say `Read` of what may
-//! write; where it is not sure, it says `Write`.
+//! Reads SQL statements as PostgreSQL does, as far as routing needs it: tokens, the statement's shape, its effect, tables
+//! and keys. Pure: no clock, no I/O, and no state beyond one statement. It must never report [`Effect::Read`] for a
+//! statement that may write; if it is not sure, it reports [`Effect::Write`].
+//!
+//! A shape is a statement's text with lower-case words, without comments, and with a placeholder for each literal.
 //!
 //! ```
 //! use sillfold_sql::{ParseLimits, Effect, Functions, StatementReader, analyze};
 //!
-//! let mut reading = StatementReader::default();
-//! reading.read("SELECT payload FROM entries WHERE ref IN ('a', 'b') -- both").unwrap();
-//! assert_eq!(reading.shape(), "select payload from entries where ref in ( '?' ) ");
-//! let analysis = analyze(reading.shape(), &Functions::default(), &ParseLimits::default());
+//! let mut reader = StatementReader::default();
+//! reader.read("SELECT payload FROM entries WHERE ref IN ('a', 'b') -- both").unwrap();
+//! assert_eq!(reader.shape(), "select payload from entries where ref in ( '?' ) ");
+//! let analysis = analyze(reader.shape(), &Functions::default(), &ParseLimits::default());
 //! assert_eq!(analysis.effect, Effect::Read);
 //! assert_eq!(&*analysis.tables[0], "entries");
 //! ```
--- a/crates/sql/src/scan.rs
+++ b/crates/sql/src/scan.rs
@@ -1,17 +1,17 @@
-//! The scan over the tokens of a shape: the effect as the words, calls and operators show it, without a
-//! grammar, so that no misread grammar can hide a write. It must never take a word that it does not know for
-//! a harmless one.
+//! The scan over the tokens of a shape. It determines the effect by words, calls and operators without a grammar, so that
+//! no error in a grammar can hide a write. It must never take an unknown word for one without effects.
 
 use crate::analysis::{Analysis, Effect, TransactionControl, Unsupported};
 use crate::functions::{FunctionKind, Functions};
 use crate::lex::{Token, tokens};
 
-/// Words with which a statement that only reads may begin.
-const READING: [&str; 6] = ["select", "values", "table", "with", "show", "explain"];
-/// First words of statements that belong to a transaction, and to the session beyond it.
-const TRANSACTION: [&str; 9] =
+/// First words of statements that may be reads.
+const QUERY_WORDS: [&str; 6] = ["select", "values", "table", "with", "show", "explain"];
+/// First words of statements that belong to a transaction.
+const TRANSACTION_WORDS: [&str; 9] =
     ["begin", "start", "commit", "end", "rollback", "abort", "savepoint", "release", "lock"];
-const SESSION: [&str; 13] = [
+/// First words of statements that use session state.
+const SESSION_WORDS: [&str; 13] = [
     "set",
     "reset",
     "discard",
@@ -26,10 +26,10 @@
     "close",
     "load",
 ];
-/// Words that change data wherever they stand in a query.
-const CHANGING: [&str; 5] = ["insert", "update", "delete", "merge", "into"];
-/// Words before a parenthesis that are no calls.
-const NO_CALL: [&str; 64] = [
+/// Words that change data anywhere in a query.
+const CHANGING_WORDS: [&str; 5] = ["insert", "update", "delete", "merge", "into"];
+/// Words that are not a call if a parenthesis follows.
+const NON_CALL_WORDS: [&str; 64] = [
     "all",
     "and",
     "any",
@@ -95,77 +95,81 @@
     "when",
     "where",
 ];
-/// Built-in operators; others may be anybody's, and call anything.
-const OPERATORS: [&str; 66] = [
+/// Built-in operators. Any other may be user-defined and call any function.
+const BUILTIN_OPERATORS: [&str; 66] = [
     "+", "-", "*", "/", "%", "^", "|/", "||/", "@", "&", "|", "#", "~", "<<", ">>", "<", ">", "<=", ">=",
     "=", "<>", "!=", "||", "~~", "~~*", "!~~", "!~~*", "!~", "~*", "!~*", "^@", "&&", "@>", "<@", "->",
     "->>", "#>", "#>>", "?", "?|", "?&", "#-", "@?", "@@", "@@@", "!!", "<->", "<<=", ">>=", "-|-", "&<",
     "&>", "<<|", "|>>", "&<|", "|&>", "<^", ">^", "?#", "?-", "?-|", "?||", "~=", "@-@", "##", "=>",
 ];
 
-/// The scan over the tokens: the analyze who knows no grammar, and so cannot be misled by one.
-pub(crate) struct Scan<'f> {
+/// The scan over the tokens of a shape.
+pub(crate) struct TokenScan<'f> {
     functions: &'f Functions,
+    /// The effect and the unsupported feature found so far. The other fields stay empty.
     pub analysis: Analysis,
-    /// Something other than a query or a change of rows.
+    /// Whether a statement is neither a query nor a change of rows.
     pub utility: bool,
-    /// The deepest nesting of parentheses.
-    pub deepest: usize,
-    /// Operators and joining words of the statement that has the most.
-    pub links: usize,
+    /// The deepest nesting of parentheses and brackets.
+    pub max_depth: usize,
+    /// Operators and joining words, in the statement that has the most.
+    pub operators: usize,
 }
 
-impl<'f> Scan<'f> {
-    /// A scan that has seen nothing yet.
-    pub fn new(functions: &'f Functions) -> Scan<'f> {
-        Scan { functions, analysis: Analysis::new(), utility: false, deepest: 0, links: 0 }
+impl<'f> TokenScan<'f> {
+    /// A scan before its first token.
+    pub fn new(functions: &'f Functions) -> TokenScan<'f> {
+        TokenScan { functions, analysis: Analysis::new(), utility: false, max_depth: 0, operators: 0 }
     }
 
     /// Scans all tokens of a shape.
     pub fn run(&mut self, shape: &str) {
         let tokens: Vec<(Token, &str)> = tokens(shape).collect();
-        let mut most = 0;
+        let mut max_operators = 0;
         for statement in tokens.split(|t| t.0 == Token::Semicolon) {
-            self.links = 0;
-            self.statement(statement);
-            most = most.max(self.links);
+            self.operators = 0;
+            self.scan_statement(statement);
+            max_operators = max_operators.max(self.operators);
         }
-        self.links = most;
+        self.operators = max_operators;
     }
 
-    /// Only the first words of each statement.
-    pub fn heads(&mut self, shape: &str) {
+    /// Scans only the first words of each statement.
+    pub fn run_first_words(&mut self, shape: &str) {
         let tokens: Vec<(Token, &str)> = tokens(shape).collect();
         for statement in tokens.split(|t| t.0 == Token::Semicolon) {
-            self.head(statement);
+            self.scan_first_words(statement);
         }
     }
 
-    /// What the first words alone decide; whether the rest may still be a query or a change of rows.
-    fn head(&mut self, statement: &[(Token, &str)]) -> bool {
-        let begin = statement.iter().position(|t| t.0 != Token::Open).unwrap_or(statement.len());
+    /// Scans the first words of a statement. Returns whether the statement may be a query or a change of rows, so that the
+    /// rest matters.
+    fn scan_first_words(&mut self, statement: &[(Token, &str)]) -> bool {
+        let begin = statement.iter().position(|t| t.0 != Token::OpenParen).unwrap_or(statement.len());
         let words: Vec<&str> = statement[begin..].iter().take(4).map(|t| t.1).collect();
-        let (first, second) = (words.first().copied().unwrap_or(""), words.get(1).copied().unwrap_or(""));
+        let first = words.first().copied().unwrap_or("");
+        let second = words.get(1).copied().unwrap_or("");
         match first {
-            _ if TRANSACTION.contains(&first) || (first, second) == ("prepare", "transaction") => {
-                let to = statement[begin..].iter().any(|t| (t.0, t.1) == (Token::Word, "to"));
+            _ if TRANSACTION_WORDS.contains(&first) || (first, second) == ("prepare", "transaction") => {
+                let has_to = statement[begin..].iter().any(|t| (t.0, t.1) == (Token::Word, "to"));
                 let control = match first {
                     _ if second == "prepared" => TransactionControl::Within,
                     "begin" | "start" => TransactionControl::Begin,
-                    "rollback" if to => TransactionControl::Within,
+                    "rollback" if has_to => TransactionControl::Within,
                     "commit" | "end" | "abort" | "rollback" | "prepare" => TransactionControl::End,
                     _ => TransactionControl::Within,
                 };
-                // Transactions outrank what else can't be carried, and the last one counts.
-                let known = matches!(self.analysis.unsupported, Some(Unsupported::Transaction(_)));
-                if !known || control != TransactionControl::Within {
+                // Transaction control takes precedence over other unsupported features. The last word that begins or ends a
+                // transaction counts.
+                let has_control = matches!(self.analysis.unsupported, Some(Unsupported::Transaction(_)));
+                if !has_control || control != TransactionControl::Within {
                     self.analysis.unsupported = Some(Unsupported::Transaction(control));
                 }
                 self.analysis
                     .raise(Effect::Session, format!("{} belongs to a transaction", first.to_uppercase()));
                 false
             }
-            _ if SESSION.contains(&first) => {
+            _ if SESSION_WORDS.contains(&first) => {
                 self.analysis.unsupported = self.analysis.unsupported.or(Some(Unsupported::Session));
                 self.analysis
                     .raise(Effect::Session, format!("{} belongs to a session", first.to_uppercase()));
@@ -185,77 +189,83 @@
                 self.analysis.raise(Effect::Write, format!("{} changes rows", first.to_uppercase()));
                 true
             }
-            _ if READING.contains(&first) => true,
+            _ if QUERY_WORDS.contains(&first) => true,
             _ => {
                 self.utility = true;
-                let what: String = first.chars().take(40).collect();
+                let word: String = first.chars().take(40).collect();
                 self.analysis
-                    .raise(Effect::Write, format!("{} is not known to be a query", what.to_uppercase()));
+                    .raise(Effect::Write, format!("{} is not known to be a query", word.to_uppercase()));
                 false
             }
         }
     }
 
-    fn statement(&mut self, tokens: &[(Token, &str)]) {
-        if !self.head(tokens) {
+    /// Scans one statement.
+    fn scan_statement(&mut self, tokens: &[(Token, &str)]) {
+        if !self.scan_first_words(tokens) {
             return;
         }
-        let first = tokens.iter().find(|t| t.0 != Token::Open).map_or("", |t| t.1);
+        let first = tokens.iter().find(|t| t.0 != Token::OpenParen).map_or("", |t| t.1);
         let word = |i: usize| tokens.get(i).filter(|t| t.0 == Token::Word).map_or("", |t| t.1);
-        let analyzes = |t: &(Token, &str)| matches!(bare(t.1), "analyze" | "analyse");
-        let explained = first == "explain" && !tokens.iter().any(analyzes);
+        let is_analyze = |t: &(Token, &str)| matches!(unquoted(t.1), "analyze" | "analyse");
+        // EXPLAIN without ANALYZE plans the statement and doesn't run it.
+        let only_explained = first == "explain" && !tokens.iter().any(is_analyze);
         if first == "explain" {
-            let run = (1..tokens.len()).map(word).find(|w| ["execute", "prepare", "declare"].contains(w));
-            if let Some(run) = run {
+            let session_word =
+                (1..tokens.len()).map(word).find(|w| ["execute", "prepare", "declare"].contains(w));
+            if let Some(session_word) = session_word {
                 self.analysis.unsupported = self.analysis.unsupported.or(Some(Unsupported::Session));
-                self.analysis.raise(Effect::Session, format!("{} belongs to a session", run.to_uppercase()));
+                self.analysis
+                    .raise(Effect::Session, format!("{} belongs to a session", session_word.to_uppercase()));
             }
             if (1..tokens.len()).any(|i| ["create", "refresh"].contains(&word(i))) {
                 self.analysis.raise(Effect::Write, "what is explained creates something");
             }
         }
-        // For each open parenthesis, whether an expression and not an alias may follow its end.
-        let mut open: Vec<bool> = Vec::new();
+        // For each open parenthesis, whether an expression, rather than an alias, follows its end. That is so after
+        // DISTINCT ON (...).
+        let mut open_groups: Vec<bool> = Vec::new();
         let mut expression_follows = false;
         for (i, &(token, text)) in tokens.iter().enumerate() {
             match token {
-                Token::Open | Token::OpenBracket => {
-                    if token == Token::Open {
-                        self.call(tokens, i, expression_follows);
+                Token::OpenParen | Token::OpenBracket => {
+                    if token == Token::OpenParen {
+                        self.scan_call(tokens, i, expression_follows);
                     }
-                    open.push(i >= 2 && word(i - 1) == "on" && word(i - 2) == "distinct");
-                    self.deepest = self.deepest.max(open.len());
+                    open_groups.push(i >= 2 && word(i - 1) == "on" && word(i - 2) == "distinct");
+                    self.max_depth = self.max_depth.max(open_groups.len());
                 }
-                Token::Close | Token::CloseBracket => {
-                    expression_follows = open.pop().unwrap_or(true);
+                Token::CloseParen | Token::CloseBracket => {
+                    expression_follows = open_groups.pop().unwrap_or(true);
                     continue;
                 }
-                Token::Operator if !OPERATORS.contains(&text) => {
+                Token::Operator if !BUILTIN_OPERATORS.contains(&text) => {
                     self.analysis.raise(Effect::Write, format!("the operator {text} is not known"));
                 }
-                Token::Operator | Token::Double => self.links += 1,
-                Token::Word => self.word(tokens, i, explained),
-                Token::Quoted | Token::UnicodeQuoted => self.mention(tokens, i),
+                Token::Operator | Token::CompoundSymbol => self.operators += 1,
+                Token::Word => self.scan_word(tokens, i, only_explained),
+                Token::QuotedName | Token::UnicodeQuotedName => self.scan_name(tokens, i),
                 _ => {}
             }
-            if !matches!(token, Token::Word | Token::Quoted | Token::UnicodeQuoted | Token::Dot) {
+            if !matches!(token, Token::Word | Token::QuotedName | Token::UnicodeQuotedName | Token::Dot) {
                 expression_follows = false;
             }
         }
     }
 
-    fn word(&mut self, tokens: &[(Token, &str)], i: usize, explained: bool) {
+    /// Scans a word that is not quoted.
+    fn scan_word(&mut self, tokens: &[(Token, &str)], i: usize, only_explained: bool) {
         let text = tokens[i].1;
         let next = |n: usize| tokens.get(i + n).map_or("", |t| t.1);
-        // A column of such a name: nothing that changes data stands behind a point.
-        let column = i > 0 && tokens[i - 1].0 == Token::Dot;
+        // A word after a dot is the name of a column, so it changes no data.
+        let is_column = i > 0 && tokens[i - 1].0 == Token::Dot;
         match text {
-            _ if column => {}
+            _ if is_column => {}
             "and" | "or" | "not" | "union" | "except" | "intersect" | "join" | "is" | "like" | "ilike"
             | "in" | "between" | "similar" | "case" | "when" | "collate" | "at" | "isnull" | "notnull" => {
-                self.links += 1;
+                self.operators += 1;
             }
-            "for" if matches!(next(1), "update" | "share" | "no" | "key") && !explained => {
+            "for" if matches!(next(1), "update" | "share" | "no" | "key") && !only_explained => {
                 self.analysis.raise(Effect::Write, "it locks the rows that it reads");
             }
             "into" if matches!(next(1), "temp" | "temporary" | "local") => {
@@ -268,41 +278,43 @@
             "tablesample" if !matches!(next(1), "system" | "bernoulli") => {
                 self.analysis.raise(Effect::Write, "the sampling method is not known");
             }
-            _ if CHANGING.contains(&text) && !explained => {
-                let what = text.to_uppercase();
-                self.analysis.raise(Effect::Write, format!("{what} stands in it"));
+            _ if CHANGING_WORDS.contains(&text) && !only_explained => {
+                let word = text.to_uppercase();
+                self.analysis.raise(Effect::Write, format!("{word} stands in it"));
             }
             _ => {}
         }
-        self.mention(tokens, i);
+        self.scan_name(tokens, i);
     }
 
-    /// Names that operators listed as having effects.
-    fn mention(&mut self, tokens: &[(Token, &str)], i: usize) {
+    /// Checks whether the operator listed a name as having effects.
+    fn scan_name(&mut self, tokens: &[(Token, &str)], i: usize) {
         if !self.functions.any_with_effects() {
             return;
         }
-        let whole = dotted(tokens, i).join(".");
-        if self.functions.has_effects(bare(tokens[i].1)) || self.functions.has_effects(&whole) {
-            self.analysis.raise(Effect::Write, format!("{whole} is listed as having effects"));
+        let qualified_name = name_parts(tokens, i).join(".");
+        if self.functions.has_effects(unquoted(tokens[i].1)) || self.functions.has_effects(&qualified_name) {
+            self.analysis.raise(Effect::Write, format!("{qualified_name} is listed as having effects"));
         }
     }
 
-    /// What stands before an open parenthesis: a call of a known function, or no call.
-    fn call(&mut self, tokens: &[(Token, &str)], open: usize, expression_follows: bool) {
+    /// Scans the name before the open parenthesis at `open`. If it is a call, its function must be a known one. With
+    /// `expression_follows`, the name follows a parenthesis after which an expression begins, so it is not an alias.
+    fn scan_call(&mut self, tokens: &[(Token, &str)], open: usize, expression_follows: bool) {
         let Some(i) = open.checked_sub(1) else { return };
         let (token, text) = tokens[i];
-        let name = matches!(token, Token::Quoted | Token::UnicodeQuoted) || token == Token::Word;
-        if !name {
+        let is_name = matches!(token, Token::QuotedName | Token::UnicodeQuotedName) || token == Token::Word;
+        if !is_name {
             return;
         }
-        let parts = dotted(tokens, i);
+        let parts = name_parts(tokens, i);
         let begin = i + 2 - parts.len() * 2;
         let (before, before_text) = begin.checked_sub(1).map_or((Token::Other, ""), |b| tokens[b]);
-        let keyword = token == Token::Word && parts.len() == 1;
-        // Some are no reserved words, and a function may have their name: only where the grammar has them.
-        let placed = match text {
-            "filter" | "over" => before == Token::Close || before_text == "nulls",
+        let is_single_word = token == Token::Word && parts.len() == 1;
+        // Some of the words are not reserved, so a function may have their name. They are keywords only where the grammar
+        // allows them.
+        let is_keyword_here = match text {
+            "filter" | "over" => before == Token::CloseParen || before_text == "nulls",
             "sets" => before_text == "grouping",
             "by" => ["group", "order", "partition"].contains(&before_text),
             "explain" => begin == 0,
@@ -310,66 +322,67 @@
             "varying" => ["character", "char", "bit"].contains(&before_text),
             _ => true,
         };
-        if keyword && placed && NO_CALL.contains(&text) {
+        if is_single_word && is_keyword_here && NON_CALL_WORDS.contains(&text) {
             return;
         }
-        let alias = match before {
+        let is_alias_or_type = match before {
             Token::Word => ["as", "recursive", "with", "tablesample"].contains(&before_text),
-            // The length of a type.
-            Token::Double => before_text == "::",
-            Token::Close => !expression_follows,
+            // A type with its length.
+            Token::CompoundSymbol => before_text == "::",
+            Token::CloseParen => !expression_follows,
             _ => false,
         };
-        let common = self.is_common_table(tokens, open);
-        if parts.len() == 1 && (alias || common) {
+        let is_common_table = self.is_common_table(tokens, open);
+        if parts.len() == 1 && (is_alias_or_type || is_common_table) {
             return;
         }
         match self.functions.kind(&parts) {
             Some(FunctionKind::SideEffectFree | FunctionKind::Aggregate) => {}
             Some(FunctionKind::Session) => {
-                let what = parts.join(".");
-                self.analysis.raise(Effect::Session, format!("{what}() belongs to a session"));
+                let name = parts.join(".");
+                self.analysis.raise(Effect::Session, format!("{name}() belongs to a session"));
             }
             None => {
-                let what: String = parts.join(".").chars().take(80).collect();
-                self.analysis.raise(Effect::Write, format!("{what}() is not known to be free of effects"));
+                let name: String = parts.join(".").chars().take(80).collect();
+                self.analysis.raise(Effect::Write, format!("{name}() is not known to be free of effects"));
             }
         }
     }
 
-    /// Whether the names in these parentheses are the columns of a common table: `x (a, b) as (select`.
-    /// A function's column definitions `f(x) as (a int` never begin with these words, which are reserved.
+    /// Whether the parentheses that open here contain the columns of a common table, as in `x (a, b) as (select`. The column
+    /// definitions of a function, as in `f(x) as (a int`, never begin with the words after `as (`, which are reserved.
     fn is_common_table(&self, tokens: &[(Token, &str)], open: usize) -> bool {
-        let Some(close) = tokens[open..].iter().take(64).position(|t| t.0 == Token::Close) else {
+        let Some(close) = tokens[open..].iter().take(64).position(|t| t.0 == Token::CloseParen) else {
             return false;
         };
-        let names = |t: &(Token, &str)| matches!(t.0, Token::Word | Token::Quoted | Token::Comma);
+        let is_name_or_comma =
+            |t: &(Token, &str)| matches!(t.0, Token::Word | Token::QuotedName | Token::Comma);
         let rest: Vec<&str> = tokens[open + close + 1..].iter().take(5).map(|t| t.1).collect();
         let rest = match rest.as_slice() {
             ["as", "not", "materialized", rest @ ..] | ["as", "materialized", rest @ ..] => rest,
             ["as", rest @ ..] => rest,
             _ => return false,
         };
-        tokens[open + 1..open + close].iter().all(names)
+        tokens[open + 1..open + close].iter().all(is_name_or_comma)
             && matches!(rest, ["(", "select" | "with" | "table", ..])
     }
 }
 
 /// A name without its quotes.
-fn bare(text: &str) -> &str {
+fn unquoted(text: &str) -> &str {
     text.strip_prefix('"').and_then(|t| t.strip_suffix('"')).unwrap_or(text)
 }
 
-/// The parts of the dotted name that ends here, without quotes.
-fn dotted(tokens: &[(Token, &str)], last: usize) -> Vec<String> {
-    let part = |text: &str| bare(text).replace("\"\"", "\"");
+/// The unquoted parts of the qualified name that ends at the token `last`.
+fn name_parts(tokens: &[(Token, &str)], last: usize) -> Vec<String> {
+    let part = |text: &str| unquoted(text).replace("\"\"", "\"");
     let mut parts = vec![part(tokens[last].1)];
     let mut i = last;
-    // PostgreSQL knows four at most.
+    // PostgreSQL allows at most four parts.
     while i >= 2
         && parts.len() < 5
         && tokens[i - 1].0 == Token::Dot
-        && matches!(tokens[i - 2].0, Token::Word | Token::Quoted | Token::UnicodeQuoted)
+        && matches!(tokens[i - 2].0, Token::Word | Token::QuotedName | Token::UnicodeQuotedName)
     {
         i -= 2;
         parts.insert(0, part(tokens[i].1));
--- a/crates/sql/tests/corpus.rs
+++ b/crates/sql/tests/corpus.rs
@@ -1,37 +1,41 @@
-//! The corpus of tricky statements, and what must hold of any statement at all.
+//! Checks the corpus of difficult statements, and properties that hold for every statement.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use sillfold_sql::*;
 
-/// The verdict as the proxy takes it: the shape's, and no read where another setting would read otherwise.
-fn verdict(text: &str) -> (Effect, String) {
-    let mut reading = StatementReader::default();
-    if let Err(e) = reading.read(text) {
+/// The effect that the proxy uses, and its reason: that of the shape, made stricter if the quoting is ambiguous.
+fn effect_and_reason(text: &str) -> (Effect, String) {
+    let mut reader = StatementReader::default();
+    if let Err(e) = reader.read(text) {
         return (Effect::Invalid, e.message().to_string());
     }
-    let analysis = reading.analyze(&Functions::default(), &ParseLimits::default());
+    let analysis = reader.analyze(&Functions::default(), &ParseLimits::default());
     (analysis.effect, analysis.reason.into_owned())
 }
 
 fn shape(text: &str) -> String {
-    let mut reading = StatementReader::default();
-    reading.read(text).unwrap_or_else(|e| panic!("{text}: {e:?}"));
-    reading.shape().to_string()
+    let mut reader = StatementReader::default();
+    reader.read(text).unwrap_or_else(|e| panic!("{text}: {e:?}"));
+    reader.shape().to_string()
 }
 
 #[test]
-fn every_statement_of_the_corpus_has_its_verdict_for_its_reason() {
+fn corpus_statements_have_the_expected_effect_and_reason() {
     let corpus = include_str!("corpus.txt");
     let (mut count, mut wrong) = (0, Vec::new());
     for line in corpus.lines().filter(|l| !l.starts_with('#') && !l.is_empty()) {
         let mut parts = line.splitn(3, " | ");
-        let [effect, reason] = [parts.next(), parts.next()].map(|p| p.expect("three parts"));
+        let [expected_effect, expected_reason] =
+            [parts.next(), parts.next()].map(|p| p.expect("three parts"));
         let text = parts.next().unwrap_or("").replace('⏎', "\n");
-        let (found, why) = verdict(&text);
+        let (effect, reason) = effect_and_reason(&text);
         count += 1;
-        if found.name() != effect || !why.contains(reason) {
-            wrong.push(format!("{text}\n    {effect} for {reason:?}, found {} for {why:?}", found.name()));
+        if effect.name() != expected_effect || !reason.contains(expected_reason) {
+            wrong.push(format!(
+                "{text}\n    {expected_effect} for {expected_reason:?}, found {} for {reason:?}",
+                effect.name()
+            ));
         }
     }
     assert!(wrong.is_empty(), "{} of {count}:\n{}", wrong.len(), wrong.join("\n"));
@@ -39,7 +43,7 @@
 }
 
 #[test]
-fn lists_and_rows_fold_into_one_shape_and_nothing_that_decides_does() {
+fn lists_and_rows_fold_into_one_shape_and_significant_tokens_do_not() {
     let same = [
         ["SELECT a FROM t WHERE b IN (1)", "select  a from t where b in (1, -2,3,\n4);"],
         ["SELECT a FROM t WHERE b IN ('x')", "SELECT a FROM t WHERE b IN ('y', E'z', $$w$$)"],
@@ -73,17 +77,17 @@
 }
 
 #[test]
-fn keys_are_found_where_every_row_has_them_and_nowhere_else() {
+fn keys_are_columns_equal_to_a_literal_in_every_row() {
     let keys = |text: &str| {
-        let mut reading = StatementReader::default();
-        reading.read(text).expect(text);
-        let analysis = reading.analyze(&Functions::default(), &ParseLimits::default());
+        let mut reader = StatementReader::default();
+        reader.read(text).expect(text);
+        let analysis = reader.analyze(&Functions::default(), &ParseLimits::default());
         let value = |k: &KeyLiteral| {
-            let slot = &reading.literals()[usize::from(k.literal_index)];
-            let text = literal_text(&text[slot.span.clone()]);
+            let literal = &reader.literals()[usize::from(k.literal_index)];
+            let text = literal_text(&text[literal.span.clone()]);
             let sign = if k.negative { "-" } else { "" };
-            let many = if slot.folded { "..." } else { "" };
-            format!("{}={sign}{}{many}", k.column, text.as_deref().unwrap_or("?"))
+            let folded = if literal.folded { "..." } else { "" };
+            format!("{}={sign}{}{folded}", k.column, text.as_deref().unwrap_or("?"))
         };
         let mut found: Vec<String> = analysis.keys.iter().map(value).collect();
         found.sort();
@@ -105,63 +109,63 @@
 }
 
 #[test]
-fn depth_length_and_number_are_bounded_in_time_and_never_read() {
-    let deep = 100_000;
+fn excessive_depth_length_or_count_is_a_write_in_bounded_time() {
+    let depth = 100_000;
     let texts = [
-        format!("SELECT {}1{}", "(".repeat(deep), ")".repeat(deep)),
-        format!("SELECT {}", "(".repeat(deep)),
-        format!("SELECT {}1", "- ".repeat(deep)),
-        format!("SELECT {}true", "NOT ".repeat(deep)),
-        format!("SELECT 1{}", " + 1".repeat(deep)),
-        format!("SELECT 1{}", "::int".repeat(deep)),
-        format!("SELECT 1{}", " UNION SELECT 1".repeat(deep)),
-        format!("SELECT {}1{}", "CASE WHEN ".repeat(deep), " THEN 1 END".repeat(deep)),
-        format!("SELECT {}1", "ARRAY[".repeat(deep)),
-        format!("{}SELECT 1", "EXPLAIN ".repeat(deep)),
-        format!("SELECT a{}", ".b".repeat(deep)),
-        format!("SELECT f{}", " (f".repeat(deep)),
+        format!("SELECT {}1{}", "(".repeat(depth), ")".repeat(depth)),
+        format!("SELECT {}", "(".repeat(depth)),
+        format!("SELECT {}1", "- ".repeat(depth)),
+        format!("SELECT {}true", "NOT ".repeat(depth)),
+        format!("SELECT 1{}", " + 1".repeat(depth)),
+        format!("SELECT 1{}", "::int".repeat(depth)),
+        format!("SELECT 1{}", " UNION SELECT 1".repeat(depth)),
+        format!("SELECT {}1{}", "CASE WHEN ".repeat(depth), " THEN 1 END".repeat(depth)),
+        format!("SELECT {}1", "ARRAY[".repeat(depth)),
+        format!("{}SELECT 1", "EXPLAIN ".repeat(depth)),
+        format!("SELECT a{}", ".b".repeat(depth)),
+        format!("SELECT f{}", " (f".repeat(depth)),
         format!("SELECT {}", "f(".repeat(1_500)),
-        format!("SELECT 1 FROM t{}", " JOIN t ON true".repeat(deep)),
+        format!("SELECT 1 FROM t{}", " JOIN t ON true".repeat(depth)),
         format!("SELECT 1 FROM {}t", "t JOIN (".repeat(90)),
-        format!("WITH a AS ({}SELECT 1", "WITH a AS (".repeat(deep)),
-        "SELECT 1;".repeat(deep),
-        format!("SELECT {}", "a b ".repeat(deep)),
+        format!("WITH a AS ({}SELECT 1", "WITH a AS (".repeat(depth)),
+        "SELECT 1;".repeat(depth),
+        format!("SELECT {}", "a b ".repeat(depth)),
     ];
     for text in &texts {
         let begun = std::time::Instant::now();
-        let (effect, why) = verdict(text);
+        let (effect, reason) = effect_and_reason(text);
         let head: String = text.chars().take(40).collect();
-        assert_eq!(effect, Effect::Write, "{head}: {why}");
-        // Far more than it takes, far less than what grows with the square.
+        assert_eq!(effect, Effect::Write, "{head}: {reason}");
+        // This is far longer than linear time needs and far shorter than quadratic time.
         assert!(begun.elapsed().as_secs() < 5, "{head}: {:?}", begun.elapsed());
     }
-    // Within the bounds everything is walked without coming near the end of a test's stack.
-    let bounds = ParseLimits::default();
+    // Statements within the limits are parsed and walked without exhausting a test's stack.
+    let limits = ParseLimits::default();
     for (text, read) in [
-        (format!("SELECT {}1{}", "(".repeat(bounds.max_depth), ")".repeat(bounds.max_depth)), true),
-        (format!("SELECT 1{}", " + 1".repeat(bounds.max_operators)), true),
-        (format!("SELECT 1{}", " + 1".repeat(bounds.max_operators + 1)), false),
+        (format!("SELECT {}1{}", "(".repeat(limits.max_depth), ")".repeat(limits.max_depth)), true),
+        (format!("SELECT 1{}", " + 1".repeat(limits.max_operators)), true),
+        (format!("SELECT 1{}", " + 1".repeat(limits.max_operators + 1)), false),
         (format!("SELECT a FROM t WHERE {}", vec!["a = 1"; 100].join(" OR ")), true),
     ] {
-        assert_eq!(verdict(&text).0 == Effect::Read, read, "{}", &text[..40]);
+        assert_eq!(effect_and_reason(&text).0 == Effect::Read, read, "{}", &text[..40]);
     }
-    let mut reading = StatementReader::default();
-    assert_eq!(reading.read_bytes(b"SELECT '\xff'").err(), Some(ReadError::Encoding));
-    assert_eq!(reading.read_bytes(b"SELECT 1\0").err(), Some(ReadError::Nul));
-    // A reading that failed leaves nothing behind.
-    reading.read("SELECT 2").expect("read");
-    assert_eq!(reading.shape(), "select 0 ");
+    let mut reader = StatementReader::default();
+    assert_eq!(reader.read_bytes(b"SELECT '\xff'").err(), Some(ReadError::Encoding));
+    assert_eq!(reader.read_bytes(b"SELECT 1\0").err(), Some(ReadError::Nul));
+    // A failed read leaves nothing behind.
+    reader.read("SELECT 2").expect("read");
+    assert_eq!(reader.shape(), "select 0 ");
 }
 
 #[test]
-fn operators_add_functions_and_names_with_effects() {
-    let judged = |text: &str, additions: &FunctionAdditions| {
-        let mut reading = StatementReader::default();
-        reading.read(text).expect(text);
-        reading.analyze(&Functions::new(additions), &ParseLimits::default()).effect
+fn function_additions_change_the_effect() {
+    let effect = |text: &str, additions: &FunctionAdditions| {
+        let mut reader = StatementReader::default();
+        reader.read(text).expect(text);
+        reader.analyze(&Functions::new(additions), &ParseLimits::default()).effect
     };
-    let none = FunctionAdditions::default();
-    let some = FunctionAdditions {
+    let no_additions = FunctionAdditions::default();
+    let additions_under_test = FunctionAdditions {
         side_effect_free: vec!["gis.area".into(), "bearing".into()],
         with_effects: vec!["audit_view".into(), "lower".into(), "app.touching".into()],
         omit_builtin: false,
@@ -177,17 +181,22 @@
         ("SELECT * FROM app.touching", Effect::Read, Effect::Write),
         ("SELECT lower(x) FROM t", Effect::Read, Effect::Write),
     ] {
-        assert_eq!((judged(text, &none), judged(text, &some)), (before, after), "{text}");
+        assert_eq!(
+            (effect(text, &no_additions), effect(text, &additions_under_test)),
+            (before, after),
+            "{text}"
+        );
     }
-    let bare = FunctionAdditions { omit_builtin: true, ..FunctionAdditions::default() };
-    assert_eq!(judged("SELECT upper(x) FROM t", &bare), Effect::Write);
+    let without_builtin = FunctionAdditions { omit_builtin: true, ..FunctionAdditions::default() };
+    assert_eq!(effect("SELECT upper(x) FROM t", &without_builtin), Effect::Write);
 }
 
-/// Syntax in which a hole stands for an expression, a query or a common table that writes.
-fn wrapped(inner: Hole, wraps: &[u8]) -> String {
-    let (mut text, mut kind) = match inner {
-        Hole::Call(call) => (call.to_string(), 'e'),
-        Hole::Query(query) => (query.to_string(), 'q'),
+/// Nests a payload in syntax that only reads. Each of `wraps` selects one more level: `e` marks a text that is an
+/// expression so far, `q` a query, and `s` a whole statement that can't be nested further.
+fn nested_in_read_syntax(payload: Payload, wraps: &[u8]) -> String {
+    let (mut text, mut kind) = match payload {
+        Payload::Call(call) => (call.to_string(), 'e'),
+        Payload::Query(query) => (query.to_string(), 'q'),
     };
     for wrap in wraps {
         (text, kind) = match (kind, wrap % 12) {
@@ -223,34 +232,36 @@
     if kind == 'e' { format!("SELECT {text}") } else { text }
 }
 
+/// What is nested.
 #[derive(Clone, Copy, Debug)]
-enum Hole {
+enum Payload {
     Call(&'static str),
     Query(&'static str),
 }
 
-const HOLES: [Hole; 12] = [
-    Hole::Call("purge()"),
-    Hole::Call("nextval('s')"),
-    Hole::Call("app.lower('x')"),
-    Hole::Call("\"Lower\"('x')"),
-    Hole::Call("purge /* c */ (1, 2)"),
-    Hole::Call("set_config('a', 'b', true)"),
-    Hole::Query("DELETE FROM t RETURNING a"),
-    Hole::Query("INSERT INTO t VALUES (1), (2) RETURNING a"),
-    Hole::Query("UPDATE t SET a = 'x' RETURNING a"),
-    Hole::Query("SELECT a FROM t FOR UPDATE"),
-    Hole::Query("SELECT a INTO u FROM t"),
-    Hole::Query("WITH d AS (DELETE FROM t RETURNING a) SELECT a FROM d"),
+/// Payloads that write.
+const WRITES: [Payload; 12] = [
+    Payload::Call("purge()"),
+    Payload::Call("nextval('s')"),
+    Payload::Call("app.lower('x')"),
+    Payload::Call("\"Lower\"('x')"),
+    Payload::Call("purge /* c */ (1, 2)"),
+    Payload::Call("set_config('a', 'b', true)"),
+    Payload::Query("DELETE FROM t RETURNING a"),
+    Payload::Query("INSERT INTO t VALUES (1), (2) RETURNING a"),
+    Payload::Query("UPDATE t SET a = 'x' RETURNING a"),
+    Payload::Query("SELECT a FROM t FOR UPDATE"),
+    Payload::Query("SELECT a INTO u FROM t"),
+    Payload::Query("WITH d AS (DELETE FROM t RETURNING a) SELECT a FROM d"),
 ];
 
-/// Keywords in another case and white space in another form: the same statement.
-fn disguised(text: &str, seed: u64) -> String {
+/// Changes the case of letters and the form of white space outside of quotes, which leaves the statement the same.
+fn with_random_case_and_space(text: &str, seed: u64) -> String {
     let mut out = String::new();
     let (mut state, mut quote) = (seed | 1, None);
     for c in text.chars() {
         state = state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-        let lot = state >> 33;
+        let draw = state >> 33;
         match (quote, c) {
             (None, '\'' | '"' | '$') => quote = Some(c),
             (Some(q), c) if q == c => quote = None,
@@ -258,9 +269,9 @@
         }
         match c {
             ' ' if quote.is_none() => {
-                out.push_str([" ", "\n", "\t", "  ", " /* DELETE */ "][(lot % 5) as usize])
+                out.push_str([" ", "\n", "\t", "  ", " /* DELETE */ "][(draw % 5) as usize])
             }
-            c if quote.is_none() && lot % 3 == 0 => out.extend(c.to_uppercase()),
+            c if quote.is_none() && draw % 3 == 0 => out.extend(c.to_uppercase()),
             c => out.push(c),
         }
     }
@@ -271,29 +282,29 @@
     #![proptest_config(ProptestConfig { cases: 2_000, failure_persistence: None, rng_seed: RngSeed::Fixed(0x0511_f01d), ..ProptestConfig::default() })]
 
     #[test]
-    fn a_write_in_harmless_syntax_stays_a_write(
-        hole in 0..HOLES.len(), wraps in prop::collection::vec(any::<u8>(), 0..6), seed in any::<u64>(),
+    fn write_nested_in_read_syntax_stays_a_write(
+        write_index in 0..WRITES.len(), wraps in prop::collection::vec(any::<u8>(), 0..6), seed in any::<u64>(),
     ) {
-        let text = wrapped(HOLES[hole], &wraps);
-        let text = if text.contains("--") { text } else { disguised(&text, seed) };
-        let (effect, why) = verdict(&text);
-        prop_assert!(effect >= Effect::Write, "{:?} {} for {}", text, effect.name(), why);
+        let text = nested_in_read_syntax(WRITES[write_index], &wraps);
+        let text = if text.contains("--") { text } else { with_random_case_and_space(&text, seed) };
+        let (effect, reason) = effect_and_reason(&text);
+        prop_assert!(effect >= Effect::Write, "{:?} {} for {}", text, effect.name(), reason);
     }
 
     #[test]
-    fn the_same_syntax_round_a_known_function_is_read(
+    fn known_function_nested_in_read_syntax_is_a_read(
         wraps in prop::collection::vec(any::<u8>().prop_filter("one statement", |w| w % 12 != 8), 0..4),
         seed in any::<u64>(),
     ) {
-        // Shows that the test above does not pass because nothing is ever a read.
-        let text = wrapped(Hole::Call("upper('x')"), &wraps);
-        let text = if text.contains("--") { text } else { disguised(&text, seed) };
-        let (effect, why) = verdict(&text);
-        prop_assert!(effect == Effect::Read, "{:?} {} for {}", text, effect.name(), why);
+        // Guards against the test above passing because nothing is ever a read.
+        let text = nested_in_read_syntax(Payload::Call("upper('x')"), &wraps);
+        let text = if text.contains("--") { text } else { with_random_case_and_space(&text, seed) };
+        let (effect, reason) = effect_and_reason(&text);
+        prop_assert!(effect == Effect::Read, "{:?} {} for {}", text, effect.name(), reason);
     }
 
     #[test]
-    fn any_text_is_read_without_a_panic_and_its_shape_reads_as_itself(
+    fn any_text_is_read_without_a_panic_and_its_shape_has_itself_as_shape(
         text in prop::collection::vec(prop::sample::select(vec![
             "'", "''", "\"", "$$", "$a$", "E'", "\\", "/*", "*/", "--", "\n", "(", ")", "[", "]", ",", ";",
             "select", "in", "values", "array", "begin", "atomic", "create", "end", "case", "1", "-", "+", ".", ":",
@@ -301,17 +312,17 @@
         ]), 0..60),
     ) {
         let text = text.concat();
-        let mut reading = StatementReader::default();
-        if reading.read(&text).is_ok() {
-            let first = reading.analyze(&Functions::default(), &ParseLimits::default()).effect;
-            let (shape, slots) = (reading.shape().to_string(), reading.literals().len());
-            for slot in reading.literals() {
-                prop_assert!(text.get(slot.span.clone()).is_some());
+        let mut reader = StatementReader::default();
+        if reader.read(&text).is_ok() {
+            let first_effect = reader.analyze(&Functions::default(), &ParseLimits::default()).effect;
+            let (shape, literal_count) = (reader.shape().to_string(), reader.literals().len());
+            for literal in reader.literals() {
+                prop_assert!(text.get(literal.span.clone()).is_some());
             }
-            reading.read(&shape).expect("a shape is a statement");
-            prop_assert_eq!(reading.shape(), &shape);
-            prop_assert_eq!(reading.literals().len(), slots);
-            prop_assert!(reading.analyze(&Functions::default(), &ParseLimits::default()).effect <= first);
+            reader.read(&shape).expect("a shape is a statement");
+            prop_assert_eq!(reader.shape(), &shape);
+            prop_assert_eq!(reader.literals().len(), literal_count);
+            prop_assert!(reader.analyze(&Functions::default(), &ParseLimits::default()).effect <= first_effect);
         }
     }
 }
