--- a/crates/sql/src/lex.rs
+++ b/crates/sql/src/lex.rs
@@ -115,7 +115,7 @@
     lex.bump(rest.iter().position(|&b| !IS_WORD_BYTE[usize::from(b)]).unwrap_or(rest.len()));
 }
 
-/// Consumes the rest of a block comment. Comments nest in PostgreSQL, unlike in most other languages.
+/// Consumes the rest of a block comment. Block comments nest in PostgreSQL, unlike in most languages.
 fn block_comment(lex: &mut TokenLexer) -> Result<Skip, Unterminated> {
     let bytes = lex.remainder();
     let (mut depth, mut at) = (1usize, 0);
@@ -191,7 +191,7 @@
     }
 }
 
-/// Consumes the rest of a string in which a backslash escapes the next character.
+/// Consumes the rest of an escape string (`E'...'`), in which a backslash escapes the next character.
 fn escape_string(lex: &mut TokenLexer) -> Result<(), Unterminated> {
     let bytes = lex.remainder();
     let mut at = 0;
@@ -271,8 +271,8 @@
     element: usize,
     /// The index of the current element's first literal.
     element_first_literal: usize,
-    /// Whether all elements so far are literals, folded into the first one.
-    only_literals: bool,
+    /// Whether the previous element is a literal, into which a literal that follows is folded.
+    previous_is_literal: bool,
     /// The last group that was closed within this one.
     last_closed: Option<ClosedGroup>,
 }
@@ -417,14 +417,14 @@
                 let first_literal = self.literals.len();
                 self.shape.extend_from_slice(if token == Token::OpenParen { b"( " } else { b"[ " });
                 let element = self.shape.len();
-                let (element_first_literal, only_literals, last_closed) = (first_literal, false, None);
+                let (element_first_literal, previous_is_literal, last_closed) = (first_literal, false, None);
                 self.open_groups.push(OpenGroup {
                     begin,
                     first_literal,
                     is_list,
                     element,
                     element_first_literal,
-                    only_literals,
+                    previous_is_literal,
                     last_closed,
                 });
             }
@@ -468,12 +468,12 @@
             b"0 " => b"0 ",
             b"b'?' " => b"b'?' ",
             _ => {
-                group.only_literals = false;
+                group.previous_is_literal = false;
                 return false;
             }
         };
         self.shape.truncate(group.element);
-        if group.only_literals {
+        if group.previous_is_literal {
             // The comma before this element stays, because the next element takes this one's place.
             self.literals.truncate(group.element_first_literal);
             if let Some(first) = self.literals.last_mut() {
@@ -483,7 +483,7 @@
         }
         // The first literal loses its sign, as the folded ones do.
         self.shape.extend_from_slice(placeholder);
-        group.only_literals = true;
+        group.previous_is_literal = true;
         false
     }
 
@@ -493,7 +493,7 @@
         let Some(group) = self.open_groups.pop() else { return };
         // A list whose last literal was folded ends in a comma, which is removed.
         let closing = self.shape.len() - 2;
-        if group.only_literals && self.shape[..closing].ends_with(b", ") {
+        if group.previous_is_literal && self.shape[..closing].ends_with(b", ") {
             self.shape.drain(closing - 2..closing);
         }
         let closed =
