--- a/src/logic.rs
+++ b/src/logic.rs
@@ -1,9 +1,12 @@
-//! Every decision of the router: its state, its figures and the order in which events are taken in. Each subject is a module
-//! of its own below. The interface (settings, events, actions) is `src/api.rs`.
+//! The decision module: decides where each request goes, when it is retried and when it is refused.
 //!
-//! Ordinary path: each eligible replica is scored by tail-adjusted latency x (own in-flight + 1,
-//! averaged) cubed + wait, and a read goes to a random one within 20% of the lowest score.
-//! What departs from that, and when, is listed in `docs/design.md`.
+//! This file holds the tunable constants, the state of [`Router`] and the order in which events are handled.
+//! Each subject has a submodule. The interface (settings, events, actions) is `src/api.rs`; the records that
+//! the router keeps are in `src/state.rs`. The module must not read a clock or do I/O.
+//!
+//! In the ordinary case each eligible replica gets the score
+//! `tail-adjusted latency x (average of own in-flight + 1) cubed + wait`, and a read goes to a random replica
+//! within 20% of the lowest score. `docs/design.md` lists the exceptions and their conditions.
 
 mod background;
 mod evidence;
@@ -18,213 +21,263 @@
 use crate::api::*;
 use crate::invariants::{self, AttemptStart, RequestStart};
 use crate::mutants;
-use crate::sessions::{PRESENT, Sessions, committed_by};
+use crate::sessions::{PRIMARY_ONLY, Sessions, committed_by};
 pub use crate::state::tail_adjusted;
 use crate::state::*;
 use oorandom::Rand64;
 use std::collections::BTreeMap;
 
-// ---- Tunables. Times in microseconds, shares as fractions. ----
+// ---- Tunable constants: times in microseconds, shares as fractions of 1. ----
 
-/// p99 at or over this multiple of p90 marks a tail worth clamping (thesis: 2).
+/// A latency list has a long tail, which is clamped, where its p99 is at least this multiple of its p90
+/// (thesis: 2).
 pub const TAIL_RATIO: f64 = 2.0;
-/// A read goes to a random replica within this multiple of the lowest score.
-const NEAR: f64 = 1.2;
-/// Weight of the old value in the in-flight average: in-flight is exact, so it is followed closely.
-const Q_OLD: f64 = 0.3;
-/// Weight of the old value in the other averages.
-const OLD: f64 = 0.9;
-/// Latencies kept per replica, and how long one counts: short, so that a recovery shows soon.
-const LIST_LEN: usize = 40;
-const LIST_AGE: Micros = 5_000_000;
-/// Latencies kept per class, and the weight of the old value in its mean.
-const CLASS_OLD: f64 = 0.98;
-const CLASS_LEN: usize = 128;
-/// Step of the percentiles, probes, news to peers and rounds through the members.
-const PERIOD: Micros = 100_000;
-/// Time-driven decisions are looked at this often.
-const TICK: Micros = 10_000;
-/// Latency of a replica when nobody in its group has a sample.
+/// A read goes to a random replica whose score is at most this multiple of the lowest score.
+const NEAR_BEST_RATIO: f64 = 1.2;
+/// Weight of the old value in the in-flight average. In-flight is known exactly, so the average follows it
+/// closely.
+const IN_FLIGHT_OLD_WEIGHT: f64 = 0.3;
+/// Weight of the old value in the averages of a host's wait and of its late share.
+const OLD_WEIGHT: f64 = 0.9;
+/// Latency samples kept per host.
+const HOST_SAMPLES: usize = 40;
+/// Age at which a latency sample expires. Short, so that a recovery shows soon.
+const SAMPLE_AGE_US: Micros = 5_000_000;
+/// Weight of the old value in the mean latency of a class and of all classes.
+const CLASS_OLD_WEIGHT: f64 = 0.98;
+/// Latency samples kept per class.
+const CLASS_SAMPLES: usize = 128;
+/// Interval of percentile updates, probes, peer updates and rounds of the search for the primary; also the
+/// pause of a host after a timeout at a concurrency limit of 1.
+const UPDATE_INTERVAL_US: Micros = 100_000;
+/// Interval at which time-driven decisions are made.
+const TICK_US: Micros = 10_000;
+/// Latency assumed for a replica when no member of its group has a sample.
 const DEFAULT_LATENCY_US: f64 = 10_000.0;
-/// The primary competes for reads that replicas can serve at this multiple of its score.
-const PRIMARY_HANDICAP: f64 = 2.0;
-/// A replica in another zone competes at this multiple of its score, where crossings cost.
-const ABROAD: f64 = 1.5;
-/// A read of any data is long if the mean read is under this share of it; each further replica, in id
-/// order, competes for those at this multiple of the one before.
-const LONG: f64 = 0.5;
-const GATHER: f64 = 16.0;
-/// A replica known outside the bound is probed at most this often.
-const PROBE_GAP: Micros = 500_000;
-/// An error share of one multiplies a replica's score by this + 1; the share halves in so long, so that it
-/// is tried again. What one error adds: few servers fail now and then, those that do fail most.
-const ERROR_POINTS: f64 = 10.0;
+/// Multiplies the primary's score for reads that replicas can serve too.
+const PRIMARY_PENALTY: f64 = 2.0;
+/// Multiplies the score of a replica in another zone, where cross-zone attempts cost.
+const CROSS_ZONE_PENALTY: f64 = 1.5;
+/// A class of `AnyRead` is long if the mean latency over all classes is under this share of its own mean.
+const LONG_CLASS_RATIO: f64 = 0.5;
+/// For long reads each further replica, in id order, has its score multiplied by this once more.
+const LONG_READ_RANK_PENALTY: f64 = 16.0;
+/// Shortest time between two probes of a replica that is known to lie outside the bound. A position that is
+/// not taken from an answer may be this old.
+const PROBE_INTERVAL_US: Micros = 500_000;
+/// An error share of 1 multiplies a replica's score by this + 1.
+const ERROR_PENALTY: f64 = 10.0;
+/// Half-life of a host's error share, after which the host is tried again.
 const ERROR_HALF_LIFE_US: f64 = 4_000_000.0;
-const ERROR_ADDS: f64 = 0.3;
-/// First ejection, and first wait after a failed subscription; doubled with each repeat, so often at most.
-const BACKOFF: Micros = 500_000;
-const DOUBLINGS: u32 = 3;
-/// Attempts a router may have outstanding at a server it knows nothing of.
-const LIMIT: f64 = 4.0;
-/// An answer over this share of its aim is late; over the second share of late ones the limit is cut
-/// to the third figure, not more often than the fourth.
-const LATE_AT: f64 = 0.5;
-const LATE_SHARE: f64 = 0.10;
-const CUT: f64 = 0.5;
-/// A wait over so many times the usual one is none for want of room, where what was sent later was answered.
-const LOST: f64 = 10.0;
-/// So many routers each see much. Their limits go down to one, those of more to a fraction of one: a pause.
-const FEW: f64 = 8.0;
-/// What many routers do beside, each as far as it sees too little (`blur`): a server's latency is weighed
-/// with so many samples of the mean, and one whose last word was no answer competes at this multiple.
-const LEAN: f64 = 2.0;
-const UNPROVEN: f64 = 8.0;
-/// Of reads, so many times what comes to nothing beyond this share is refused, at most the third figure, less
-/// if fewer than the fourth of those served are slow; so many attempts more count as good. A group's part is
-/// learnt over longer, by so many events from others.
-const JAM_OVER: f64 = 0.15;
-const JAM_GAIN: f64 = 5.0;
-const JAM_MOST: f64 = 0.7;
-const JAM_SLOW: f64 = 0.2;
-const JAM_HALF_LIFE_US: f64 = 1_000_000.0;
-const JAM_FEW: f64 = 4.0;
-const GROUP_HALF_LIFE_US: f64 = 15_000_000.0;
-const GROUP_FEW: f64 = 0.25;
-const GROUP_AS_ALL: f64 = 2.0;
-const CUT_GAP: Micros = 200_000;
-/// A request is sent only with so many times its class's usual time left.
-const LEAST: f64 = 1.5;
-/// Of its share of the work a cold server gets this part.
-const SLOT: f64 = 0.9;
-/// The same among many routers, each of which sees too little to notice in time that the warm ones are full;
-/// and the share of the multiple that tips one over that it may get at most.
-const SLOT_MANY: f64 = 1.1;
-const TIP_MANY: f64 = 0.6;
-/// A cold server competes at this multiple of its score for the lots it is open to: they are its whole
-/// share, and one lost to a warm server is not made up for.
-const OWN_LOT: f64 = 0.25;
-/// A server that was full is left alone for this long.
-const FULL_GAP: Micros = 30_000;
-/// Over this share of attempts refused within so long, connections are scarce. A full table refuses within a
-/// round trip; a slow handshake ends in a dial time-out. Weight of the old value in that share.
-const SCARCE: f64 = 0.2;
-const REFUSED: Micros = 50_000;
-const SCARCE_OLD: f64 = 0.95;
-/// So many servers of a zone without an answer, more where a router sees more (`blur`), and none from the
-/// zone between: it is held to be lost for so long after the last. One of hundreds sees too little of each.
-const ZONE_SILENT: f64 = 2.7;
-const ZONE_LOST_FOR: Micros = 4_000_000;
-/// Known positions are kept fresh for so long after a plain request.
-const PLAIN_FOR: Micros = 5_000_000;
-/// While a bounded read was held so lately, members inside the bound are left to such.
-const SHORT_FOR: Micros = 300_000;
+/// Weight of one error in the error share. High, because few hosts fail only now and then: a host that fails
+/// usually fails most of its attempts.
+const ERROR_WEIGHT: f64 = 0.3;
+/// First ejection of a host, and first wait after a failed subscription. Doubles with each repetition.
+const BACKOFF_US: Micros = 500_000;
+/// How often `BACKOFF_US` doubles at most.
+const MAX_BACKOFF_DOUBLINGS: u32 = 3;
+
+/// Concurrency limit (attempts that this router may have outstanding at a host) of a host of which nothing is
+/// known.
+const INITIAL_CONCURRENCY_LIMIT: f64 = 4.0;
+/// An answer is late if it takes more than this share of its class's latency target.
+const LATE_TARGET_RATIO: f64 = 0.5;
+/// The concurrency limit is cut if more than this share of the answers is late.
+const MAX_LATE_SHARE: f64 = 0.10;
+/// A cut multiplies the concurrency limit by this.
+const LIMIT_CUT_FACTOR: f64 = 0.5;
+/// A timed-out attempt that waited more than this multiple of its class's median counts as a lost answer
+/// rather than as a lack of capacity, if a later attempt was answered in time.
+const LOST_ANSWER_RATIO: f64 = 10.0;
+
+/// Up to this many proxies, each sees enough of the hosts, and concurrency limits go down to 1. With more
+/// proxies, limits go down to a fraction of 1, which means a pause.
+const SMALL_FLEET_PROXIES: f64 = 8.0;
+/// Samples of the mean latency that are mixed into a host's own, times `Router::unobserved_share`.
+const FLEET_MEAN_SAMPLES: f64 = 2.0;
+/// Multiplies the score of a host whose last response was an error or no answer; less so, the smaller
+/// `Router::unobserved_share` is.
+const UNPROVEN_PENALTY: f64 = 8.0;
+
+/// Share of reads without a useful answer up to which nothing is refused.
+const OVERLOAD_TOLERATED_SHARE: f64 = 0.15;
+/// The share of reads to refuse is the part above `OVERLOAD_TOLERATED_SHARE` times this.
+const OVERLOAD_GAIN: f64 = 5.0;
+/// Largest share of reads to refuse, client retries excepted.
+const OVERLOAD_MAX_REFUSED_SHARE: f64 = 0.7;
+/// Fewer reads are refused if less than this share of the served reads is slow.
+const OVERLOAD_SLOW_SHARE: f64 = 0.2;
+/// Half-life of the counts of reads over all groups.
+const OVERLOAD_HALF_LIFE_US: f64 = 1_000_000.0;
+/// Reads that are added to the counts as served, so that a few reads prove nothing.
+const OVERLOAD_PRIOR_READS: f64 = 4.0;
+/// Half-life of the counts of reads of one group; a group sees fewer reads, and learns over a longer time.
+const GROUP_OVERLOAD_HALF_LIFE_US: f64 = 15_000_000.0;
+/// Events that are added to those expected of one group.
+const GROUP_PRIOR_EVENTS: f64 = 0.25;
+/// Events that are added to those of one group and to those expected of it, as far as groups are alike.
+const GROUP_POOLED_EVENTS: f64 = 2.0;
+/// Shortest time between two cuts of a host's concurrency limit.
+const LIMIT_CUT_INTERVAL_US: Micros = 200_000;
+/// A request is sent only if at least this multiple of its usual time is left.
+const MIN_TIME_LEFT_RATIO: f64 = 1.5;
 
-/// The cubic score.
-pub fn score(latency: f64, q: f64, wait: f64) -> f64 {
-    q * q * q * latency + wait
+/// A cold host gets this part of its share of the work.
+const COLD_SLOT_SHARE: f64 = 0.9;
+/// As `COLD_SLOT_SHARE`, with many proxies: each of them sees too little to notice in time that the warm
+/// hosts are at capacity.
+const COLD_SLOT_SHARE_MANY_PROXIES: f64 = 1.1;
+/// With many proxies a cold host gets at most this share of the multiple of its capacity that overloads it.
+const COLD_MAX_OVERLOAD_SHARE_MANY_PROXIES: f64 = 0.6;
+/// Multiplies a cold host's score for the draws that it is open to. These draws are its whole share, and one
+/// that goes to a warm host is not made up for.
+const COLD_SCORE_FACTOR: f64 = 0.25;
+/// After a host rejected an attempt as overloaded, it gets no attempt for this long; longer if its
+/// concurrency limit is below 1.
+const OVERLOADED_PAUSE_US: Micros = 30_000;
+
+/// Connections are scarce if more than this share of attempts is refused a connection quickly.
+const SCARCE_CONNECTIONS_SHARE: f64 = 0.2;
+/// A failed connection counts as refused if it fails within this time. A host whose connection table is full
+/// refuses within a round trip; a slow handshake ends in a dial timeout.
+const QUICK_REFUSAL_US: Micros = 50_000;
+/// Weight of the old value in the share of refused connections.
+const SCARCE_OLD_WEIGHT: f64 = 0.95;
+/// A zone counts as lost if this many of its hosts left an attempt unanswered and none answered since. Fewer
+/// proxies, which see more, need more hosts (see `Router::unobserved_share`); one of hundreds of proxies sees
+/// too little of each host.
+const ZONE_SILENT_HOSTS: f64 = 2.7;
+/// How long a zone counts as lost after the last such host.
+const ZONE_LOST_US: Micros = 4_000_000;
+
+/// After a plain request, known positions are kept fresh by probes for this long.
+const PLAIN_ACTIVE_US: Micros = 5_000_000;
+/// After a bounded read was held, members inside the tightest bound are left to bounded reads for this long.
+const BOUNDED_PRIORITY_US: Micros = 300_000;
+
+/// The cubic score of a host: average latency in microseconds, average of in-flight + 1, average wait in
+/// microseconds.
+pub fn score(latency: f64, in_flight: f64, wait: f64) -> f64 {
+    in_flight * in_flight * in_flight * latency + wait
 }
 
-/// The decision module of one router.
+/// The decision module of one proxy.
 pub struct Router {
-    set: Settings,
+    settings: Settings,
     now: Micros,
-    out: Vec<Action>,
+    /// Actions of the call to `handle` that is running.
+    actions: Vec<Action>,
     rng: Rand64,
-    index: BTreeMap<HostId, usize>,
+    /// Index in `hosts` of each known host.
+    host_index: BTreeMap<HostId, usize>,
     hosts: Vec<HostState>,
     groups: BTreeMap<GroupId, Group>,
     classes: Vec<ClassState>,
     requests: BTreeMap<RequestId, Request>,
     sessions: Sessions,
-    shares: Shares,
+    tenant_quotas: TenantQuotas,
     /// The tightest bound of any class.
-    tightest: Micros,
-    /// Servers that operators leave out, and since when; no news of the list touches it.
-    out_by_hand: BTreeMap<HostId, Micros>,
+    tightest_bound: Micros,
+    /// Hosts that operators leave out, and since when. List updates don't change it.
+    left_out: BTreeMap<HostId, Micros>,
     budgets: Budgets,
-    seen: Observed,
-    due: Due,
+    observed: Observed,
+    schedule: Schedule,
 }
 
 impl Router {
-    /// A router that knows nothing but its settings.
+    /// A router that knows nothing but its settings. `seed` determines its random draws.
     pub fn new(settings: Settings, seed: u64) -> Router {
-        let class = |c: &Class| ClassState::expecting(c.latency_target as f64 / 4.0);
+        // A quarter of the latency target stands in for the median until there are samples.
+        let class = |c: &Class| ClassState::with_median(c.latency_target as f64 / 4.0);
         Router {
             classes: settings.classes.iter().map(class).collect(),
             rng: Rand64::new(u128::from(seed)),
             now: 0,
-            out: Vec::new(),
-            index: BTreeMap::new(),
+            actions: Vec::new(),
+            host_index: BTreeMap::new(),
             hosts: Vec::new(),
             groups: BTreeMap::new(),
             requests: BTreeMap::new(),
             sessions: Sessions::default(),
-            shares: Shares::new(&settings.quotas, settings.proxy_count),
-            tightest: settings.classes.iter().filter_map(Class::bound).min().unwrap_or(Micros::MAX),
-            out_by_hand: BTreeMap::new(),
+            tenant_quotas: TenantQuotas::new(&settings.quotas, settings.proxy_count),
+            tightest_bound: settings.classes.iter().filter_map(Class::bound).min().unwrap_or(Micros::MAX),
+            left_out: BTreeMap::new(),
             budgets: Budgets::new(),
-            seen: Observed::default(),
-            due: Due::default(),
-            set: settings,
+            observed: Observed::default(),
+            schedule: Schedule::default(),
+            settings,
         }
     }
 
-    /// Takes the events of one moment in order and appends what to do.
+    /// Handles the events of one moment in order and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Micros, events: &[Event], out: &mut Vec<Action>) {
         self.now = self.now.max(now);
-        // After an idle spell nothing is counted any more.
-        if self.now > self.due.tick + TICK {
-            self.hosts.iter_mut().for_each(|s| s.q = f64::from(s.in_flight) + 1.0);
+        // The in-flight averages get no updates in an idle spell, so they start again from the present
+        // counts.
+        if self.now > self.schedule.tick + TICK_US {
+            self.hosts.iter_mut().for_each(|s| s.in_flight_average = f64::from(s.in_flight) + 1.0);
         }
-        if self.due.tick == 0 && self.set.list_mode == ListMode::OnRequest {
-            self.due.ask = Some(self.now + self.rng.rand_range(0..200_000));
+        if self.schedule.tick == 0 && self.settings.list_mode == ListMode::OnRequest {
+            self.schedule.subscribe_at = Some(self.now + self.rng.rand_range(0..200_000));
         }
         for event in events {
             match event {
-                Event::Request(a) => self.arrive(a, false),
-                Event::RequestHead(a) => self.arrive(a, true),
-                Event::RequestComplete(id, at) => {
-                    whole(&mut self.hosts, &mut self.requests, *id, *at, self.now)
+                Event::Request(request) => self.admit(request, false),
+                Event::RequestHead(request) => self.admit(request, true),
+                Event::RequestComplete(id, give_up_at) => {
+                    complete_request(&mut self.hosts, &mut self.requests, *id, *give_up_at, self.now)
                 }
-                Event::Outcome(r) => {
-                    self.returned(r);
-                    self.report(r.host, r.report, false);
+                Event::Outcome(result) => {
+                    self.attempt_ended(result);
+                    self.apply_report(result.host, result.report, false);
                 }
                 Event::ClientGone(id) => self.close(*id),
                 Event::Streaming(id, attempt) => {
                     self.requests.entry(*id).and_modify(|r| r.streaming = Some(usize::from(*attempt)));
                 }
                 Event::Probed { host, ok, report } => {
-                    self.index.get(host).copied().into_iter().for_each(|i| self.answered(i, *ok));
-                    self.report(*host, if *ok { *report } else { HostReport::default() }, false);
+                    self.host_index.get(host).copied().into_iter().for_each(|i| self.note_response(i, *ok));
+                    self.apply_report(*host, if *ok { *report } else { HostReport::default() }, false);
                 }
-                Event::PartialAnswer { host, note } => self.report(*host, *note, true),
-                Event::Sessions(news) => self.sessions.hear(*news, self.now),
+                Event::PartialAnswer { host, note } => self.apply_report(*host, *note, true),
+                Event::Sessions(session_event) => self.sessions.apply_event(*session_event, self.now),
                 Event::Timer(_) => {}
-                Event::HostOverride { host, left_out, since } => self.by_hand(*host, *left_out, *since),
+                Event::HostOverride { host, left_out, since } => {
+                    self.apply_override(*host, *left_out, *since)
+                }
                 Event::Peer { from, news } => {
-                    let (hosts, groups, index) = (&mut self.hosts, &mut self.groups, &self.index);
-                    take_news(hosts, groups, index, &mut self.shares, (*from, news), self.now, PROBE_GAP);
+                    let (hosts, groups, index) = (&mut self.hosts, &mut self.groups, &self.host_index);
+                    apply_peer_updates(
+                        hosts,
+                        groups,
+                        index,
+                        &mut self.tenant_quotas,
+                        (*from, news),
+                        self.now,
+                        PROBE_INTERVAL_US,
+                    );
                 }
-                Event::List { kind, entries } => self.list(*kind, entries),
+                Event::List { kind, entries } => self.apply_list(*kind, entries),
             }
         }
-        if self.now >= self.due.tick {
-            self.due.tick = self.now + TICK;
+        if self.now >= self.schedule.tick {
+            self.schedule.tick = self.now + TICK_US;
             self.tick();
         }
-        // An idle router wakes for nothing but the list.
-        let next = if self.requests.is_empty() { self.due.ask } else { Some(self.due.tick) };
-        if let Some(at) = next.filter(|&at| self.due.timer <= self.now || at < self.due.timer) {
-            self.due.timer = at;
-            self.out.push(Action::Timer { at, mark: 0 });
+        // A router without requests needs a timer only for its next subscription.
+        let next =
+            if self.requests.is_empty() { self.schedule.subscribe_at } else { Some(self.schedule.tick) };
+        if let Some(at) = next.filter(|&at| self.schedule.timer <= self.now || at < self.schedule.timer) {
+            self.schedule.timer = at;
+            self.actions.push(Action::Timer { at, mark: 0 });
         }
-        out.append(&mut self.out);
+        out.append(&mut self.actions);
     }
 
-    /// How much of what the servers do a router does not see: nothing where few routers are, else most.
-    fn blur(&self) -> f64 {
-        (1.0 - FEW / f64::from(self.set.proxy_count.max(1))).max(0.0)
+    /// The share of the hosts' work that this router does not see: 0 with up to `SMALL_FLEET_PROXIES`
+    /// proxies, near 1 with hundreds.
+    fn unobserved_share(&self) -> f64 {
+        (1.0 - SMALL_FLEET_PROXIES / f64::from(self.settings.proxy_count.max(1))).max(0.0)
     }
 }
--- a/src/logic/background.rs
+++ b/src/logic/background.rs
@@ -1,72 +1,89 @@
-//! What time alone brings about: ages, percentiles, probes, news to the other routers.
+//! Time-driven work: averages, percentiles, held requests, probes, subscriptions and updates for the peers.
 
 use super::*;
 
 impl Router {
+    /// The work of one tick, every `TICK_US`.
     pub(super) fn tick(&mut self) {
-        if self.now >= self.due.period {
-            self.due.period = self.now + PERIOD;
-            self.probe();
-            self.tell();
-            self.hosts.iter_mut().for_each(|s| s.clamp(self.now, LIST_AGE, TAIL_RATIO, OLD, self.seen.mean));
-            self.classes.iter_mut().for_each(|c| c.take_median(8));
+        if self.now >= self.schedule.update {
+            self.schedule.update = self.now + UPDATE_INTERVAL_US;
+            self.send_probes();
+            self.send_peer_updates();
+            let usual = self.observed.mean_latency;
+            self.hosts
+                .iter_mut()
+                .for_each(|s| s.update_tail_latency(self.now, SAMPLE_AGE_US, TAIL_RATIO, OLD_WEIGHT, usual));
+            self.classes.iter_mut().for_each(|c| c.update_median(8));
         }
-        // The age of what is out counts in the score before a sample does: a standstill shows at once.
-        let scales: Vec<f64> = (0..self.classes.len()).map(|c| self.scale(c, 0)).collect();
-        age(&mut self.hosts, &self.requests, &scales, self.now, Q_OLD);
+        // The age of an outstanding attempt counts in the score before there is a sample, so that a host that
+        // stops answering shows at once.
+        let scales: Vec<f64> = (0..self.classes.len()).map(|c| self.work_scale(c, 0)).collect();
+        update_pending(&mut self.hosts, &self.requests, &scales, self.now, IN_FLIGHT_OLD_WEIGHT);
         let ids: Vec<GroupId> = self.groups.iter().filter(|g| !g.1.held.is_empty()).map(|g| *g.0).collect();
         for id in ids {
-            self.release(id);
-            self.scout(id);
+            self.release_held(id);
+            self.search_primary(id);
         }
-        if self.due.ask.is_some_and(|t| self.now >= t) {
-            self.due.ask = None;
-            self.out.push(Action::Subscribe);
+        if self.schedule.subscribe_at.is_some_and(|t| self.now >= t) {
+            self.schedule.subscribe_at = None;
+            self.actions.push(Action::Subscribe);
         }
     }
 
-    /// Each unheard server once; one whose position is too old for the tightest bound now and then.
-    pub(super) fn probe(&mut self) {
-        if !self.set.limits.probes || self.budgets.probes < 1.0 {
+    /// Probes each host without a known position once, and a host whose position is too old for the tightest
+    /// bound every `PROBE_INTERVAL_US`, as far as the budget lasts.
+    pub(super) fn send_probes(&mut self) {
+        if !self.settings.limits.probes || self.budgets.probes < 1.0 {
             return;
         }
-        let (tightest, plain) = (self.tightest, self.now < self.seen.plain_until);
-        let due = |i: &usize| {
+        let tightest_bound = self.tightest_bound;
+        let plain = self.now < self.observed.plain_until;
+        let needs_probe = |i: &usize| {
             let s = &self.hosts[*i];
-            let unheard = s.position.is_none() || s.unheard;
-            let lost = self.seen.zones.has_lost(s.zone);
-            let behind = lost || unheard || self.reached(*i, plain).saturating_add(tightest) < self.now;
-            let due = s.probed_at.is_none_or(|t| t + PROBE_GAP <= self.now && tightest < Micros::MAX);
-            // Where answers tell positions, one that answers, or is still cold, need not be asked.
-            let quiet = s.in_flight == 0 && s.last_answer + PROBE_GAP <= self.now;
-            let fit = plain
-                || self.blind()
-                || (quiet && self.hosts[*i].cold_share(self.now, &self.set.safety).is_none());
-            s.listed == HostStatus::Ready && self.left_out_since(s.id).is_none() && behind && due && fit
+            let unknown = s.position.is_none() || s.position_unknown;
+            let zone_lost = self.observed.zones.was_lost(s.zone);
+            let behind = zone_lost
+                || unknown
+                || self.estimated_position(*i, plain).saturating_add(tightest_bound) < self.now;
+            let due =
+                s.probed_at.is_none_or(|t| t + PROBE_INTERVAL_US <= self.now && tightest_bound < Micros::MAX);
+            // Where answers carry positions, a host that answers or is still cold needs no probe.
+            let quiet = s.in_flight == 0 && s.last_answer + PROBE_INTERVAL_US <= self.now;
+            let useful = plain
+                || self.needs_probes_for_positions()
+                || (quiet && self.hosts[*i].cold_share(self.now, &self.settings.safety).is_none());
+            s.listed == HostStatus::Ready && self.left_out_since(s.id).is_none() && behind && due && useful
         };
-        let mut due: Vec<usize> = (0..self.hosts.len()).filter(due).collect();
-        // Those of lost zones and those that started lately first, then longest unasked; each router begins
-        // elsewhere.
-        let from = |i: usize| (i + self.set.ordinal as usize) % self.hosts.len();
-        let soon = |s: &HostState| s.unheard || self.seen.zones.has_lost(s.zone);
-        due.sort_by_key(|&i| (!soon(&self.hosts[i]), self.hosts[i].probed_at, from(i)));
+        let mut due: Vec<usize> = (0..self.hosts.len()).filter(needs_probe).collect();
+        // First the hosts of lost zones and those that started lately, then those probed longest ago. Each
+        // proxy begins with another host.
+        let offset = |i: usize| (i + self.settings.ordinal as usize) % self.hosts.len();
+        let is_urgent = |s: &HostState| s.position_unknown || self.observed.zones.was_lost(s.zone);
+        due.sort_by_key(|&i| (!is_urgent(&self.hosts[i]), self.hosts[i].probed_at, offset(i)));
         for i in due.into_iter().take(self.budgets.probes as usize) {
             let s = &mut self.hosts[i];
             s.probed_at = Some(self.now);
             self.budgets.probes -= 1.0;
-            self.out.push(Action::Probe(s.id));
+            self.actions.push(Action::Probe(s.id));
         }
     }
 
-    /// News for the peers, a few at once, as far as own requests pay; a message's head takes two places.
-    pub(super) fn tell(&mut self) {
-        let peers = f64::from(self.set.proxy_count.max(1) - 1);
-        let room = ((self.budgets.peer_bytes / peers) as usize).min(256) / LINE;
-        if room < 6 || peers == 0.0 || !self.set.limits.peers {
+    /// Sends updates to the peers, several at once, as far as the budget of bytes lasts. The head of a
+    /// message takes the space of two updates.
+    pub(super) fn send_peer_updates(&mut self) {
+        let peers = f64::from(self.settings.proxy_count.max(1) - 1);
+        let capacity = ((self.budgets.peer_bytes / peers) as usize).min(256) / PEER_UPDATE_BYTES;
+        if capacity < 6 || peers == 0.0 || !self.settings.limits.peers {
             return;
         }
-        let news = news(&mut self.hosts, &self.groups, &mut self.shares, self.now, room - 2);
-        self.budgets.peer_bytes -= (news.len() * LINE) as f64 * peers;
-        self.out.extend((!news.is_empty()).then_some(Action::Broadcast(news)));
+        let updates = collect_peer_updates(
+            &mut self.hosts,
+            &self.groups,
+            &mut self.tenant_quotas,
+            self.now,
+            capacity - 2,
+        );
+        self.budgets.peer_bytes -= (updates.len() * PEER_UPDATE_BYTES) as f64 * peers;
+        self.actions.extend((!updates.is_empty()).then_some(Action::Broadcast(updates)));
     }
 }
--- a/src/logic/evidence.rs
+++ b/src/logic/evidence.rs
@@ -1,101 +1,123 @@
-//! What the end of an attempt tells of its server: health, latency, errors, lost zones.
+//! What the end of an attempt shows of its host: health, latency, errors, scarce connections and lost zones.
+//!
+//! It updates the records of the host, its group and its class. It must not send or conclude a request.
 
 use super::*;
 
 impl Router {
-    /// A server answered, or left something unanswered for its whole time.
-    pub(super) fn answered(&mut self, i: usize, answer: bool) {
-        let (zone, s) = (self.hosts[i].zone, &mut self.hosts[i]);
-        (s.silent_at, s.proven) = (if answer { 0 } else { self.now }, answer);
+    /// Records that a host answered (`answer`), or left an attempt unanswered for its whole timeout.
+    pub(super) fn note_response(&mut self, i: usize, answer: bool) {
+        let zone = self.hosts[i].zone;
+        let s = &mut self.hosts[i];
+        (s.unanswered_at, s.last_response_ok) = (if answer { 0 } else { self.now }, answer);
         if answer {
-            return self.seen.zones.answered(zone, self.now);
+            return self.observed.zones.answered(zone, self.now);
         }
-        let heard = self.seen.zones.last_answer(zone);
-        let silent = self.hosts.iter().filter(|s| s.zone == zone && s.silent_at > heard).count();
-        if silent as f64 * self.blur() >= ZONE_SILENT {
-            self.seen.zones.lost(zone, self.now, self.now + ZONE_LOST_FOR);
+        let last_answer = self.observed.zones.last_answer(zone);
+        let silent_hosts =
+            self.hosts.iter().filter(|s| s.zone == zone && s.unanswered_at > last_answer).count();
+        if silent_hosts as f64 * self.unobserved_share() >= ZONE_SILENT_HOSTS {
+            self.observed.zones.mark_lost(zone, self.now, self.now + ZONE_LOST_US);
         }
     }
 
-    /// Where servers accept few connections an idle one keeps another router out: all are closed when that
-    /// shows, and each again as it falls idle.
-    pub(super) fn connections(&mut self, i: usize, outcome: Outcome, latency: Micros) {
+    /// Closes idle connections where hosts accept few: an idle one keeps another proxy out. All idle
+    /// connections are closed when the shortage shows, and each further one as it becomes idle.
+    pub(super) fn track_connections(&mut self, i: usize, outcome: Outcome, latency: Micros) {
         let failed = outcome == Outcome::ConnectFailed;
-        let was = self.seen.unconnected;
-        self.seen.unconnected = averaged(was, f64::from(failed && latency < REFUSED), SCARCE_OLD);
-        if was <= SCARCE && self.seen.unconnected > SCARCE {
+        let before = self.observed.refused_share;
+        let refused = f64::from(failed && latency < QUICK_REFUSAL_US);
+        self.observed.refused_share = moving_average(before, refused, SCARCE_OLD_WEIGHT);
+        if before <= SCARCE_CONNECTIONS_SHARE && self.observed.refused_share > SCARCE_CONNECTIONS_SHARE {
             let idle = self.hosts.iter().filter(|s| s.in_flight == 0 && s.last_answer > 0);
-            self.out.extend(idle.map(|s| Action::CloseIdle(s.id)));
-        } else if self.seen.unconnected > SCARCE && self.hosts[i].in_flight == 0 && !failed {
-            self.out.push(Action::CloseIdle(self.hosts[i].id));
+            self.actions.extend(idle.map(|s| Action::CloseIdle(s.id)));
+        } else if self.observed.refused_share > SCARCE_CONNECTIONS_SHARE
+            && self.hosts[i].in_flight == 0
+            && !failed
+        {
+            self.actions.push(Action::CloseIdle(self.hosts[i].id));
         }
     }
 
-    /// Latency lists and health. Only served attempts (and time-outs, by at least their wait) are
-    /// samples: a replica that turns work away quickly must not look fast.
-    pub(super) fn evidence(
+    /// Updates latencies, health and tallies with the outcome of an attempt.
+    ///
+    /// Only served attempts are latency samples, and attempts that timed out or were cancelled, with the time
+    /// that they waited, if that is longer than the host's latency: a replica that rejects work quickly must
+    /// not look fast.
+    pub(super) fn record_outcome(
         &mut self, i: usize, class: usize, outcome: Outcome, latency: Micros, expected_duration: Micros,
     ) {
-        let (scale, value) = (self.scale(class, expected_duration), latency as f64);
-        self.adapt(i, class, outcome, latency);
-        let told =
+        let scale = self.work_scale(class, expected_duration);
+        let latency_us = latency as f64;
+        self.adapt_concurrency_limit(i, class, outcome, latency);
+        let is_tallied =
             matches!(outcome, Outcome::Ok | Outcome::Timeout | Outcome::Overloaded | Outcome::Unsuitable);
-        let read = told && self.set.classes[class].access != Access::Write;
-        if let Some(g) = self.groups.get_mut(&self.hosts[i].group).filter(|_| read) {
-            let slow = value > self.set.classes[class].latency_target as f64 * LATE_AT;
-            self.seen.jam.add(self.now, JAM_HALF_LIFE_US, outcome, slow);
-            g.jam.add(self.now, GROUP_HALF_LIFE_US, outcome, slow);
+        let is_tallied_read = is_tallied && self.settings.classes[class].access != Access::Write;
+        if let Some(g) = self.groups.get_mut(&self.hosts[i].group).filter(|_| is_tallied_read) {
+            let slow = latency_us > self.settings.classes[class].latency_target as f64 * LATE_TARGET_RATIO;
+            self.observed.read_outcomes.add(self.now, OVERLOAD_HALF_LIFE_US, outcome, slow);
+            g.read_outcomes.add(self.now, GROUP_OVERLOAD_HALF_LIFE_US, outcome, slow);
         }
         let s = &mut self.hosts[i];
-        let lost = outcome == Outcome::ConnectFailed && s.lost(latency >= REFUSED);
+        let unreachable =
+            outcome == Outcome::ConnectFailed && s.connection_failed(latency >= QUICK_REFUSAL_US);
         let answer =
             matches!(outcome, Outcome::Ok | Outcome::Error | Outcome::Overloaded | Outcome::Unsuitable);
         s.last_answer = if answer { self.now } else { s.last_answer };
-        if answer || outcome == Outcome::Timeout || (lost && latency >= REFUSED) {
-            self.answered(i, answer);
+        if answer || outcome == Outcome::Timeout || (unreachable && latency >= QUICK_REFUSAL_US) {
+            self.note_response(i, answer);
         }
         let s = &mut self.hosts[i];
         match outcome {
             Outcome::Ok => {
-                s.sample(self.now, value * scale, LIST_LEN);
-                s.error_share *= 1.0 - ERROR_ADDS;
-                (s.strikes, s.refusals) = (0, 0);
-                self.classes[class].served(value, CLASS_OLD, CLASS_LEN);
-                blend(&mut self.seen.mean, value, CLASS_OLD);
+                s.add_sample(self.now, latency_us * scale, HOST_SAMPLES);
+                s.error_share *= 1.0 - ERROR_WEIGHT;
+                (s.ejections, s.failed_connections) = (0, 0);
+                self.classes[class].add_served(latency_us, CLASS_OLD_WEIGHT, CLASS_SAMPLES);
+                update_mean(&mut self.observed.mean_latency, latency_us, CLASS_OLD_WEIGHT);
             }
-            Outcome::Timeout | Outcome::Cancelled if s.adjusted.is_none_or(|l| value * scale > l) => {
-                s.sample(self.now, value * scale, LIST_LEN);
+            Outcome::Timeout | Outcome::Cancelled
+                if s.tail_latency.is_none_or(|l| latency_us * scale > l) =>
+            {
+                s.add_sample(self.now, latency_us * scale, HOST_SAMPLES);
             }
-            // It says itself that it was outside the bound, and no answer would tell so.
+            // By rejecting the read the host shows that it was outside the bound, which no answer would tell.
             Outcome::Unsuitable => {
-                if let Access::BoundedRead(bound) = self.set.classes[class].access {
-                    (s.lag, s.heard_at) = (s.lag.max(bound + latency), self.now);
+                if let Access::BoundedRead(bound) = self.settings.classes[class].access {
+                    (s.lag, s.position_received_at) = (s.lag.max(bound + latency), self.now);
                 }
             }
             Outcome::Error | Outcome::Reset => {
-                s.error_share = averaged(s.errors(self.now, ERROR_HALF_LIFE_US), 1.0, 1.0 - ERROR_ADDS);
-                (s.error_at, s.proven) = (self.now, false);
+                s.error_share = moving_average(
+                    s.current_error_share(self.now, ERROR_HALF_LIFE_US),
+                    1.0,
+                    1.0 - ERROR_WEIGHT,
+                );
+                (s.error_at, s.last_response_ok) = (self.now, false);
             }
-            Outcome::ConnectFailed if lost && s.ejected_until <= self.now => {
-                let (wait, id) = (BACKOFF << s.strikes.min(DOUBLINGS), s.id);
+            Outcome::ConnectFailed if unreachable && s.ejected_until <= self.now => {
+                let wait = BACKOFF_US << s.ejections.min(MAX_BACKOFF_DOUBLINGS);
+                let id = s.id;
                 let members = self.groups.get(&s.group).map_or(&[][..], |g| &g.members);
                 let ejected = members.iter().filter(|&&m| self.hosts[m].ejected_until > self.now).count();
-                // The rest must be able to carry the load.
+                // The members that remain must be able to carry the load.
                 if ejected * 2 < members.len() {
                     let s = &mut self.hosts[i];
                     s.ejected_until = self.now + wait;
-                    s.strikes += 1;
-                    self.out.extend((s.strikes == 1).then(|| Action::Log(format!("server {id} ejected"))));
+                    s.ejections += 1;
+                    self.actions
+                        .extend((s.ejections == 1).then(|| Action::Log(format!("server {id} ejected"))));
                 }
             }
             _ => {}
         }
     }
 
-    /// Classes of different work share a latency list: each sample counts in units of the mean class.
-    /// Guards against a server that got the long ones, by their class or as told, passing for a slow one.
-    pub(super) fn scale(&self, class: usize, expected_duration: Micros) -> f64 {
+    /// The factor that converts a latency to units of the mean class, so that classes of different work share
+    /// a list of samples. Guards against a host that looks slow because it got the long requests, long by
+    /// their class or by `expected_duration`.
+    pub(super) fn work_scale(&self, class: usize, expected_duration: Micros) -> f64 {
         let usual = if expected_duration > 0 { expected_duration as f64 } else { self.classes[class].mean };
-        if usual > 0.0 && self.seen.mean > 0.0 { self.seen.mean / usual } else { 1.0 }
+        if usual > 0.0 && self.observed.mean_latency > 0.0 { self.observed.mean_latency / usual } else { 1.0 }
     }
 }
--- a/src/logic/freshness.rs
+++ b/src/logic/freshness.rs
@@ -1,92 +1,106 @@
-//! What data a read must see, and whether a server is known to have them; asked at each choice, at the first byte and of each
-//! answer.
+//! Freshness: the position that a read must see, and whether a host is known to have reached it.
+//!
+//! Both are asked at each choice of a host, before the first byte of an attempt, and of each answer.
 
 use super::*;
 
 impl Router {
-    /// The position that a request brings with it, which its reads must see.
-    pub(super) fn brought(&self, a: &RequestInfo) -> Micros {
-        let carried = self.set.tokens == SessionTokens::FromClient;
-        let session = carried && self.set.classes[usize::from(a.class)].access == Access::SessionRead;
+    /// The position that a request carries, as the age of the session's last write; 0 if it carries none.
+    pub(super) fn carried_position(&self, a: &RequestInfo) -> Micros {
+        let is_carried = self.settings.tokens == SessionTokens::FromClient;
+        let session_read =
+            is_carried && self.settings.classes[usize::from(a.class)].access == Access::SessionRead;
         match a.token_ms {
-            // Rounded up by a millisecond. Of a plain statement the proxy itself saw the write: a bounded
-            // read is to see it too.
-            ms if ms > 0.0 && (session || a.plain) => self.now.saturating_sub((ms * 1e3) as u64) + 1_000,
-            // An age that makes no sense asks for the present.
-            ms if ms != 0.0 && session => self.now,
+            // Rounded up by a millisecond. The write before a plain statement was seen by the proxy itself,
+            // so a bounded read has to see it too.
+            ms if ms > 0.0 && (session_read || a.plain) => self.now.saturating_sub((ms * 1e3) as u64) + 1_000,
+            // With an invalid age the read has to see everything up to now.
+            ms if ms != 0.0 && session_read => self.now,
             _ => 0,
         }
     }
 
-    /// The position that a read must see if its attempt begins now. Nothing else answers this question: it is
-    /// asked at each choice of a server, and again as the attempt's first byte is about to go.
-    pub(super) fn must_see(&self, r: &Request) -> Micros {
-        let session = self.set.classes[r.class].access == Access::SessionRead && !r.plain;
+    /// The position that a read must see if its attempt begins now.
+    ///
+    /// Only this function answers the question: at each choice of a host, and again before the first byte of
+    /// the attempt.
+    pub(super) fn required_position(&self, r: &Request) -> Micros {
+        let session_read = self.settings.classes[r.class].access == Access::SessionRead && !r.plain;
         let asked_before = r.held || !r.attempts.is_empty();
-        match session && self.set.tokens == SessionTokens::TrackedByProxy {
-            false => r.token,
-            true if asked_before && mutants::on("sessions are read at arrival") => r.token,
-            // The answer to a write that is out may be lost, and its commit be known to its server alone.
-            // Servers that check turn such a read away themselves.
-            true if !self.checked(r) && self.sessions.is_writing(r.session) => PRESENT,
+        match session_read && self.settings.tokens == SessionTokens::TrackedByProxy {
+            false => r.required_position,
+            true if asked_before && mutants::on("sessions are read at arrival") => r.required_position,
+            // The answer to an outstanding write may be lost, so that only its host knows the commit. Hosts
+            // that check freshness reject such a read themselves.
+            true if !self.is_checked_by_host(r) && self.sessions.is_writing(r.session) => PRIMARY_ONLY,
             true => self.sessions.committed(r.session),
         }
     }
 
-    /// The position a server is held to have. Where replicas turn stale reads away themselves, it is as far
-    /// behind the clock as when last heard: one of hundreds of routers hears a server once in many seconds,
-    /// and known positions alone would send every bounded read to the primary. One unheard for long may try,
-    /// but not one that started lately: it goes on from an old copy, and a probe will tell.
-    pub(super) fn reached(&self, i: usize, plain: bool) -> Micros {
+    /// The position that a host is assumed to have reached. `plain`: for a plain read.
+    ///
+    /// Where replicas reject stale reads themselves, a host is assumed to lag as far as when its position was
+    /// last received. One of hundreds of proxies hears from a host once in many seconds, and with known
+    /// positions alone it would send every bounded read to the primary. A host without a report for long is
+    /// assumed to be current, unless it started lately: then it continues from an old copy, and a probe will
+    /// show its position.
+    pub(super) fn estimated_position(&self, i: usize, plain: bool) -> Micros {
         let s = &self.hosts[i];
         let known = s.position.unwrap_or(0);
-        let lately = s.started.is_some_and(|at| at + LIST_AGE > self.now);
-        // Of a plain read no server turns one away: only what is known counts.
-        if plain || self.set.lag_check == LagCheck::Unchecked || (s.unheard && lately && self.blind()) {
+        let started_lately = s.started.is_some_and(|at| at + SAMPLE_AGE_US > self.now);
+        // No host rejects a plain read for its lag, so only the known position counts.
+        if plain
+            || self.settings.lag_check == LagCheck::Unchecked
+            || (s.position_unknown && started_lately && self.needs_probes_for_positions())
+        {
             return known;
         }
-        let trusted = s.heard_at > 0 && s.heard_at + LIST_AGE + 2 * s.lag > self.now;
-        known.max(self.now - if trusted { s.lag.min(self.now) } else { 0 })
+        let lag_is_recent =
+            s.position_received_at > 0 && s.position_received_at + SAMPLE_AGE_US + 2 * s.lag > self.now;
+        known.max(self.now - if lag_is_recent { s.lag.min(self.now) } else { 0 })
     }
 
-    /// Whether positions show in probes only.
-    pub(super) fn blind(&self) -> bool {
-        self.set.limits.probes && !self.set.positions
+    /// Whether hosts report their positions to probes only.
+    pub(super) fn needs_probes_for_positions(&self) -> bool {
+        self.settings.limits.probes && !self.settings.positions
     }
 
-    /// Whether what a member is known to have applied is recent enough for a request.
-    pub(super) fn current_enough(&self, i: usize, r: &Request) -> bool {
-        let reached = || self.reached(i, r.plain);
-        match self.set.classes[r.class].access {
+    /// Whether a host's assumed position is recent enough for a request.
+    pub(super) fn is_current_enough(&self, i: usize, r: &Request) -> bool {
+        let position = || self.estimated_position(i, r.plain);
+        match self.settings.classes[r.class].access {
             Access::AnyRead | Access::Write => true,
             Access::BoundedRead(bound) => {
-                reached().saturating_add(bound) >= self.now && (!r.plain || reached() >= r.token)
+                position().saturating_add(bound) >= self.now
+                    && (!r.plain || position() >= r.required_position)
             }
-            Access::SessionRead => reached() >= r.token,
+            Access::SessionRead => position() >= r.required_position,
             Access::StrongRead => false,
         }
     }
 
-    /// Whether servers turn a read away themselves for which they are too far behind.
-    pub(super) fn checked(&self, r: &Request) -> bool {
-        self.set.lag_check != LagCheck::Unchecked && !r.plain
+    /// Whether hosts themselves reject this read if they lag too far.
+    pub(super) fn is_checked_by_host(&self, r: &Request) -> bool {
+        self.settings.lag_check != LagCheck::Unchecked && !r.plain
     }
 
-    /// What the start of a request's latest attempt rests on, asked as its connection is up and its first byte is about
-    /// to go. Since its server was chosen, that may have fallen behind or lost its role, a write of the session may have
-    /// begun or ended, and the window for repeats may be over.
+    /// The conditions for the start of a request's latest attempt, asked once its connection is up and before
+    /// its first byte goes out.
+    ///
+    /// Since the host was chosen it may have fallen behind or lost its role, a write of the session may have
+    /// begun or ended, and the window for a repetition may have passed.
     pub fn start_conditions(&mut self, now: Micros, id: RequestId) -> RequestStart {
         const OVER: RequestStart =
             RequestStart { open: false, current: false, repeatable_until: 0, forgotten_at: Micros::MAX };
         self.now = self.now.max(now);
-        let Some(token) = self.requests.get(&id).map(|r| self.must_see(r)) else { return OVER };
-        self.requests.entry(id).and_modify(|r| r.token = token);
+        let Some(position) = self.requests.get(&id).map(|r| self.required_position(r)) else { return OVER };
+        self.requests.entry(id).and_modify(|r| r.required_position = position);
         let r = &self.requests[&id];
         let Some((latest, before)) = r.attempts.split_last().filter(|_| !r.closed) else { return OVER };
-        let primary = self.groups.get(&r.group).and_then(|g| g.primary) == Some(latest.host);
-        let current = primary || self.checked(r) || self.current_enough(latest.host, r);
-        let idempotency = self.set.classes[r.class].idempotency;
-        let first = Attempt::may_have_run(before).map(|a| a.sent);
+        let to_primary = self.groups.get(&r.group).and_then(|g| g.primary) == Some(latest.host);
+        let current = to_primary || self.is_checked_by_host(r) || self.is_current_enough(latest.host, r);
+        let idempotency = self.settings.classes[r.class].idempotency;
+        let first = Attempt::first_possibly_run(before).map(|a| a.sent);
         let repeatable_until = idempotency.repeatable_until(first, r.plain);
         RequestStart {
             open: true,
@@ -96,7 +110,7 @@
         }
     }
 
-    /// Whether the latest attempt of a request may begin, as far as the request tells.
+    /// Whether a request's latest attempt may start, as far as the request alone decides.
     pub fn may_start_attempt(&mut self, now: Micros, id: RequestId) -> bool {
         let request = self.start_conditions(now, id);
         let start =
@@ -104,13 +118,13 @@
         invariants::may_start(&start, self.now).is_ok()
     }
 
-    /// What an answer to what was sent at this time amounts to where it says itself that it is older than the
-    /// read may be. Guards against a primary that handed over and has not said so yet.
+    /// The outcome of an attempt that was sent at `sent`, if its answer shows that the data are older than
+    /// the read allows. Guards against a primary that has handed its role over and doesn't know it yet.
     pub fn stale_outcome(
         &self, id: RequestId, from: HostId, note: &HostReport, sent: Micros,
     ) -> Option<Outcome> {
-        let r = self.requests.get(&id).filter(|r| !self.checked(r))?;
-        let known = self.index.get(&from).and_then(|&i| self.hosts[i].position);
-        self.set.classes[r.class].stale_outcome(note, known, r.token, sent)
+        let r = self.requests.get(&id).filter(|r| !self.is_checked_by_host(r))?;
+        let known = self.host_index.get(&from).and_then(|&i| self.hosts[i].position);
+        self.settings.classes[r.class].stale_outcome(note, known, r.required_position, sent)
     }
 }
--- a/src/logic/membership.rs
+++ b/src/logic/membership.rs
@@ -1,97 +1,124 @@
-//! Which servers there are and may be sent to: the list, drains, orders by hand, lost zones.
+//! Which hosts there are and which of them may get attempts: the list, drains, manual overrides, lost zones.
 
 use super::*;
 
 impl Router {
-    /// Whether a server may be tried as any other: its zone is not lost, or it started since.
-    pub(super) fn healthy(&self, i: usize) -> bool {
+    /// Whether a host may be tried like any other: it is not ejected, and its zone is not lost or the host
+    /// started after the loss.
+    pub(super) fn is_healthy(&self, i: usize) -> bool {
         let s = &self.hosts[i];
-        s.healthy(self.now) && !self.seen.zones.is_lost(s.zone, s.listed_start, self.now)
+        s.is_healthy(self.now) && !self.observed.zones.is_lost(s.zone, s.listed_start, self.now)
     }
 
-    /// Whether the list lets this router send to a server.
-    pub(super) fn sendable(&self, i: usize, primary_work: bool) -> bool {
+    /// Whether the list and the operators allow this router to send to a host. `primary_work`: the attempt
+    /// goes to the host as the primary of its group.
+    pub(super) fn may_receive(&self, i: usize, primary_work: bool) -> bool {
         let s = &self.hosts[i];
-        // Until a successor is known writes may still go there, well inside the grace.
-        let spared = |told: Micros| primary_work && self.now - told < self.set.safety.drain_grace / 2;
+        // Until a successor is known the old primary may still get writes, for half of the grace.
+        let in_grace =
+            |since: Micros| primary_work && self.now - since < self.settings.safety.drain_grace / 2;
         match s.listed {
-            _ if self.left_out_since(s.id).is_some_and(|since| !spared(since.min(self.now))) => false,
+            _ if self.left_out_since(s.id).is_some_and(|since| !in_grace(since.min(self.now))) => false,
             HostStatus::Ready => true,
-            HostStatus::Draining => spared(s.told_at),
-            HostStatus::Removed => self.set.safety.only_draining_binds && !s.seen_draining,
+            HostStatus::Draining => in_grace(s.unavailable_since),
+            HostStatus::Removed => self.settings.safety.only_draining_binds && !s.seen_draining,
         }
     }
 
-    /// How many servers are listed, and how many of them get nothing, or only one attempt to see.
+    /// The number of hosts on the list, and of those among them that get nothing, or one attempt at a time to
+    /// see whether they answer.
     pub fn host_counts(&self) -> (usize, usize) {
-        count(&self.hosts, |s| self.left_out_since(s.id).is_some())
+        count_hosts(&self.hosts, |s| self.left_out_since(s.id).is_some())
     }
 
-    /// Since when operators leave a server out, if they do.
+    /// Since when operators leave a host out, if they do.
     pub fn left_out_since(&self, host: HostId) -> Option<Micros> {
-        self.out_by_hand.get(&host).copied()
+        self.left_out.get(&host).copied()
     }
 
-    /// The rule on drains binds from the first call out until the call back; then the server is cold.
-    pub(super) fn by_hand(&mut self, host: HostId, out: bool, since: Micros) {
-        // Another process may have given the order by a clock that is ahead.
+    /// Takes in a manual override. The rule on drains applies from the first order to leave the host out
+    /// until it is used again; from then on the host is cold.
+    pub(super) fn apply_override(&mut self, host: HostId, left_out: bool, since: Micros) {
+        // Another process may have recorded the override by a clock that is ahead.
         let since = since.min(self.now);
-        if out {
-            self.out_by_hand.entry(host).or_insert(since);
-            self.out.push(Action::CloseIdle(host));
+        if left_out {
+            self.left_out.entry(host).or_insert(since);
+            self.actions.push(Action::CloseIdle(host));
             return;
         }
-        let out = self.out_by_hand.remove(&host);
-        let Some(s) = self.index.get(&host).map(|&i| &mut self.hosts[i]) else { return };
-        s.used_again(out, since, LIMIT, self.now.saturating_sub(self.set.safety.cold_duration));
+        let left_out_since = self.left_out.remove(&host);
+        let Some(s) = self.host_index.get(&host).map(|&i| &mut self.hosts[i]) else { return };
+        let warm_before = self.now.saturating_sub(self.settings.safety.cold_duration);
+        s.readmit(left_out_since, since, INITIAL_CONCURRENCY_LIMIT, warm_before);
     }
 
-    pub(super) fn list(&mut self, kind: ListUpdate, entries: &[HostEntry]) {
-        if kind == ListUpdate::Failed {
-            let wait = BACKOFF << self.due.ask_fails.min(DOUBLINGS);
-            self.due.ask_fails += 1;
-            self.due.ask = Some(self.now + wait / 2 + self.rng.rand_range(0..wait));
+    /// Takes in an update of the list.
+    pub(super) fn apply_list(&mut self, update: ListUpdate, entries: &[HostEntry]) {
+        if update == ListUpdate::Failed {
+            let wait = BACKOFF_US << self.schedule.subscribe_failures.min(MAX_BACKOFF_DOUBLINGS);
+            self.schedule.subscribe_failures += 1;
+            self.schedule.subscribe_at = Some(self.now + wait / 2 + self.rng.rand_range(0..wait));
             return;
         }
-        self.due.ask_fails = if kind == ListUpdate::Cached { self.due.ask_fails } else { 0 };
-        // Servers come with new ids without end: one gone for long, and in no request, is let go.
-        let (before, any) =
-            (self.now.saturating_sub(self.set.safety.cold_duration), !self.set.safety.only_draining_binds);
-        forget(&mut self.hosts, &mut self.index, &mut self.groups, &self.requests, any, before);
+        self.schedule.subscribe_failures =
+            if update == ListUpdate::Cached { self.schedule.subscribe_failures } else { 0 };
+        // New hosts bring new ids without end, so a host that was removed long ago and is in no request is
+        // forgotten.
+        let removed_before = self.now.saturating_sub(self.settings.safety.cold_duration);
+        let without_drain = !self.settings.safety.only_draining_binds;
+        forget_removed_hosts(
+            &mut self.hosts,
+            &mut self.host_index,
+            &mut self.groups,
+            &self.requests,
+            without_drain,
+            removed_before,
+        );
         for i in 0..self.hosts.len() {
-            if kind != ListUpdate::Delta && entries.iter().all(|e| e.host != self.hosts[i].id) {
-                self.listed_as(i, HostStatus::Removed);
+            if update != ListUpdate::Delta && entries.iter().all(|e| e.host != self.hosts[i].id) {
+                self.apply_status(i, HostStatus::Removed);
             }
         }
         for e in entries {
-            let fresh = !self.index.contains_key(&e.host);
-            if fresh && e.state == HostStatus::Removed {
+            let is_unknown = !self.host_index.contains_key(&e.host);
+            if is_unknown && e.state == HostStatus::Removed {
                 continue;
             }
-            if fresh {
-                let joined = if self.seen.listed_once { self.now } else { 0 };
-                add_host(&mut self.hosts, &mut self.index, &mut self.groups, e, (LIMIT, joined));
+            if is_unknown {
+                let first_listed_at = if self.observed.listed_once { self.now } else { 0 };
+                add_host(
+                    &mut self.hosts,
+                    &mut self.host_index,
+                    &mut self.groups,
+                    e,
+                    (INITIAL_CONCURRENCY_LIMIT, first_listed_at),
+                );
             }
-            let i = self.index[&e.host];
-            let (new, news) = (fresh && self.seen.listed_once, kind == ListUpdate::Delta);
-            self.hosts[i].started_at(e.started, self.now, self.set.safety.cold_duration, new, news);
-            self.listed_as(i, e.state);
+            let i = self.host_index[&e.host];
+            let is_new = is_unknown && self.observed.listed_once;
+            let is_change = update == ListUpdate::Delta;
+            let cold_duration = self.settings.safety.cold_duration;
+            self.hosts[i].record_start(e.started, self.now, cold_duration, is_new, is_change);
+            self.apply_status(i, e.state);
             let Some(g) = self.groups.get_mut(&self.hosts[i].group) else { continue };
-            if e.primary && self.set.list_role != ListRole::Absent {
-                g.hint = Some(i);
-                g.primary = g.primary.or(Some(i).filter(|_| !self.seen.listed_once));
+            if e.primary && self.settings.list_role != ListRole::Absent {
+                g.listed_primary = Some(i);
+                // Only the first list sets the primary itself.
+                g.primary = g.primary.or(Some(i).filter(|_| !self.observed.listed_once));
             }
         }
-        self.seen.listed_once = true;
+        self.observed.listed_once = true;
     }
 
-    pub(super) fn listed_as(&mut self, i: usize, state: HostStatus) {
-        if !self.hosts[i].listed_as(state, self.now) {
+    /// Sets a host's status on the list. A primary that was removed is no primary any more.
+    pub(super) fn apply_status(&mut self, i: usize, status: HostStatus) {
+        if !self.hosts[i].set_status(status, self.now) {
             return;
         }
-        // Where only draining binds, a list that empties takes no primary away: answers outrank it.
-        let lost = state == HostStatus::Removed && !self.sendable(i, true);
+        // Where only draining binds, a list without the primary changes nothing: the hosts' answers outrank
+        // it.
+        let is_gone = status == HostStatus::Removed && !self.may_receive(i, true);
         let Some(g) = self.groups.get_mut(&self.hosts[i].group) else { return };
-        g.primary = g.primary.filter(|&p| !lost || p != i);
+        g.primary = g.primary.filter(|&p| !is_gone || p != i);
     }
 }
--- a/src/logic/overload.rs
+++ b/src/logic/overload.rs
@@ -1,66 +1,92 @@
-//! Overload: limits of attempts out at a server, and reads that are better refused on arrival.
+//! Overload: the share of reads to refuse on arrival, and the concurrency limit of each host.
+//!
+//! It reads the tallies that `evidence.rs` keeps. It must not refuse or send a request itself.
 
 use super::*;
 
 impl Router {
-    /// The share of a class's requests to a group that are better refused at once. Where one attempt of each
-    /// router is too many, only fewer help: servers that jam fall behind, and what times out goes on. How bad
-    /// it is shows soonest over all groups; which ones, in their part of it, where a first event counts only
-    /// if groups jam alike. Where what is served is quick, what is silent is out of reach, and no jam.
-    pub(super) fn jammed(&self, group: GroupId, class: usize, client_retry: bool) -> f64 {
-        let (c, blur) = (&self.set.classes[class], self.blur());
-        let read = c.access != Access::Write && blur > 0.0;
-        let Some(g) = self.groups.get(&group).filter(|_| read) else { return 0.0 };
-        // A read of any data is not turned away for its age: that counts only beside want of room.
-        let bad =
-            |t: Tally| t.late + if c.access == Access::AnyRead { t.missed.min(t.late) } else { t.missed };
-        let (all, here) =
-            (self.seen.jam.at(self.now, JAM_HALF_LIFE_US), g.jam.at(self.now, GROUP_HALF_LIFE_US));
-        let groups = self.groups.values().map(|g| g.jam.at(self.now, GROUP_HALF_LIFE_US));
-        let (usual, apart) = spread(groups.map(|t| (bad(t), t.of)).collect(), JAM_FEW);
-        let alike = (2.0 - apart).clamp(0.0, 1.0);
-        let part = (bad(here) - 1.0 + alike + GROUP_AS_ALL * alike)
-            / (here.of * usual + GROUP_FEW + GROUP_AS_ALL * alike);
-        let strain = ((all.slow + 1.0) / (all.served + 1.0) / JAM_SLOW).min(1.0);
-        let share = bad(all) * strain / (all.of + JAM_FEW) * part;
-        // A repeat of the client's own is late: worth no more than that, it makes way first.
-        let (over, most) = if client_retry { (JAM_OVER * c.late_worth, 1.0) } else { (JAM_OVER, JAM_MOST) };
-        ((share - over) * JAM_GAIN * blur).clamp(0.0, most)
+    /// The share of a class's requests to a group that are refused on arrival; 0 for writes and in small
+    /// fleets.
+    ///
+    /// Where one attempt of each proxy is too many, only fewer requests help: overloaded hosts fall behind,
+    /// and they go on working on attempts that have timed out. The severity shows soonest over all groups.
+    /// The group's part of it is its failures over those expected of it; a group's first failure counts only
+    /// as far as groups are alike (see `failure_spread`). Where served reads are quick, hosts that don't
+    /// answer are unreachable rather than overloaded, and less is refused.
+    pub(super) fn refusal_share(&self, group: GroupId, class: usize, client_retry: bool) -> f64 {
+        let c = &self.settings.classes[class];
+        let unobserved = self.unobserved_share();
+        let applies = c.access != Access::Write && unobserved > 0.0;
+        let Some(g) = self.groups.get(&group).filter(|_| applies) else { return 0.0 };
+        // An `AnyRead` is never rejected because its replica lags; other reads' rejections count for it only
+        // beside signs of overload.
+        let failures =
+            |t: ReadTally| t.late + if c.access == Access::AnyRead { t.stale.min(t.late) } else { t.stale };
+        let all = self.observed.read_outcomes.decayed(self.now, OVERLOAD_HALF_LIFE_US);
+        let here = g.read_outcomes.decayed(self.now, GROUP_OVERLOAD_HALF_LIFE_US);
+        let groups =
+            self.groups.values().map(|g| g.read_outcomes.decayed(self.now, GROUP_OVERLOAD_HALF_LIFE_US));
+        let (usual, dispersion) =
+            failure_spread(groups.map(|t| (failures(t), t.total)).collect(), OVERLOAD_PRIOR_READS);
+        // 1 if the groups differ by chance alone, 0 if they differ by twice that or more.
+        let alike = (2.0 - dispersion).clamp(0.0, 1.0);
+        let part = (failures(here) - 1.0 + alike + GROUP_POOLED_EVENTS * alike)
+            / (here.total * usual + GROUP_PRIOR_EVENTS + GROUP_POOLED_EVENTS * alike);
+        let slowness = ((all.slow + 1.0) / (all.served + 1.0) / OVERLOAD_SLOW_SHARE).min(1.0);
+        let share = failures(all) * slowness / (all.total + OVERLOAD_PRIOR_READS) * part;
+        // A client retry is late and worth no more than a late answer, so it is refused first.
+        let (tolerated, max_refused) = if client_retry {
+            (OVERLOAD_TOLERATED_SHARE * c.late_worth, 1.0)
+        } else {
+            (OVERLOAD_TOLERATED_SHARE, OVERLOAD_MAX_REFUSED_SHARE)
+        };
+        ((share - tolerated) * OVERLOAD_GAIN * unobserved).clamp(0.0, max_refused)
     }
 
-    /// The limit follows what comes back: up with answers in time, cut when too many are late, overdue or
-    /// turned away. It answers overload, slow, still and cold servers alike; waiting moves to this router.
-    pub(super) fn adapt(&mut self, i: usize, class: usize, outcome: Outcome, latency: Micros) {
-        let (latency_target, usual) =
-            (self.set.classes[class].latency_target as f64, self.classes[class].p50);
+    /// Adapts a host's concurrency limit to the outcome of an attempt: up with answers in time, cut when too
+    /// many are late, timed out or rejected as overloaded.
+    ///
+    /// The limit covers overloaded, slow, unresponsive and cold hosts alike; requests beyond it wait at this
+    /// proxy.
+    pub(super) fn adapt_concurrency_limit(
+        &mut self, i: usize, class: usize, outcome: Outcome, latency: Micros,
+    ) {
+        let latency_target = self.settings.classes[class].latency_target as f64;
+        let usual = self.classes[class].p50;
         let s = &mut self.hosts[i];
-        // Where timed-out work goes on, a limit of one still sends too much: pause, the longer the lower. By
-        // lot below one: a hundred routers which paused together must not come back together.
-        let lot = if s.limit < 1.0 { 0.5 + self.rng.rand_float() } else { 1.0 };
-        let paused = |gap: Micros, times: f64| ((gap as f64 * times * lot) as u64).min(LIST_AGE);
-        let (thin, sent) = (1.0 / (s.limit * s.limit), self.now.saturating_sub(latency));
+        // Where hosts go on working on timed-out attempts, even a limit of 1 sends too much: pause, for
+        // longer if the limit is lower. Below 1 the pause is random, so that a hundred proxies that paused
+        // together don't come back together.
+        let jitter = if s.concurrency_limit < 1.0 { 0.5 + self.rng.rand_float() } else { 1.0 };
+        let pause_of =
+            |base: Micros, factor: f64| ((base as f64 * factor * jitter) as u64).min(SAMPLE_AGE_US);
+        let pause_factor = 1.0 / (s.concurrency_limit * s.concurrency_limit);
+        let sent = self.now.saturating_sub(latency);
         let (late, pause) = match outcome {
-            Outcome::Ok => (latency as f64 > latency_target * LATE_AT, 0),
-            // What was sent later was answered soon: this one was lost, and there is room.
-            Outcome::Timeout if s.soon_sent > sent && latency as f64 > usual * LOST => return,
-            Outcome::Timeout => (true, paused(PERIOD, thin)),
-            Outcome::Overloaded => (true, paused(FULL_GAP, thin.max(1.0))),
+            Outcome::Ok => (latency as f64 > latency_target * LATE_TARGET_RATIO, 0),
+            // A later attempt was answered in time: this answer was lost, and the host has capacity.
+            Outcome::Timeout if s.last_quick_sent_at > sent && latency as f64 > usual * LOST_ANSWER_RATIO => {
+                return;
+            }
+            Outcome::Timeout => (true, pause_of(UPDATE_INTERVAL_US, pause_factor)),
+            Outcome::Overloaded => (true, pause_of(OVERLOADED_PAUSE_US, pause_factor.max(1.0))),
             _ => return,
         };
-        s.soon_sent = if late { s.soon_sent } else { s.soon_sent.max(sent) };
-        s.full_until = s.full_until.max(self.now + pause);
-        s.late = if outcome == Outcome::Overloaded { 1.0 } else { s.late };
-        s.late = averaged(s.late, f64::from(late), OLD);
-        if s.late > LATE_SHARE {
-            if late && self.now >= s.cut_at {
-                // One attempt of each of a hundred routers is too much as well.
-                let least = (FEW / f64::from(self.set.proxy_count.max(1))).min(1.0);
-                s.limit = (s.limit.min(f64::from(s.in_flight) + 1.0) * CUT).max(least);
-                s.cut_at = self.now + CUT_GAP;
-                s.late = LATE_SHARE / 2.0;
+        s.last_quick_sent_at = if late { s.last_quick_sent_at } else { s.last_quick_sent_at.max(sent) };
+        s.paused_until = s.paused_until.max(self.now + pause);
+        s.late_share = if outcome == Outcome::Overloaded { 1.0 } else { s.late_share };
+        s.late_share = moving_average(s.late_share, f64::from(late), OLD_WEIGHT);
+        if s.late_share > MAX_LATE_SHARE {
+            if late && self.now >= s.next_limit_cut_at {
+                // With a hundred proxies, one attempt of each is too much as well.
+                let min_limit = (SMALL_FLEET_PROXIES / f64::from(self.settings.proxy_count.max(1))).min(1.0);
+                s.concurrency_limit =
+                    (s.concurrency_limit.min(f64::from(s.in_flight) + 1.0) * LIMIT_CUT_FACTOR).max(min_limit);
+                s.next_limit_cut_at = self.now + LIMIT_CUT_INTERVAL_US;
+                s.late_share = MAX_LATE_SHARE / 2.0;
             }
-        } else if !late && f64::from(s.in_flight) + 1.0 >= s.limit / 2.0 {
-            s.limit += (1.0 / s.limit).min(s.limit);
+        } else if !late && f64::from(s.in_flight) + 1.0 >= s.concurrency_limit / 2.0 {
+            s.concurrency_limit += (1.0 / s.concurrency_limit).min(s.concurrency_limit);
         }
     }
 }
--- a/src/logic/routing.rs
+++ b/src/logic/routing.rs
@@ -1,78 +1,104 @@
-//! The choice of a server for a request.
+//! The choice of a host for an attempt.
+//!
+//! It reads scores, freshness, slow start and concurrency limits, and draws the host. It must not send.
 
 use super::*;
 
 impl Router {
-    /// Where to send a request now; `None` where it has to wait.
-    pub(super) fn route(&mut self, r: &Request) -> Option<usize> {
+    /// The host for a request's next attempt; `None` if the request has to wait.
+    ///
+    /// Writes and strong reads go to the primary. For other reads each eligible member gets a tier and a
+    /// score. The lowest tier that has a member decides; among its members with a free slot, one near the
+    /// lowest score is drawn.
+    pub(super) fn choose_host(&mut self, r: &Request) -> Option<usize> {
         let group = self.groups.get(&r.group)?;
-        let access = self.set.classes[r.class].access;
+        let access = self.settings.classes[r.class].access;
         let primary = group.primary;
         if matches!(access, Access::Write | Access::StrongRead) {
             let i = primary?;
-            let open = self.sendable(i, true) && self.healthy(i);
-            return (open && self.hosts[i].has_room(self.now) && self.lets_in(i, r, true)).then_some(i);
+            let open = self.may_receive(i, true) && self.is_healthy(i);
+            return (open && self.hosts[i].has_free_slot(self.now) && self.slow_start_admits(i, r, true))
+                .then_some(i);
         }
-        // One sample says little: a host passes for fast or slow only as far as this router has seen it so.
-        let (blur, usual) = (self.blur(), (self.seen.mean, LEAN * self.blur()));
-        let lowest = group.members.iter().filter_map(|&i| self.hosts[i].weighed(usual));
+        // One sample says little: a host counts as fast or slow only as far as this router has seen it so.
+        let unobserved = self.unobserved_share();
+        let usual = (self.observed.mean_latency, FLEET_MEAN_SAMPLES * self.unobserved_share());
+        let lowest = group.members.iter().filter_map(|&i| self.hosts[i].weighted_latency(usual));
         let lowest = lowest.min_by(f64::total_cmp).unwrap_or(DEFAULT_LATENCY_US);
-        let long = access == Access::AnyRead && self.is_long(r.class);
-        let short = access == Access::AnyRead && group.short_at + SHORT_FOR > self.now && !r.plain;
+        let is_long = access == Access::AnyRead && self.is_long(r.class);
+        let yields_to_bounded =
+            access == Access::AnyRead && group.bounded_held_at + BOUNDED_PRIORITY_US > self.now && !r.plain;
         let mut rank = 0;
-        // (tier, score): the lowest tier that has a member decides.
+        // (tier, score, host, has a free slot)
         let mut options: Vec<(u32, f64, usize, bool)> = Vec::new();
         for &i in &group.members {
             let s = &self.hosts[i];
-            if !self.sendable(i, false) || !self.lets_in(i, r, false) {
+            if !self.may_receive(i, false) || !self.slow_start_admits(i, r, false) {
                 continue;
             }
-            let behind = self.now.saturating_sub(self.reached(i, false));
-            let latency = s.weighed(usual).unwrap_or(lowest).max(s.pending);
-            let errors = s.errors(self.now, ERROR_HALF_LIFE_US);
-            let mut points = score(latency, s.q, s.wait) * (1.0 + ERROR_POINTS * errors);
-            points *= if self.set.cross_zone_costs && s.zone != self.set.zone { ABROAD } else { 1.0 };
-            // Where each router tries each server, that is hundreds of handshakes for each, and as many
-            // time-outs for one that is bad: stay with what serves, first drawn by lot.
-            points *= match s.cold_share(self.now, &self.set.safety) {
-                Some(_) => OWN_LOT,
-                None if s.proven => 1.0,
-                None => 1.0 + (UNPROVEN - 1.0) * blur,
+            let behind = self.now.saturating_sub(self.estimated_position(i, false));
+            let latency = s.weighted_latency(usual).unwrap_or(lowest).max(s.oldest_pending);
+            let errors = s.current_error_share(self.now, ERROR_HALF_LIFE_US);
+            let mut points = score(latency, s.in_flight_average, s.wait) * (1.0 + ERROR_PENALTY * errors);
+            points *= if self.settings.cross_zone_costs && s.zone != self.settings.zone {
+                CROSS_ZONE_PENALTY
+            } else {
+                1.0
             };
-            // What any member serves leaves those inside the bound to reads that need one, while such wait.
-            let mut tier = u32::from(short && (primary == Some(i) || behind <= self.tightest));
+            // With many proxies, if each tried each host, there would be hundreds of handshakes at each host,
+            // and as many timeouts at a bad one. So a router stays with hosts that serve; the first is
+            // random.
+            points *= match s.cold_share(self.now, &self.settings.safety) {
+                Some(_) => COLD_SCORE_FACTOR,
+                None if s.last_response_ok => 1.0,
+                None => 1.0 + (UNPROVEN_PENALTY - 1.0) * unobserved,
+            };
+            // While bounded reads wait, a read that any member can serve leaves those inside the bound to
+            // them.
+            let mut tier =
+                u32::from(yields_to_bounded && (primary == Some(i) || behind <= self.tightest_bound));
             if primary == Some(i) {
-                points *= if long { GATHER.powi(4) } else { PRIMARY_HANDICAP };
-            } else if long {
-                // It may hold up the log. It gathers where data is old already, and at every router on the
-                // same replica by id, so that the others stay current.
-                points *= GATHER.powi(rank.min(3)) / (behind.max(TICK) as f64).powi(2);
+                points *= if is_long { LONG_READ_RANK_PENALTY.powi(4) } else { PRIMARY_PENALTY };
+            } else if is_long {
+                // A long read may delay a replica's replay of the log. Long reads gather on a replica whose
+                // data is old already, and at every proxy on the same one by id, so that the others stay
+                // current.
+                points *= LONG_READ_RANK_PENALTY.powi(rank.min(3)) / (behind.max(TICK_US) as f64).powi(2);
                 rank += 1;
-            } else if !self.current_enough(i, r) {
-                // Where replicas check, the most advanced first; elsewhere the data would be stale.
-                if !self.checked(r) {
+            } else if !self.is_current_enough(i, r) {
+                // Where replicas check freshness, the most current one comes first. Elsewhere the answer
+                // would be stale.
+                if !self.is_checked_by_host(r) {
                     continue;
                 }
                 points = behind as f64;
                 tier = 2;
             }
-            tier += if self.healthy(i) { 0 } else { 3 };
+            tier += if self.is_healthy(i) { 0 } else { 3 };
             tier += if r.attempts.iter().any(|a| a.host == i) { 6 } else { 0 };
-            options.push((tier, points, i, self.hosts[i].has_room(self.now)));
+            options.push((tier, points, i, self.hosts[i].has_free_slot(self.now)));
         }
         let tier = options.iter().map(|o| o.0).min()?;
-        // A full tier is waited for: the next one would only turn the read away.
+        // If the whole tier is at capacity, the request waits for it: the next tier would only reject the
+        // read.
         options.retain(|o| o.0 == tier && o.3);
         let best = options.iter().map(|o| o.1).min_by(f64::total_cmp)?;
-        options.retain(|o| o.1 <= best * NEAR);
+        options.retain(|o| o.1 <= best * NEAR_BEST_RATIO);
         let n = self.rng.rand_range(0..options.len() as u64) as usize;
         Some(options[n].2)
     }
 
-    /// Whether a class is long beside the others: by its work, before any was seen by its aim.
+    /// Whether a class takes long beside the others: by its mean latency, or by its latency target if there
+    /// is no sample yet.
     pub(super) fn is_long(&self, class: usize) -> bool {
-        let (c, latency_target) = (&self.classes[class], self.set.classes[class].latency_target as f64);
-        let least = self.set.classes.iter().map(|c| c.latency_target).min().unwrap_or(0) as f64;
-        if c.mean > 0.0 { self.scale(class, 0) < LONG } else { least < latency_target * LONG / 2.0 }
+        let c = &self.classes[class];
+        let latency_target = self.settings.classes[class].latency_target as f64;
+        let shortest_target =
+            self.settings.classes.iter().map(|c| c.latency_target).min().unwrap_or(0) as f64;
+        if c.mean > 0.0 {
+            self.work_scale(class, 0) < LONG_CLASS_RATIO
+        } else {
+            shortest_target < latency_target * LONG_CLASS_RATIO / 2.0
+        }
     }
 }
--- a/src/logic/slow_start.rs
+++ b/src/logic/slow_start.rs
@@ -1,40 +1,52 @@
-//! Slow start: what a server that has just started may get, without sight of the other routers.
+//! Slow start: how much a host gets that has just started.
+//!
+//! Proxies don't see each other's work, so each decides alone, by the random draw of the request.
 
 use super::*;
 
 impl Router {
-    /// Slow start without sight of the other routers: each request drew a lot, and a cold server is open to
-    /// the lots of its own slot, as wide as its present share of what the members can do, but not so wide
-    /// that little more tips it over. All routers together send it no more; further attempts go elsewhere.
-    pub(super) fn lets_in(&self, i: usize, r: &Request, primary_work: bool) -> bool {
-        let Some(share) = self.hosts[i].cold_share(self.now, &self.set.safety) else { return true };
-        let tip = self.set.safety.overload_multiple / 2.0;
+    /// Whether slow start lets a host take an attempt of a request. A warm host takes every attempt.
+    ///
+    /// Each request has a draw between 0 and 1, and each ready member has a slot, an equal part of that
+    /// range. A cold host takes the first attempts of the requests whose draws lie in its slot, over a part
+    /// of the slot that matches its present capacity beside the other members', with a bound below what would
+    /// overload it. So all proxies together send it no more than that; further attempts go elsewhere.
+    ///
+    /// `primary_work`: the attempt goes to the host as the primary of its group.
+    pub(super) fn slow_start_admits(&self, i: usize, r: &Request, primary_work: bool) -> bool {
+        let Some(share) = self.hosts[i].cold_share(self.now, &self.settings.safety) else { return true };
+        let safe_multiple = self.settings.safety.overload_multiple / 2.0;
         let Some(g) = self.groups.get(&self.hosts[i].group) else { return false };
         if primary_work {
-            // What all routers held in an election must not arrive at once: let in by and by.
-            let since = self.now.saturating_sub(g.found_at) as f64;
-            let ramp = since / (self.set.safety.overload_duration.max(1) as f64 * 2.0);
-            return r.lot < share * tip.max(1.0) * ramp.min(1.0);
+            // The requests that all proxies held during an election are admitted gradually.
+            let since_found = self.now.saturating_sub(g.primary_found_at) as f64;
+            let ramp = since_found / (self.settings.safety.overload_duration.max(1) as f64 * 2.0);
+            return r.draw < share * safe_multiple.max(1.0) * ramp.min(1.0);
         }
-        // Members lost within this while count too, but for those that new ones replace: a lone cold one
-        // must not take the whole group's work.
-        let before = |s: &&HostState| {
-            let lost = s.told_at.saturating_add(self.set.safety.cold_duration) > self.now;
-            s.joined.saturating_add(self.set.safety.cold_duration) <= self.now
-                && (s.listed == HostStatus::Ready || lost)
+        // Members that left within `cold_duration` still have a slot, unless new members replace them: a lone
+        // cold host must not take the whole group's work.
+        let was_member = |s: &&HostState| {
+            let left_lately =
+                s.unavailable_since.saturating_add(self.settings.safety.cold_duration) > self.now;
+            s.first_listed_at.saturating_add(self.settings.safety.cold_duration) <= self.now
+                && (s.listed == HostStatus::Ready || left_lately)
         };
-        let before = g.members.iter().map(|&m| &self.hosts[m]).filter(before).count();
-        let open: Vec<usize> =
+        let earlier_members = g.members.iter().map(|&m| &self.hosts[m]).filter(was_member).count();
+        let ready: Vec<usize> =
             g.members.iter().copied().filter(|&m| self.hosts[m].listed == HostStatus::Ready).collect();
-        let slots = open.len().max(before) as f64;
-        let slot = open.iter().position(|&m| m == i).unwrap_or(0) as f64;
-        // From the top: a new primary takes the low lots.
-        let place = (1.0 - r.lot) * slots - slot;
-        let able = |&m: &usize| self.hosts[m].cold_share(self.now, &self.set.safety).unwrap_or(1.0);
-        let able: f64 = open.iter().filter(|&&m| self.sendable(m, false)).map(able).sum();
-        let part = slots / able.max(share);
-        let most = self.set.safety.overload_multiple * TIP_MANY;
-        let part = averaged(part.min(tip) * SLOT, (part * SLOT_MANY).min(most), 1.0 - self.blur());
-        r.attempts.is_empty() && (0.0..share * part).contains(&place)
+        let slots = ready.len().max(earlier_members) as f64;
+        let slot = ready.iter().position(|&m| m == i).unwrap_or(0) as f64;
+        // Slots are counted from the highest draw down, since a new primary takes the low draws.
+        let place_in_slot = (1.0 - r.draw) * slots - slot;
+        let capacity = |&m: &usize| self.hosts[m].cold_share(self.now, &self.settings.safety).unwrap_or(1.0);
+        let capacity: f64 = ready.iter().filter(|&&m| self.may_receive(m, false)).map(capacity).sum();
+        let load = slots / capacity.max(share);
+        let max_load = self.settings.safety.overload_multiple * COLD_MAX_OVERLOAD_SHARE_MANY_PROXIES;
+        let width = moving_average(
+            load.min(safe_multiple) * COLD_SLOT_SHARE,
+            (load * COLD_SLOT_SHARE_MANY_PROXIES).min(max_load),
+            1.0 - self.unobserved_share(),
+        );
+        r.attempts.is_empty() && (0.0..share * width).contains(&place_in_slot)
     }
 }
