--- a/src/net/capture.rs
+++ b/src/net/capture.rs
@@ -5,7 +5,7 @@
 use super::core::Core;
 use super::world;
 use crate::operator::CaptureConf;
-use sillfold_capture::{Header, Recorder, VERSION, line};
+use sillfold_capture::{Header, Recorder, VERSION, encode_line};
 use std::fs::{self, OpenOptions};
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
@@ -16,7 +16,7 @@
 /// Records load for as long as the future is kept; nothing where the operator's file names no file.
 pub async fn run(core: Rc<Core>, conf: CaptureConf, name: String) {
     let Some(file) = conf.file.as_ref().map(PathBuf::from) else { return };
-    core.record(Some(Recorder::new(core.dialect.classes.clone(), conf.sample)));
+    core.set_recorder(Some(Recorder::new(core.program_settings.class_names.clone(), conf.sample)));
     info!(target: "capture", "load is recorded to {}", file.display());
     let started_ms = core.clock.now() / 1_000;
     let header = Header { sillfold_capture: VERSION, name, started_ms, sample: conf.sample };
@@ -26,9 +26,9 @@
         world::at(due).await;
         due = (due + every).max(world::now());
         let now = core.clock.now() / 1_000;
-        let Some(record) = core.recorded(begun, now - begun) else { return };
+        let Some(record) = core.take_record(begun, now - begun) else { return };
         begun = now;
-        let (Ok(header), Ok(record)) = (line(&header), line(&record)) else { continue };
+        let (Ok(header), Ok(record)) = (encode_line(&header), encode_line(&record)) else { continue };
         let (path, most, keep) = (file.clone(), conf.most_kb * 1024, conf.keep);
         // Another process may have left a file there: a new one is begun, and that one put aside.
         let done = blocking::unblock(move || append(&path, &header, &record, most, keep, fresh)).await;
--- a/src/net/proxy.rs
+++ b/src/net/proxy.rs
@@ -36,7 +36,7 @@
     pub clients: Rc<Clients>,
     pub hosts: Rc<Hosts>,
     /// Where discovery has moved to.
-    pub moves: Sender<SocketAddr>,
+    pub discovery_addresses: Sender<SocketAddr>,
     pub upgrade: Rc<Upgrade>,
     /// The talk with other proxies, where there is any.
     pub peers: Option<Rc<Peers>>,
@@ -57,22 +57,23 @@
         let door = door.map_err(|e| format!("console: cannot listen there: {e}"))?;
         let drain_grace = config.settings.safety.drain_grace;
         let longest = config.settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
-        let (core, todo) = Core::new(config.settings.clone(), config.dialect.clone(), config.seed);
+        let (core, todo) = Core::new(config.settings.clone(), config.program_settings.clone(), config.seed);
         let core = Rc::new(core);
         let (user, database) = (&file.hosts.user, &file.hosts.database);
-        let hosts = Hosts::new(core.clone(), config.most_host_connections, drain_grace, user, database);
+        let hosts = Hosts::new(core.clone(), config.max_host_connections, drain_grace, user, database);
         let hosts = Rc::new(hosts);
-        let (most, bytes) = (config.most_clients, config.most_client_bytes);
+        let (most, bytes) = (config.max_clients, config.max_client_bytes);
         let admission = Admission::new(core.clone(), most, bytes, executor.clone());
-        let clients = Clients::new(core.clone(), hosts.clone(), admission, config.way_back, executor.clone());
+        let clients =
+            Clients::new(core.clone(), hosts.clone(), admission, config.response_margin, executor.clone());
         let clients = Rc::new(clients);
-        clients.serve_plain(Statements::of(&file.statements, &config.dialect));
+        clients.set_statements(Statements::from_config(&file.statements, &config.program_settings));
 
-        if let Some(known) = &config.known {
-            hosts.listed(&core.list(known, true), known);
+        if let Some(known) = &config.known_list {
+            hosts.listed(&core.apply_listing(known, true), known);
         }
         let upgrade =
-            Upgrade::new(config.tmp.clone(), core.clone(), clients.admission.clone(), hosts.clone());
+            Upgrade::new(config.state_dir.clone(), core.clone(), clients.admission.clone(), hosts.clone());
         let upgrade = Rc::new(upgrade);
         let peers = config.talk.clone().map(|talk| Rc::new(Peers::new(core.clone(), talk)));
         peers.iter().for_each(|peers| executor.spawn(peers.clone().run()));
@@ -82,7 +83,7 @@
             executor.spawn(console.run(door, executor.clone()));
         }
         upgrade.meet(executor);
-        let known = config.known.take().map(|k| k.index);
+        let known = config.known_list.take().map(|k| k.index);
         executor.spawn(hosts.clone().run_chores(todo, executor.clone()));
         executor.spawn({
             let hosts = hosts.clone();
@@ -96,7 +97,7 @@
             core.learn_headroom(file.headroom.shed);
         }
         executor.spawn(capture::run(core.clone(), file.capture.clone(), config.name.clone()));
-        let (moves, moved) = async_channel::unbounded();
+        let (discovery_addresses, moved) = async_channel::unbounded();
         let (discovery, backoff) = (
             config.discovery,
             Backoff::new(config.settings.list_mode, config.settings.proxy_count, config.seed),
@@ -108,7 +109,19 @@
         executor.spawn(watch);
         let (name, address, linger) = (config.name.clone(), config.listen, config.linger);
         let longest = Duration::from_micros(longest);
-        Ok(Proxy { core, clients, hosts, moves, upgrade, peers, socket, name, address, linger, longest })
+        Ok(Proxy {
+            core,
+            clients,
+            hosts,
+            discovery_addresses,
+            upgrade,
+            peers,
+            socket,
+            name,
+            address,
+            linger,
+            longest,
+        })
     }
 
     /// Serves until told to stop, and stops in order.
