--- a/src/api.rs
+++ b/src/api.rs
@@ -198,11 +198,11 @@
     /// What a replica does with a read if it lags too far for it.
     pub lag_check: LagCheck,
     /// How the proxy knows of a session's own writes.
-    pub tokens: SessionTokens,
+    pub session_tokens: SessionTokens,
     /// Whether attempts to hosts in other zones have a price.
     pub cross_zone_costs: bool,
     /// Whether every answer carries its host's position.
-    pub positions: bool,
+    pub answers_carry_positions: bool,
     /// What the deployment permits.
     pub limits: Limits,
     /// The figures of the safety rules.
@@ -233,7 +233,7 @@
     /// Its zone.
     pub zone: u8,
     /// Its machine type.
-    pub kind: u8,
+    pub machine_type: u8,
     /// Its group.
     pub group: GroupId,
     /// Its status.
@@ -423,12 +423,12 @@
         /// The sender's number.
         from: u16,
         /// Its content.
-        news: Vec<PeerUpdate>,
+        updates: Vec<PeerUpdate>,
     },
     /// An update of the list of hosts.
     List {
         /// What the update carries.
-        kind: ListUpdate,
+        update: ListUpdate,
         /// Entries, empty for `Failed`.
         entries: Arc<[HostEntry]>,
     },
--- a/src/bin/sillfold-benchlink/main.rs
+++ b/src/bin/sillfold-benchlink/main.rs
@@ -122,7 +122,7 @@
     for _ in 0..n {
         let host = c.u32("entry.host")?;
         let zone = c.u8("entry.failureDomain")?;
-        let kind = c.u8("entry.type")?;
+        let machine_type = c.u8("entry.type")?;
         let group = u32::from(c.u16("entry.group")?);
         let state = match c.u8("entry.stageState")? {
             0 => HostStatus::Draining,
@@ -133,7 +133,7 @@
         let weight = f64::from(c.f32("entry.nominal")?);
         let primary = c.f32("entry.leader")? == 1.0;
         let started = c.u64("entry.launchedUs")?;
-        entries.push(HostEntry { host, zone, kind, group, state, weight, primary, started });
+        entries.push(HostEntry { host, zone, machine_type, group, state, weight, primary, started });
     }
     Ok(entries.into())
 }
@@ -143,7 +143,7 @@
 ) -> Result<Event> {
     Ok(match code {
         2 => {
-            let kind = match c.u8("DISCOVERY.form")? {
+            let update = match c.u8("DISCOVERY.form")? {
                 0 => ListUpdate::Delta,
                 1 => ListUpdate::Full,
                 2 => ListUpdate::Cached,
@@ -152,12 +152,12 @@
             };
             c.u32("DISCOVERY.epoch")?;
             let id = c.u16("DISCOVERY.setId")?;
-            let entries = match (kind, tables.get(&id)) {
+            let entries = match (update, tables.get(&id)) {
                 (ListUpdate::Failed, _) => Arc::from([]),
                 (_, Some(table)) => table.clone(),
                 (_, None) => return Err(WireError(format!("DISCOVERY.setId: no table {id}"))),
             };
-            Event::List { kind, entries }
+            Event::List { update, entries }
         }
         3 => {
             let id = c.u32("WORK_ITEM.ticket")?;
@@ -216,7 +216,7 @@
             let news = said.map_or(Vec::new(), |m| {
                 m.items.into_iter().filter_map(|i| talk::from_item(i, Some)).collect()
             });
-            Event::Peer { from, news }
+            Event::Peer { from, updates: news }
         }
         other => return Err(WireError(format!("unknown record code {other}"))),
     })
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -15,7 +15,7 @@
 //!         worth: 1.0, late_worth: 0.0, latency_target_stretch: 0.0,
 //!     }],
 //!     list_mode: ListMode::Pushed, list_role: ListRole::Absent,
-//!     lag_check: LagCheck::Reject, tokens: SessionTokens::FromClient, cross_zone_costs: false, positions: true,
+//!     lag_check: LagCheck::Reject, session_tokens: SessionTokens::FromClient, cross_zone_costs: false, answers_carry_positions: true,
 //!     limits: Limits {
 //!         cancel: true, probes: false, peers: false, retry_after: true,
 //!         max_retry_after: 1_000_000, hedging: false, max_attempts: 4,
@@ -30,11 +30,11 @@
 //! };
 //! let mut router = Router::new(settings, 7);
 //! let entry = HostEntry {
-//!     host: 41, zone: 0, kind: 0, group: 0, state: HostStatus::Ready, weight: 1.0,
+//!     host: 41, zone: 0, machine_type: 0, group: 0, state: HostStatus::Ready, weight: 1.0,
 //!     primary: false, started: 0,
 //! };
 //! let mut actions = Vec::new();
-//! let list = Event::List { kind: ListUpdate::Full, entries: Arc::from([entry]) };
+//! let list = Event::List { update: ListUpdate::Full, entries: Arc::from([entry]) };
 //! let read = Event::Request(RequestInfo {
 //!     id: 1, class: 0, session: 0, give_up_at: 2_000_000, group: 0,
 //!     ..RequestInfo::default()
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -246,19 +246,19 @@
                 Event::HostOverride { host, left_out, since } => {
                     self.apply_override(*host, *left_out, *since)
                 }
-                Event::Peer { from, news } => {
+                Event::Peer { from, updates } => {
                     let (hosts, groups, index) = (&mut self.hosts, &mut self.groups, &self.host_index);
                     apply_peer_updates(
                         hosts,
                         groups,
                         index,
                         &mut self.tenant_quotas,
-                        (*from, news),
+                        (*from, updates),
                         self.now,
                         PROBE_INTERVAL_US,
                     );
                 }
-                Event::List { kind, entries } => self.apply_list(*kind, entries),
+                Event::List { update, entries } => self.apply_list(*update, entries),
             }
         }
         if self.now >= self.schedule.tick {
--- a/src/logic/freshness.rs
+++ b/src/logic/freshness.rs
@@ -7,7 +7,7 @@
 impl Router {
     /// The position that a request carries, as the age of the session's last write; 0 if it carries none.
     pub(super) fn carried_position(&self, a: &RequestInfo) -> Micros {
-        let is_carried = self.settings.tokens == SessionTokens::FromClient;
+        let is_carried = self.settings.session_tokens == SessionTokens::FromClient;
         let session_read =
             is_carried && self.settings.classes[usize::from(a.class)].access == Access::SessionRead;
         match a.token_ms {
@@ -27,7 +27,7 @@
     pub(super) fn required_position(&self, r: &Request) -> Micros {
         let session_read = self.settings.classes[r.class].access == Access::SessionRead && !r.plain;
         let asked_before = r.held || !r.attempts.is_empty();
-        match session_read && self.settings.tokens == SessionTokens::TrackedByProxy {
+        match session_read && self.settings.session_tokens == SessionTokens::TrackedByProxy {
             false => r.required_position,
             true if asked_before && mutants::on("sessions are read at arrival") => r.required_position,
             // The answer to an outstanding write may be lost, so that only its host knows the commit. Hosts
@@ -62,7 +62,7 @@
 
     /// Whether hosts report their positions to probes only.
     pub(super) fn needs_probes_for_positions(&self) -> bool {
-        self.settings.limits.probes && !self.settings.positions
+        self.settings.limits.probes && !self.settings.answers_carry_positions
     }
 
     /// Whether a host's assumed position is recent enough for a request.
--- a/src/logic/lifecycle.rs
+++ b/src/logic/lifecycle.rs
@@ -106,7 +106,7 @@
             self.actions.push(Action::Send { id, host: s.id, timeout });
         }
         if self.settings.classes[r.class].access == Access::Write
-            && self.settings.tokens == SessionTokens::TrackedByProxy
+            && self.settings.session_tokens == SessionTokens::TrackedByProxy
         {
             self.sessions.write_begins(r.session);
         }
@@ -177,7 +177,7 @@
         if claim_is_false {
             self.apply_role(i, Role::Replica, self.now, true);
         }
-        if (access, self.settings.tokens) == (Access::Write, SessionTokens::TrackedByProxy) {
+        if (access, self.settings.session_tokens) == (Access::Write, SessionTokens::TrackedByProxy) {
             self.sessions.write_ends(session, committed_by(e, self.now), self.now);
         }
         let group_holds_requests = self.groups.get_mut(&group).is_some_and(|g| {
--- a/src/net/core.rs
+++ b/src/net/core.rs
@@ -432,7 +432,7 @@
             let own = |host| inner.shared.get(&host).copied().flatten();
             items.iter().filter_map(|item| talk::from_item(*item, own)).collect()
         };
-        self.feed(Event::Peer { from, news });
+        self.feed(Event::Peer { from, updates: news });
     }
 
     /// Whether another process serves the same clients: what it answers binds the reads of this one's sessions.
@@ -465,7 +465,7 @@
 
     /// News of the list, in the module's numbers. Returns the number of every entry.
     pub fn apply_listing(&self, listing: &Listing, cached: bool) -> Vec<HostId> {
-        let kind = match (cached, listing.full) {
+        let update = match (cached, listing.full) {
             (true, _) => ListUpdate::Cached,
             (false, true) => ListUpdate::Full,
             (false, false) => ListUpdate::Delta,
@@ -481,7 +481,7 @@
             entries.push(HostEntry {
                 host,
                 zone: place(&self.program_settings.zone_names, &e.zone),
-                kind: place(&self.program_settings.host_type_names, &e.kind),
+                machine_type: place(&self.program_settings.host_type_names, &e.kind),
                 group: e.group,
                 state: match e.status {
                     Status::Serving => HostStatus::Ready,
@@ -498,7 +498,7 @@
         if !cached {
             self.listed.0.close();
         }
-        let list = Event::List { kind, entries: entries.into() };
+        let list = Event::List { update, entries: entries.into() };
         if self.has_list.replace(true) {
             self.feed(list);
         } else {
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -276,13 +276,13 @@
             "await" => LagCheck::Wait(family.catch_up_wait_us as u64),
             other => return bad("behind", other),
         },
-        tokens: match family.write_marks.as_str() {
+        session_tokens: match family.write_marks.as_str() {
             "brought" => SessionTokens::FromClient,
             "kept" => SessionTokens::TrackedByProxy,
             other => return bad("writeMarks", other),
         },
         cross_zone_costs: conf.fees.cross_zone > 0.0,
-        positions: family.positions,
+        answers_carry_positions: family.positions,
         limits: Limits {
             cancel: l.cancel,
             probes: l.may_probe,
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -48,9 +48,9 @@
         list_mode: ListMode::Pushed,
         list_role: ListRole::Delayed,
         lag_check: LagCheck::Wait(CATCH_UP),
-        tokens: SessionTokens::FromClient,
+        session_tokens: SessionTokens::FromClient,
         cross_zone_costs: true,
-        positions: false,
+        answers_carry_positions: false,
         limits: Limits {
             cancel: true,
             probes: true,
@@ -169,7 +169,7 @@
         let entry = |i: usize| HostEntry {
             host: i as HostId,
             zone: (i % 2) as u8,
-            kind: 0,
+            machine_type: 0,
             group: (i / MEMBERS) as GroupId,
             state: HostStatus::Ready,
             weight: 1.0,
@@ -178,7 +178,7 @@
         };
         let entries: Vec<HostEntry> = (0..SERVERS).map(entry).collect();
         for r in 0..fleet.routers.len() {
-            fleet.feed(r, Event::List { kind: ListUpdate::Full, entries: entries.clone().into() });
+            fleet.feed(r, Event::List { update: ListUpdate::Full, entries: entries.clone().into() });
         }
         fleet
     }
--- a/tests/rig/mod.rs
+++ b/tests/rig/mod.rs
@@ -38,9 +38,9 @@
         list_mode: ListMode::Pushed,
         list_role: ListRole::Delayed,
         lag_check: LagCheck::Unchecked,
-        tokens: SessionTokens::FromClient,
+        session_tokens: SessionTokens::FromClient,
         cross_zone_costs: false,
-        positions: true,
+        answers_carry_positions: true,
         limits: Limits {
             cancel: true,
             probes: true,
@@ -65,11 +65,11 @@
 }
 
 pub fn entry(host: HostId, state: HostStatus, primary: bool, started: Micros) -> HostEntry {
-    HostEntry { host, zone: 0, kind: 0, group: 0, state, weight: 1.0, primary, started }
+    HostEntry { host, zone: 0, machine_type: 0, group: 0, state, weight: 1.0, primary, started }
 }
 
 pub fn list(kind: ListUpdate, entries: Vec<HostEntry>) -> Event {
-    Event::List { kind, entries: entries.into() }
+    Event::List { update: kind, entries: entries.into() }
 }
 
 /// Servers 1 (primary, by the list's hint), 2 and 3.
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -126,7 +126,7 @@
 
 #[test]
 fn where_answers_tell_no_position_a_read_turned_away_and_a_new_start_do() {
-    let mut rig = Rig::new(Settings { positions: false, ..checked() });
+    let mut rig = Rig::new(Settings { answers_carry_positions: false, ..checked() });
     for host in 1..=3 {
         rig.heard(host, role_of(host), 0);
     }
@@ -217,7 +217,7 @@
 #[test]
 fn remembered_tokens_bind_later_session_reads() {
     let mut set = settings();
-    set.tokens = SessionTokens::TrackedByProxy;
+    set.session_tokens = SessionTokens::TrackedByProxy;
     let mut rig = Rig::new(set);
     rig.ask(1, 4);
     rig.end(1, 1, Outcome::Ok, 20 * MS, Role::Primary, 0);
@@ -407,7 +407,7 @@
 /// Where a router may probe about once a second, a new server of 60 waits for most of a minute to be asked.
 #[test]
 fn a_new_server_is_probed_first_and_read_from_after_a_while_even_if_never_probed() {
-    let set = Settings { positions: false, proxy_count: 100, ..checked() };
+    let set = Settings { answers_carry_positions: false, proxy_count: 100, ..checked() };
     let mut rig = Rig::new(set.clone());
     rig.router = Router::new(set, 11);
     let ready = |id| entry(id, HostStatus::Ready, false, 0);
@@ -439,7 +439,7 @@
 
 /// Twenty servers in each of two rooms; answers tell no position. The room of the even ones is room 1.
 fn two_rooms(seed: u64, proxy_count: u32) -> Rig {
-    let set = Settings { positions: false, proxy_count, ..checked() };
+    let set = Settings { answers_carry_positions: false, proxy_count, ..checked() };
     let mut rig = Rig::new(set.clone());
     rig.router = Router::new(set, seed);
     let ready = |id: HostId| HostEntry {
@@ -484,7 +484,7 @@
 fn crowd(proxy_count: u32, seconds: usize, jammed: impl Fn(usize) -> bool) -> Vec<usize> {
     let mut attempts = vec![0; seconds];
     for n in 0..proxy_count {
-        let set = Settings { positions: false, proxy_count, ordinal: n, ..checked() };
+        let set = Settings { answers_carry_positions: false, proxy_count, ordinal: n, ..checked() };
         let mut rig = Rig::new(set.clone());
         rig.router = Router::new(set, u64::from(n));
         rig.at(0, &[list(ListUpdate::Cached, vec![entry(1, HostStatus::Ready, false, 0)])]);
@@ -1275,13 +1275,13 @@
             Event::Probed { host: 999, ok: true, report: HostReport::default() },
             Event::Peer {
                 from: 7,
-                news: vec![
+                updates: vec![
                     PeerUpdate::HostPosition { host: 999, position: T0, primary: true },
                     PeerUpdate::HostPosition { host: 1, position: Micros::MAX, primary: true },
                     PeerUpdate::TenantRate { tenant: 77, per_s: f64::NAN },
                 ],
             },
-            Event::List { kind: ListUpdate::Failed, entries: Arc::from([]) },
+            Event::List { update: ListUpdate::Failed, entries: Arc::from([]) },
             unknown_class,
         ],
     );
@@ -1311,9 +1311,9 @@
     set.limits.cancel = !seed.is_multiple_of(5);
     set.limits.peers = seed.is_multiple_of(4);
     set.limits.probes = !seed.is_multiple_of(7);
-    set.positions = !seed.is_multiple_of(6);
+    set.answers_carry_positions = !seed.is_multiple_of(6);
     set.list_mode = if seed.is_multiple_of(3) { ListMode::OnRequest } else { ListMode::Pushed };
-    set.tokens =
+    set.session_tokens =
         if seed.is_multiple_of(2) { SessionTokens::FromClient } else { SessionTokens::TrackedByProxy };
     let copies = set.limits.hedging;
     let classes = set.classes.clone();
@@ -1462,9 +1462,9 @@
         for tokens in [SessionTokens::FromClient, SessionTokens::TrackedByProxy] {
             let mut set = settings();
             set.lag_check = lag_check;
-            set.tokens = tokens;
+            set.session_tokens = tokens;
             set.proxy_count = 1;
-            set.positions = false;
+            set.answers_carry_positions = false;
             set.list_role = ListRole::Absent;
             set.limits = Limits {
                 cancel: false,
@@ -1549,7 +1549,7 @@
             let mut events = vec![Event::Timer(0), lists[step as usize % lists.len()].clone()];
             let said =
                 PeerUpdate::HostPosition { host: step % 5, position: now - 90 * MS, primary: step % 3 == 0 };
-            events.push(Event::Peer { from: 9, news: vec![said; step as usize % 30] });
+            events.push(Event::Peer { from: 9, updates: vec![said; step as usize % 30] });
             if step < 300 {
                 events.push(brief(step, (step % 6) as u8, step % 3, now));
             }
--- a/tests/session_reads.rs
+++ b/tests/session_reads.rs
@@ -13,7 +13,7 @@
 const REPLICA: HostId = 2;
 
 fn remembering(lag_check: LagCheck) -> Settings {
-    Settings { tokens: SessionTokens::TrackedByProxy, lag_check, ..settings() }
+    Settings { session_tokens: SessionTokens::TrackedByProxy, lag_check, ..settings() }
 }
 
 /// Both replicas are known so far behind.
@@ -204,7 +204,7 @@
 fn a_bounded_read_does_not_begin_at_a_replica_that_has_left_the_bound() {
     const BOUNDED: u8 = 1;
     for tokens in [SessionTokens::FromClient, SessionTokens::TrackedByProxy] {
-        let mut rig = Rig::new(Settings { tokens, ..remembering(LagCheck::Unchecked) });
+        let mut rig = Rig::new(Settings { session_tokens: tokens, ..remembering(LagCheck::Unchecked) });
         replicas_behind(&mut rig, 100 * MS);
         let (read, host) = (10..30)
             .find_map(|id| Some((id, target(&rig.ask(id, BOUNDED), id).filter(|&host| host != PRIMARY)?)))
--- a/tests/sizes.rs
+++ b/tests/sizes.rs
@@ -46,9 +46,9 @@
         list_mode: ListMode::Pushed,
         list_role: ListRole::Delayed,
         lag_check: LagCheck::Unchecked,
-        tokens: SessionTokens::TrackedByProxy,
+        session_tokens: SessionTokens::TrackedByProxy,
         cross_zone_costs: false,
-        positions: true,
+        answers_carry_positions: true,
         limits: Limits {
             cancel: true,
             probes: false,
@@ -84,7 +84,7 @@
     fn start(proxies: u32, hosts: u32, members: u32) -> Model {
         let mut model = Model { router: Router::new(settings(proxies), 1), now: T0, requests: 0 };
         let entries = (0..hosts).map(|host| entry(host, members, HostStatus::Ready)).collect();
-        model.tell(Event::List { kind: ListUpdate::Full, entries });
+        model.tell(Event::List { update: ListUpdate::Full, entries });
         model
     }
 
@@ -128,7 +128,7 @@
     HostEntry {
         host,
         zone: 0,
-        kind: 0,
+        machine_type: 0,
         group: host / members,
         state,
         weight: 1.0,
@@ -148,7 +148,7 @@
             let members = group * MEMBERS..((group + 1) * MEMBERS).min(hosts);
             let state = |member| if member == host { HostStatus::Ready } else { HostStatus::Draining };
             let entries = members.map(|member| entry(member, MEMBERS, state(member))).collect();
-            model.tell(Event::List { kind: ListUpdate::Delta, entries });
+            model.tell(Event::List { update: ListUpdate::Delta, entries });
             assert_eq!(model.read_goes_to(group), Some(host), "{proxies} proxies, {hosts} servers");
         }
     }
@@ -164,7 +164,7 @@
             let host = model.read_goes_to(0).expect("one takes it");
             assert!(routed.insert(host), "{host} drains");
             let entries = [entry(host, hosts, HostStatus::Draining)].into();
-            model.tell(Event::List { kind: ListUpdate::Delta, entries });
+            model.tell(Event::List { update: ListUpdate::Delta, entries });
         }
         assert_eq!(model.read_goes_to(0), None);
     }
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -40,9 +40,9 @@
         list_mode: ListMode::Pushed,
         list_role: ListRole::Delayed,
         lag_check: LagCheck::Wait(100 * MS),
-        tokens: SessionTokens::FromClient,
+        session_tokens: SessionTokens::FromClient,
         cross_zone_costs: false,
-        positions: true,
+        answers_carry_positions: true,
         limits: Limits {
             cancel: true,
             probes: false,
@@ -110,7 +110,7 @@
     let entry = |host: HostId, started: Micros| HostEntry {
         host,
         zone: 0,
-        kind: 0,
+        machine_type: 0,
         group: 0,
         state: HostStatus::Ready,
         weight: 1.0,
@@ -138,7 +138,11 @@
     let started = |host| if told && host + anew > MEMBERS { told_start } else { 0 };
     let known: Vec<HostEntry> = (1..=MEMBERS).map(|host| entry(host, started(host))).collect();
     for router in &mut all {
-        router.handle(T0, &[Event::List { kind: ListUpdate::Full, entries: known.clone().into() }], &mut out);
+        router.handle(
+            T0,
+            &[Event::List { update: ListUpdate::Full, entries: known.clone().into() }],
+            &mut out,
+        );
         out.clear();
     }
     let mut recent: BTreeMap<HostId, VecDeque<Micros>> = BTreeMap::new();
@@ -154,7 +158,7 @@
             for router in &mut all {
                 router.handle(
                     now,
-                    &[Event::List { kind: ListUpdate::Delta, entries: news.clone().into() }],
+                    &[Event::List { update: ListUpdate::Delta, entries: news.clone().into() }],
                     &mut out,
                 );
                 out.clear();
