--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,8 @@
-//! sillfold decides where a query router sends each request of a sharded, replicated database.
+//! sillfold is a proxy for a sharded, replicated database. Its decision module, [`Router`], decides where the
+//! proxy sends each request.
 //!
-//! The module is pure: it is told what happened and when, and says what to do. It holds no clock,
-//! does no I/O and starts no thread, so one text of it runs inside a router and on a test bench.
+//! The decision module takes events with their times and returns actions. It reads no clock, does no I/O and
+//! starts no thread, so the same code runs inside a proxy and in a simulation.
 //!
 //! ```
 //! use std::sync::Arc;
@@ -14,7 +15,7 @@
 //!         worth: 1.0, late_worth: 0.0, latency_target_stretch: 0.0,
 //!     }],
 //!     list_mode: ListMode::Pushed, list_role: ListRole::Absent,
-//!     lag_check: LagCheck::Reject, tokens: SessionTokens::FromClient, cross_zone_costs: false, positions: true,
+//!     lag_check: LagCheck::Reject, session_tokens: SessionTokens::FromClient, cross_zone_costs: false, answers_carry_positions: true,
 //!     limits: Limits {
 //!         cancel: true, probes: false, peers: false, retry_after: true,
 //!         max_retry_after: 1_000_000, hedging: false, max_attempts: 4,
@@ -29,11 +30,11 @@
 //! };
 //! let mut router = Router::new(settings, 7);
 //! let entry = HostEntry {
-//!     host: 41, zone: 0, kind: 0, group: 0, state: HostStatus::Ready, weight: 1.0,
+//!     host: 41, zone: 0, machine_type: 0, group: 0, state: HostStatus::Ready, weight: 1.0,
 //!     primary: false, started: 0,
 //! };
 //! let mut actions = Vec::new();
-//! let list = Event::List { kind: ListUpdate::Full, entries: Arc::from([entry]) };
+//! let list = Event::List { update: ListUpdate::Full, entries: Arc::from([entry]) };
 //! let read = Event::Request(RequestInfo {
 //!     id: 1, class: 0, session: 0, give_up_at: 2_000_000, group: 0,
 //!     ..RequestInfo::default()
@@ -50,7 +51,8 @@
 pub mod settings;
 mod state;
 
-// The program around the module, here so that a simulation can run it too; no interface for others.
+// The proxy around the decision module. It is in this crate so that a simulation can run it too, and it is no
+// interface for other crates.
 #[doc(hidden)]
 pub mod config;
 #[doc(hidden)]
