--- a/src/net/admission.rs
+++ b/src/net/admission.rs
@@ -1,9 +1,9 @@
-//! Admission: who of the clients may have a place, and for how long. It owns the descriptors of connections to
-//! clients, the bytes that they may have sent, the ids of their requests, and what a drain or a stop asks of them. It must
-//! never read or write a connection, nor know what a request says.
+//! Limits on clients: how many connections they may have, for how long a connection may be idle, how much memory their
+//! input may take, and which request ids are in use. It also holds the state of a drain and of a stop. It must never read
+//! or write a connection, nor interpret a request.
 //!
-//! Places are scarce, and only a request has a right to one. Who rests between requests goes after `IDLE`, or after
-//! `IDLE_CROWDED` when a newcomer finds no place.
+//! Slots for connections are scarce, and only an open request has a right to one. A connection that is idle between
+//! requests is closed after `IDLE_TIMEOUT`, or after `IDLE_TIMEOUT_CROWDED` when a new connection finds no free slot.
 
 use super::core::Core;
 use super::world::{self, Spawner};
@@ -16,89 +16,96 @@
 use std::time::{Duration, Instant};
 use tracing::info;
 
-/// A connection that rests for this long between requests is closed, or after the shorter times where
-/// many do, or twice as many. Guards against clients that ask once and stay.
-pub const IDLE: Duration = Duration::from_secs(10);
-pub const IDLE_CROWDED: Duration = Duration::from_secs(2);
-pub const IDLE_THRONGED: Duration = Duration::from_millis(300);
-/// Many are one part in so many of all places.
-const CROWDED: usize = 8;
-/// Where many rest, the longest at rest goes for each newcomer among them, after this long.
-const IDLE_THINNED: Duration = Duration::from_millis(100);
-/// A connection that never made a request and says nothing for this long gives its place to a newcomer.
-const SILENT: Duration = Duration::from_millis(50);
-/// For how long a newcomer may have to wait for a place that is being given up.
-const GIVE_UP: Duration = Duration::from_millis(100);
-/// After the start of a drain, connections are closed behind their answers from the first of these
-/// on, in which the front learns to turn away, and at rest from the second on. Guards against a close
-/// that catches a request on its way: whoever asks often is gone by then.
-const DRAIN_ANSWERED: Duration = Duration::from_millis(500);
-pub const DRAIN_AT_REST: Duration = Duration::from_millis(1_500);
-/// Connections past the limit that may hear a refusal at the same time.
-const REFUSALS: usize = 16;
-/// For how long one waits to hear its refusal.
-const REFUSED_LATER: Duration = Duration::from_millis(250);
-/// Descriptors that another process needs beside those of its clients and hosts.
-const OTHER_PROCESS: usize = 32;
-/// An id counts as taken for this long after its request was answered.
-const ID_KEPT: Duration = Duration::from_secs(2);
-
-/// Admission, and what the tasks of all clients share.
+/// A connection that is idle for this long between requests is closed. Guards against clients that send one request and
+/// keep the connection.
+pub const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// The idle timeout while more than 1/8 of all slots are idle.
+pub const IDLE_TIMEOUT_CROWDED: Duration = Duration::from_secs(2);
+/// The idle timeout while more than 2/8 of all slots are idle.
+pub const IDLE_TIMEOUT_OVERCROWDED: Duration = Duration::from_millis(300);
+/// Idle connections are a crowd when they are more than this fraction (1/8) of all slots.
+const CROWD_DIVISOR: usize = 8;
+/// In a crowd, each connection that becomes idle evicts the one that has been idle for longest, if for at least this long.
+const MIN_IDLE_BEFORE_EVICTION: Duration = Duration::from_millis(100);
+/// A connection without any request so far that sends nothing for this long is evicted when a new one needs its slot.
+const NO_REQUEST_TIMEOUT: Duration = Duration::from_millis(50);
+/// How long a new connection waits for the slot of one that was evicted.
+const EVICTION_TIMEOUT: Duration = Duration::from_millis(100);
+/// This long after the start of a drain, connections are closed behind their answers. Until then, the load balancer in
+/// front learns to send no more clients.
+const DRAIN_CLOSE_ANSWERED: Duration = Duration::from_millis(500);
+/// This long after the start of a drain, idle connections are closed. Guards against a close that crosses a request: the
+/// connections of clients that send often have been closed behind an answer by then.
+pub const DRAIN_CLOSE_IDLE: Duration = Duration::from_millis(1_500);
+/// How many connections beyond the limit may receive a refusal at the same time.
+const MAX_REFUSALS: usize = 16;
+/// How long a connection beyond the limit waits to be refused.
+const REFUSAL_TIMEOUT: Duration = Duration::from_millis(250);
+/// Descriptors that another process needs besides those of its clients and hosts.
+const OTHER_PROCESS_DESCRIPTORS: usize = 32;
+/// How long an id stays in use after its request was answered.
+const ID_RETENTION: Duration = Duration::from_secs(2);
+
+/// The limits on all clients, and the state of a drain or a stop.
 pub struct Admission {
     core: Rc<Core>,
-    most: Budget,
-    /// What all clients together may have sent and not been answered, in bytes.
-    most_bytes: Budget,
+    /// How many connections clients may have.
+    max_open: Budget,
+    /// How many bytes of input all clients together may have unanswered.
+    max_bytes: Budget,
+    /// The number of connections with a slot.
     open: Rc<Cell<usize>>,
-    /// Connections past the limit that are hearing so. Guards against their farewells taking the
-    /// places of clients that could be served.
+    /// The number of connections beyond the limit that are being refused. Counted apart, so that their closes don't take
+    /// the slots of clients that could be served.
     refusing: Rc<Cell<usize>>,
+    /// The bytes of unanswered input of all clients.
     bytes: Rc<Cell<usize>>,
-    waiting: RefCell<IdleConnections>,
+    idle_connections: RefCell<IdleConnections>,
     ids: RefCell<Ids>,
-    /// Closed once no idle connection is to be kept; a drain that is called off puts a new one in place.
-    closing: RefCell<(Sender<()>, Receiver<()>)>,
-    /// Closed once requests that are still open get their last answers, whatever came of them.
+    /// Closed once idle connections have to end; replaced when a drain is called off.
+    closing_idle: RefCell<(Sender<()>, Receiver<()>)>,
+    /// Closed once the stop's time is over, and open requests get their final answers at once.
     cut_off: (Sender<()>, Receiver<()>),
-    /// Since when the proxy drains.
+    /// Since when the proxy has been draining.
     draining: Cell<Option<Instant>>,
     stopping: Cell<bool>,
-    /// Whether clients are taken: a new version begins with it once it can serve.
-    listening: Cell<bool>,
-    /// Another version takes clients in this one's stead.
-    relieved: Cell<bool>,
+    /// Whether clients are accepted: a new version accepts them once it can serve.
+    accepting: Cell<bool>,
+    /// Another version accepts clients in place of this one.
+    replaced: Cell<bool>,
     executor: Spawner,
-    /// Told whenever a connection has ended.
+    /// Notified whenever a connection has ended.
     ended: (Sender<()>, Receiver<()>),
 }
 
-/// Connections without an open request, since when, and how each is told to go: those that never
-/// asked anything that a host could answer, and those that rest between requests. Guards against a
-/// crowd that opens sessions, says a word and stays, and counts as usual clients at rest.
+/// The connections without an open request: since when each is idle, and how it is told to end. Connections that never sent
+/// a request that a host could answer are kept apart. Guards against many clients that open sessions, send one message and
+/// stay, and would count as normal clients between requests.
 #[derive(Default)]
 struct IdleConnections {
-    silent: BTreeMap<(Instant, u64), Sender<()>>,
-    idle: BTreeMap<(Instant, u64), Sender<()>>,
-    last: u64,
+    without_request: BTreeMap<(Instant, u64), Sender<()>>,
+    between_requests: BTreeMap<(Instant, u64), Sender<()>>,
+    last_number: u64,
 }
 
-/// Ids of requests that are open or were just now. Guards against a client that sends another's id:
-/// database hosts would take it for a second copy of the other's request.
+/// The ids of requests that are open, or were answered a moment ago. Guards against a client that sends the id of another
+/// client's request: database hosts would take it for a second copy of that request.
 #[derive(Default)]
 struct Ids {
     hasher: RandomState,
-    taken: HashSet<u64>,
-    ended: VecDeque<(Instant, u64)>,
+    in_use: HashSet<u64>,
+    /// The ids of answered requests, oldest first.
+    answered: VecDeque<(Instant, u64)>,
 }
 
-/// A client's descriptor in the budget; dropping it gives it back.
+/// A client's slot in the limit on connections; dropping it frees the slot.
 pub struct ClientSlot {
     count: Rc<Cell<usize>>,
     ended: Sender<()>,
 }
 
 impl ClientSlot {
-    fn of(count: &Rc<Cell<usize>>, ended: &Sender<()>) -> ClientSlot {
+    fn counted_in(count: &Rc<Cell<usize>>, ended: &Sender<()>) -> ClientSlot {
         count.set(count.get() + 1);
         ClientSlot { count: count.clone(), ended: ended.clone() }
     }
@@ -111,21 +118,22 @@
     }
 }
 
-/// A session's part of the common allowance of bytes; dropping it gives it back.
+/// The part of the memory limit that one session takes; dropping it returns the part.
 pub struct MemoryShare {
-    all: Rc<Cell<usize>>,
-    mine: usize,
+    total: Rc<Cell<usize>>,
+    own: usize,
 }
 
 impl MemoryShare {
-    /// Whether it holds nothing.
+    /// Whether the session takes no part of the limit.
     pub fn is_empty(&self) -> bool {
-        self.mine == 0
+        self.own == 0
     }
 
+    /// Sets how many bytes the session takes.
     pub fn set(&mut self, bytes: usize) {
-        self.all.set(self.all.get() - self.mine + bytes);
-        self.mine = bytes;
+        self.total.set(self.total.get() - self.own + bytes);
+        self.own = bytes;
     }
 }
 
@@ -135,197 +143,201 @@
     }
 }
 
-/// A place among those waiting; dropping it gives it up.
+/// The registration of an idle connection; dropping it removes the connection from the idle ones.
 pub struct IdleEntry<'a> {
-    all: &'a Admission,
-    asked: bool,
+    admission: &'a Admission,
+    had_request: bool,
     key: (Instant, u64),
 }
 
 impl Drop for IdleEntry<'_> {
     fn drop(&mut self) {
-        let mut waiting = self.all.waiting.borrow_mut();
-        waiting.of(self.asked).remove(&self.key);
+        let mut idle_connections = self.admission.idle_connections.borrow_mut();
+        idle_connections.kind_mut(self.had_request).remove(&self.key);
     }
 }
 
 impl IdleConnections {
-    fn of(&mut self, asked: bool) -> &mut BTreeMap<(Instant, u64), Sender<()>> {
-        if asked { &mut self.idle } else { &mut self.silent }
+    /// The idle connections that had a request before, or those that had none.
+    fn kind_mut(&mut self, had_request: bool) -> &mut BTreeMap<(Instant, u64), Sender<()>> {
+        if had_request { &mut self.between_requests } else { &mut self.without_request }
     }
 }
 
-/// An id in use; dropping it keeps the id for a moment more.
+/// A request id in use; dropping it frees the id after `ID_RETENTION`.
 pub struct IdClaim<'a> {
-    all: &'a Admission,
+    admission: &'a Admission,
     id: u64,
 }
 
 impl Drop for IdClaim<'_> {
     fn drop(&mut self) {
-        self.all.ids.borrow_mut().ended.push_back((world::now(), self.id));
+        self.admission.ids.borrow_mut().answered.push_back((world::now(), self.id));
     }
 }
 
 impl Admission {
-    pub fn new(core: Rc<Core>, most: usize, most_bytes: usize, executor: Spawner) -> Admission {
-        let (open, refusing, bytes) = (Rc::default(), Rc::default(), Rc::default());
-        let (waiting, ids) = (RefCell::default(), RefCell::default());
-        let (closing, ended) = (RefCell::new(async_channel::bounded(1)), async_channel::bounded(1));
+    pub fn new(core: Rc<Core>, max_open: usize, max_bytes: usize, executor: Spawner) -> Admission {
         Admission {
             core,
-            most: Budget::new(most),
-            most_bytes: Budget::new(most_bytes),
-            open,
-            refusing,
-            bytes,
-            waiting,
-            ids,
-            closing,
+            max_open: Budget::new(max_open),
+            max_bytes: Budget::new(max_bytes),
+            open: Rc::default(),
+            refusing: Rc::default(),
+            bytes: Rc::default(),
+            idle_connections: RefCell::default(),
+            ids: RefCell::default(),
+            closing_idle: RefCell::new(async_channel::bounded(1)),
             cut_off: async_channel::bounded(1),
             draining: Cell::new(None),
             stopping: Cell::new(false),
-            listening: Cell::new(false),
-            relieved: Cell::new(false),
+            accepting: Cell::new(false),
+            replaced: Cell::new(false),
             executor,
-            ended,
+            ended: async_channel::bounded(1),
         }
     }
 
-    /// From now on clients are taken.
-    pub fn begin(&self) {
-        self.listening.set(true);
+    /// Records that clients are accepted from now on.
+    pub fn start_accepting(&self) {
+        self.accepting.set(true);
     }
 
-    /// A place for one more connection, and whether it is only one to be refused on; nothing where there is none.
-    pub fn place(&self) -> Option<(ClientSlot, bool)> {
+    /// Takes a slot for a new connection, and returns whether the connection can only be refused on it. `None` if there is
+    /// no slot even for that.
+    pub fn take_slot(&self) -> Option<(ClientSlot, bool)> {
         let refused = self.is_full();
-        let (count, most) = if refused { (&self.refusing, REFUSALS) } else { (&self.open, self.most.get()) };
-        if count.get() >= most {
+        let (count, max_count) =
+            if refused { (&self.refusing, MAX_REFUSALS) } else { (&self.open, self.max_open.get()) };
+        if count.get() >= max_count {
             return None;
         }
-        Some((ClientSlot::of(count, &self.ended.0), refused))
+        Some((ClientSlot::counted_in(count, &self.ended.0), refused))
     }
 
-    /// Returns once there is a place for one more connection, if only to be refused on, or after a while without one.
-    /// Guards against a burst of newcomers that are closed over what they have written: until then the machine holds
-    /// those behind.
-    pub async fn until_place(&self) {
-        let has_none = || self.is_full() && self.refusing.get() >= REFUSALS;
+    /// Returns once there is a slot for a new connection, at least to refuse it, or after `REFUSAL_TIMEOUT`. Guards against
+    /// a burst of connections that are reset with their input unread: meanwhile the next ones wait in the listener's
+    /// backlog.
+    pub async fn until_slot(&self) {
+        let has_none = || self.is_full() && self.refusing.get() >= MAX_REFUSALS;
         let freed = async {
             while has_none() {
                 let _ = self.ended.1.recv().await;
             }
         };
         if has_none() {
-            by(world::now() + REFUSED_LATER, freed).await;
+            by(world::now() + REFUSAL_TIMEOUT, freed).await;
         }
     }
 
-    /// Moves a connection that only has to end among those that hear a refusal, so that its place is free at once;
-    /// false where they are too many.
-    pub fn vacate(&self, slot: &mut ClientSlot) -> bool {
-        let room = self.refusing.get() < REFUSALS;
-        if room {
-            *slot = ClientSlot::of(&self.refusing, &self.ended.0);
+    /// Counts a connection that is closing as a refused one, which frees its slot at once; false if too many are being
+    /// refused.
+    pub fn move_to_refused(&self, slot: &mut ClientSlot) -> bool {
+        let may_move = self.refusing.get() < MAX_REFUSALS;
+        if may_move {
+            *slot = ClientSlot::counted_in(&self.refusing, &self.ended.0);
         }
-        room
+        may_move
     }
 
-    /// Whether all places are taken.
+    /// Whether all slots are taken.
     pub fn is_full(&self) -> bool {
-        self.open.get() >= self.most.get()
+        self.open.get() >= self.max_open.get()
     }
 
-    /// A part of the common allowance of bytes, empty yet.
-    pub fn bytes(&self) -> MemoryShare {
-        MemoryShare { all: self.bytes.clone(), mine: 0 }
+    /// A share of the memory limit that takes nothing yet.
+    pub fn new_memory_share(&self) -> MemoryShare {
+        MemoryShare { total: self.bytes.clone(), own: 0 }
     }
 
-    /// Whether what all clients have sent fits into the memory.
-    pub fn fits(&self) -> bool {
-        self.bytes.get() <= self.most_bytes.get()
+    /// Whether the input of all clients is within the memory limit.
+    pub fn has_memory(&self) -> bool {
+        self.bytes.get() <= self.max_bytes.get()
     }
 
-    /// Whether a connection that began then came after those at rest were told to go, and is to hear its refusal.
-    pub fn is_late(&self, begun: Instant) -> bool {
-        let late = self.draining.get().is_some_and(|since| begun > since + DRAIN_AT_REST);
-        late && !self.stopping.get()
+    /// Whether a connection was opened after a drain closed the idle ones. It then has to receive its refusal.
+    pub fn opened_after_idle_close(&self, opened_at: Instant) -> bool {
+        let after_idle_close = self.draining.get().is_some_and(|since| opened_at > since + DRAIN_CLOSE_IDLE);
+        after_idle_close && !self.stopping.get()
     }
 
-    /// Closed once no idle connection is to be kept.
-    pub fn closing(&self) -> Receiver<()> {
-        self.closing.borrow().1.clone()
+    /// A receiver that is closed once idle connections have to end.
+    pub fn closing_idle(&self) -> Receiver<()> {
+        self.closing_idle.borrow().1.clone()
     }
 
-    /// Where all places are taken, asks for that of whoever has been silent, or idle, for longest.
-    /// Guards against connections that only stand there keeping out clients that want something.
-    pub async fn make_room(&self) {
+    /// If all slots are taken, evicts the connection that has been idle for longest: one that never sent a request, or one
+    /// between requests. Guards against idle connections that keep out clients with requests.
+    pub async fn evict_idle(&self) {
         if !self.is_full() {
             return;
         }
-        let since = |asked| self.waiting.borrow_mut().of(asked).keys().next().map(|k| k.0);
-        let idle = since(true).filter(|&since| world::since(since) >= IDLE_CROWDED);
-        let idle = match since(false) {
-            Some(silent) if world::since(silent) >= SILENT || idle.is_none() => {
-                // Waited for: a whole crowd of silent ones is through in a moment.
-                world::at(silent + SILENT).await;
+        let longest_idle_since = |had_request| {
+            self.idle_connections.borrow_mut().kind_mut(had_request).keys().next().map(|key| key.0)
+        };
+        let between_requests =
+            longest_idle_since(true).filter(|&since| world::since(since) >= IDLE_TIMEOUT_CROWDED);
+        let had_request = match longest_idle_since(false) {
+            Some(since) if world::since(since) >= NO_REQUEST_TIMEOUT || between_requests.is_none() => {
+                // The wait is short even for a crowd of such connections: their times run out together.
+                world::at(since + NO_REQUEST_TIMEOUT).await;
                 false
             }
-            _ if idle.is_some() => true,
+            _ if between_requests.is_some() => true,
             _ => return,
         };
-        let asked = self.waiting.borrow_mut().of(idle).pop_first();
-        if asked.is_some_and(|(_, go)| go.try_send(()).is_ok()) {
-            let left = async {
+        let evicted = self.idle_connections.borrow_mut().kind_mut(had_request).pop_first();
+        if evicted.is_some_and(|(_, eviction)| eviction.try_send(()).is_ok()) {
+            let slot_freed = async {
                 while self.is_full() {
                     let _ = self.ended.1.recv().await;
                 }
             };
-            by(world::now() + GIVE_UP, left).await;
+            by(world::now() + EVICTION_TIMEOUT, slot_freed).await;
         }
     }
 
-    /// Takes an id for a request; nothing if it is another's.
+    /// Claims the id of a request; `None` if another request uses it.
     pub fn claim(&self, id: &str) -> Option<IdClaim<'_>> {
         let mut ids = self.ids.borrow_mut();
-        while let Some(&(_, old)) = ids.ended.front().filter(|e| world::since(e.0) > ID_KEPT) {
-            ids.ended.pop_front();
-            ids.taken.remove(&old);
+        while let Some(&(_, expired)) = ids.answered.front().filter(|e| world::since(e.0) > ID_RETENTION) {
+            ids.answered.pop_front();
+            ids.in_use.remove(&expired);
         }
         let id = ids.hasher.hash_one(id);
-        ids.taken.insert(id).then(|| IdClaim { all: self, id })
+        ids.in_use.insert(id).then(|| IdClaim { admission: self, id })
     }
 
-    /// For how long connections may rest between requests, as many as do now.
-    pub fn may_rest(&self) -> Duration {
-        let (idle, many) = (self.waiting.borrow().idle.len(), self.most.get() / CROWDED);
+    /// How long connections may be idle between requests. The more are idle, the shorter it is.
+    pub fn idle_timeout(&self) -> Duration {
+        let idle = self.idle_connections.borrow().between_requests.len();
+        let crowd = self.max_open.get() / CROWD_DIVISOR;
         match idle {
-            _ if idle > 2 * many => IDLE_THRONGED,
-            _ if idle > many => IDLE_CROWDED,
-            _ => IDLE,
+            _ if idle > 2 * crowd => IDLE_TIMEOUT_OVERCROWDED,
+            _ if idle > crowd => IDLE_TIMEOUT_CROWDED,
+            _ => IDLE_TIMEOUT,
         }
     }
 
-    /// Where many rest and one more comes to rest, tells the one that has rested for longest to go.
-    pub fn thin_out(&self) {
-        let crowded = self.may_rest() < IDLE;
-        let mut waiting = self.waiting.borrow_mut();
+    /// Called when a connection becomes idle: if many are idle, evicts the one that has been idle for longest.
+    pub fn evict_longest_idle(&self) {
+        let crowded = self.idle_timeout() < IDLE_TIMEOUT;
+        let mut idle_connections = self.idle_connections.borrow_mut();
         if crowded
-            && let Some(oldest) = waiting.idle.first_entry()
-            && world::since(oldest.key().0) >= IDLE_THINNED
+            && let Some(oldest) = idle_connections.between_requests.first_entry()
+            && world::since(oldest.key().0) >= MIN_IDLE_BEFORE_EVICTION
         {
             let _ = oldest.remove().try_send(());
         }
     }
 
-    /// A place among those that wait, from now on.
-    pub fn seat(&self, asked: bool, go: Sender<()>) -> IdleEntry<'_> {
-        let mut waiting = self.waiting.borrow_mut();
-        waiting.last += 1;
-        let key = (world::now(), waiting.last);
-        waiting.of(asked).insert(key, go);
-        IdleEntry { all: self, asked, key }
+    /// Registers a connection as idle from now on; `eviction` is notified if it has to end for another client.
+    pub fn register_idle(&self, had_request: bool, eviction: Sender<()>) -> IdleEntry<'_> {
+        let mut idle_connections = self.idle_connections.borrow_mut();
+        idle_connections.last_number += 1;
+        let key = (world::now(), idle_connections.last_number);
+        idle_connections.kind_mut(had_request).insert(key, eviction);
+        IdleEntry { admission: self, had_request, key }
     }
 
     /// Why the proxy is not ready to serve, if it is not.
@@ -333,84 +345,86 @@
         match self.draining.get() {
             _ if self.stopping.get() => Some("it stops"),
             Some(_) => Some("it drains"),
-            None if !self.listening.get() => Some("it takes no clients yet"),
+            None if !self.accepting.get() => Some("it takes no clients yet"),
             None if !self.core.is_ready() => Some("no list of database hosts yet"),
             None => None,
         }
     }
 
-    /// From now on the proxy is not ready, and its clients' connections end one by one.
+    /// Starts a drain: the proxy is not ready any more, and its clients' connections end one by one.
     pub fn start_draining(self: &Rc<Admission>) {
         if self.draining.get().is_some() {
             return;
         }
         let since = world::now();
         self.draining.set(Some(since));
-        info!(target: "clients", "draining");
-        let all = self.clone();
-        let at_rest = async move {
-            world::at(since + DRAIN_AT_REST).await;
-            if all.draining.get() == Some(since) {
-                all.closing.borrow().0.close();
+        info!(target: "clients", "draining: the proxy is not ready, and closes its clients' connections");
+        let admission = self.clone();
+        let close_idle = async move {
+            world::at(since + DRAIN_CLOSE_IDLE).await;
+            // Unless the drain was called off, or started anew, meanwhile.
+            if admission.draining.get() == Some(since) {
+                admission.closing_idle.borrow().0.close();
             }
         };
-        self.executor.spawn(at_rest);
+        self.executor.spawn(close_idle);
     }
 
-    /// Takes clients again.
+    /// Calls off a drain: the proxy serves clients again.
     pub fn stop_draining(&self) {
         if self.draining.take().is_some() {
-            *self.closing.borrow_mut() = async_channel::bounded(1);
-            info!(target: "clients", "draining no more");
+            *self.closing_idle.borrow_mut() = async_channel::bounded(1);
+            info!(target: "clients", "the drain is called off: the proxy keeps its clients' connections again");
         }
     }
 
-    /// Whether a connection is to end behind its answer.
-    pub fn answered_last(&self) -> bool {
-        self.relieved.get() || self.draining.get().is_some_and(|since| world::since(since) >= DRAIN_ANSWERED)
+    /// Whether connections are closed behind their answers.
+    pub fn closes_after_answer(&self) -> bool {
+        self.replaced.get()
+            || self.draining.get().is_some_and(|since| world::since(since) >= DRAIN_CLOSE_ANSWERED)
     }
 
-    /// The program is about to end: it is not ready any more, and serves as ever.
+    /// Records that the program is about to end: the proxy is not ready any more, but goes on serving.
     pub fn stop(&self) {
         self.stopping.set(true);
     }
 
-    /// Another version takes clients: connections end behind their answers from now on.
-    pub fn relieve(&self) {
-        self.relieved.set(true);
+    /// Records that another version accepts the clients: connections are closed behind their answers from now on.
+    pub fn close_after_answers(&self) {
+        self.replaced.set(true);
     }
 
-    /// The time of the stop is over: what is open, or comes on a connection that is, gets an answer at once.
+    /// Ends the stop's time: open requests, and requests on open connections, get their final answers at once.
     pub fn cut_off(&self) {
         self.cut_off.0.close();
     }
 
-    /// Whether it is.
+    /// Whether the stop's time is over.
     pub fn is_cut_off(&self) -> bool {
         self.cut_off.0.is_closed()
     }
 
-    /// Returns once it is.
+    /// Returns once the stop's time is over.
     pub async fn until_cut_off(&self) {
         let _ = self.cut_off.1.recv().await;
     }
 
-    /// Connections that are open, and bytes that their clients have sent.
+    /// The number of open connections, and the bytes of unanswered input.
     pub fn usage(&self) -> (usize, usize) {
         (self.open.get(), self.bytes.get())
     }
 
-    /// Another process holds so much of the limits, or none does any more.
+    /// Shares the limits with another process, which uses this much of them; `None` if there is no other.
     pub fn share_limits(&self, other: Option<Held>) {
-        let ((open, bytes), own) = (self.usage(), other.map(|o| (o.clients + OTHER_PROCESS, o.bytes)));
-        self.most.share(open, own.map(|o| o.0));
-        self.most_bytes.share(bytes, own.map(|o| o.1));
+        let (open, bytes) = self.usage();
+        self.max_open.share(open, other.map(|held| held.clients + OTHER_PROCESS_DESCRIPTORS));
+        self.max_bytes.share(bytes, other.map(|held| held.bytes));
     }
 
-    /// Closes idle connections, and the others once they have been answered; returns when all are.
+    /// Closes idle connections at once, and the others behind their answers; returns when all are closed.
     pub async fn close(&self) {
         self.stop();
-        self.closing.borrow().0.close();
+        self.closing_idle.borrow().0.close();
         while self.open.get() + self.refusing.get() > 0 {
             let _ = self.ended.1.recv().await;
         }
--- a/src/net/client.rs
+++ b/src/net/client.rs
@@ -1,10 +1,11 @@
-//! Clients: one task for each connection. It owns how sessions begin and end and the order of their requests, each of
-//! which gets exactly one answer here; the request's life is `life`, what is worked on behind another `pipeline`, the
-//! connection `line`, its place `admission`. It must never choose a host or judge an outcome.
+//! Accepts clients and runs one session for each connection, in a task of its own. A session decodes messages, serves
+//! requests in order, and writes exactly one answer to each. It calls `request` for the serving of one request, `pipeline`
+//! for the requests behind another, `client_connection` for the bytes, and `admission` for places and limits. It must
+//! never choose a host or judge an outcome.
 
 use super::admission::{Admission, IdClaim};
 use super::client_connection::{
-    Abandoned, ClientConnection, ReadAhead, ReadAheadMode, ReadResult, put_fatal,
+    AbandonReason, ClientConnection, ReadAhead, ReadAheadMode, ReadResult, put_fatal,
 };
 use super::complain;
 use super::core::{Clock, Core, Request, fnv1a};
@@ -12,8 +13,8 @@
 use super::hosts::Hosts;
 use super::pipeline::{Pipeline, PipelineEntry, Progress, RequestScope};
 use super::request::{
-    ClientLink, ClientWatch, FinalAnswer, PendingAnswer, RequestHandler, StreamResult, fill_value,
-    give_up_at, pass_on_plain, pass_on_value,
+    ClientLink, ClientWatch, FinalAnswer, PendingAnswer, RequestHandler, StreamResult, give_up_at, pad_value,
+    stream_plain_answer, stream_value,
 };
 use super::statements::{PlainRoute, StatementRefusal, Statements};
 use super::world::{self, Listener, Spawner, Stream};
@@ -32,695 +33,760 @@
 use std::time::Duration;
 use tracing::warn;
 
-/// The wait after a failed accept, so that a full table of descriptors does not make the loop spin; and how often in a row
-/// one is tried again at a stop.
-const ACCEPT_WAIT: Duration = Duration::from_millis(20);
-const ACCEPT_TRIES: u32 = 25;
+/// The delay after a failed accept. Guards against a loop that spins while the table of descriptors is full.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// How often in a row a failed accept is retried at a stop.
+const MAX_ACCEPT_RETRIES: u32 = 25;
 
-/// One connection may have requests open, each of which may need a connection to a host, up to one part in so many of
-/// these: several such clients at once leave room for others.
-const PIPELINE_SHARE: usize = 8;
-/// What the requests behind one another of one connection, and their answers, may hold before no more are begun.
-const MOST_TAKEN_BYTES: usize = 1 << 20;
+/// The open requests of one connection may need at most this fraction (1/8) of the connections to hosts, so that several
+/// clients with many open requests leave connections for others.
+const PIPELINE_SHARE_DIVISOR: usize = 8;
+/// How many bytes the pipelined requests of one connection and their answers may hold before no more requests start.
+const MAX_PIPELINE_BYTES: usize = 1 << 20;
 
-/// All clients, and what their tasks share.
+/// The clients of the proxy, and what their tasks share.
 pub struct Clients {
     core: Rc<Core>,
     hosts: Rc<Hosts>,
-    /// Their places.
     pub admission: Rc<Admission>,
-    way_back: Micros,
-    /// How plain statements are read, if they are served.
+    /// How long an answer takes to a client.
+    return_delay: Micros,
+    /// How plain statements are routed, if they are served.
     statements: RefCell<Option<Rc<Statements>>>,
-    /// A connection that was accepted and waits for a place. It outlasts whoever waits with it.
-    newcomer: RefCell<Option<Stream>>,
+    /// A connection that was accepted and waits for a slot. Kept here so that it survives when the future that accepts is
+    /// dropped.
+    waiting_stream: RefCell<Option<Stream>>,
     executor: Spawner,
 }
 
 impl Clients {
     pub fn new(
-        core: Rc<Core>, hosts: Rc<Hosts>, admission: Admission, way_back: Micros, executor: Spawner,
+        core: Rc<Core>, hosts: Rc<Hosts>, admission: Admission, return_delay: Micros, executor: Spawner,
     ) -> Clients {
         Clients {
             core,
             hosts,
             admission: Rc::new(admission),
-            way_back,
+            return_delay,
             statements: RefCell::default(),
-            newcomer: RefCell::default(),
+            waiting_stream: RefCell::default(),
             executor,
         }
     }
 
-    /// From now on plain statements are served so, or not at all.
+    /// Sets how plain statements are routed; `None` turns them off.
     pub fn set_statements(&self, statements: Option<Rc<Statements>>) {
         *self.statements.borrow_mut() = statements;
     }
 
-    /// How plain statements are read, if they are served.
+    /// How plain statements are routed, if they are served.
     pub fn statements(&self) -> Option<Rc<Statements>> {
         self.statements.borrow().clone()
     }
 
-    /// Accepts for as long as the future is kept.
+    /// Accepts clients until the future is dropped.
     pub async fn accept(self: &Rc<Clients>, listener: &Listener) {
-        self.admission.begin();
-        self.begin_newcomer();
+        self.admission.start_accepting();
+        self.start_waiting_session();
         loop {
             match listener.accept().await {
                 Ok(stream) => {
-                    self.newcomer.replace(Some(stream));
-                    self.admission.make_room().await;
-                    self.admission.until_place().await;
-                    self.begin_newcomer();
-                    // It takes its seat before the next one may have to ask for a place.
+                    self.waiting_stream.replace(Some(stream));
+                    self.admission.evict_idle().await;
+                    self.admission.until_slot().await;
+                    self.start_waiting_session();
+                    // Lets the session register as idle, so that it can be evicted for the next connection.
                     future::yield_now().await;
                 }
                 Err(e) => {
-                    complain(|| format!("clients: accepting: {e}"));
-                    world::after(ACCEPT_WAIT).await;
+                    complain(|| {
+                        format!("clients: accepting a connection failed, trying again in 20 ms: {e}")
+                    });
+                    world::after(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
     }
 
-    /// Takes what the machine has accepted already: those clients think they are connected.
-    pub async fn accept_rest(self: &Rc<Clients>, listener: &Listener) {
-        self.begin_newcomer();
-        let mut tries = ACCEPT_TRIES;
+    /// Accepts the connections that wait in the listener's backlog: those clients are connected already.
+    pub async fn accept_backlog(self: &Rc<Clients>, listener: &Listener) {
+        self.start_waiting_session();
+        let mut retries_left = MAX_ACCEPT_RETRIES;
         while let Some(stream) = listener.accept_now() {
             match stream {
                 Ok(stream) => {
-                    tries = ACCEPT_TRIES;
-                    self.newcomer.replace(Some(stream));
-                    self.admission.until_place().await;
-                    self.begin_newcomer();
+                    retries_left = MAX_ACCEPT_RETRIES;
+                    self.waiting_stream.replace(Some(stream));
+                    self.admission.until_slot().await;
+                    self.start_waiting_session();
+                }
+                Err(e) if retries_left == 0 => {
+                    return warn!(target: "clients", "accepting at the stop failed too often, and ends: {e}");
                 }
-                Err(e) if tries == 0 => return warn!(target: "clients", "accepting at the stop: {e}"),
                 Err(e) => {
-                    complain(|| format!("clients: accepting: {e}"));
-                    tries -= 1;
-                    world::after(ACCEPT_WAIT).await;
+                    complain(|| {
+                        format!("clients: accepting a connection failed, trying again in 20 ms: {e}")
+                    });
+                    retries_left -= 1;
+                    world::after(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
     }
 
-    /// Guards against a stop that drops the connection for which a place was waited.
-    fn begin_newcomer(self: &Rc<Clients>) {
-        let newcomer = self.newcomer.take();
-        newcomer.into_iter().for_each(|stream| self.begin(stream));
+    /// Starts the session of the connection that waits for a slot, if there is one. Guards against a stop that drops this
+    /// connection.
+    fn start_waiting_session(self: &Rc<Clients>) {
+        let waiting_stream = self.waiting_stream.take();
+        waiting_stream.into_iter().for_each(|stream| self.start_session(stream));
     }
 
-    fn begin(self: &Rc<Clients>, stream: Stream) {
+    /// Starts a client's session, or refuses the client if all slots are taken.
+    fn start_session(self: &Rc<Clients>, stream: Stream) {
         let _ = stream.no_delay();
         stream.bound_sending();
         if self.admission.is_full() {
-            // At once, whatever the client says: it fits into any new connection's buffer.
+            // Written before the client's first message: it fits into the send buffer of any new connection.
             let mut out = Vec::new();
             put_fatal(&mut out, code::TOO_MANY_CONNECTIONS, "all connections are in use");
             stream.write_now(&out);
             self.core.events.refused("", RefusalReason::Full);
         }
-        let Some((slot, refused)) = self.admission.place() else {
+        let Some((slot, refused)) = self.admission.take_slot() else {
             return self.core.events.closed(CloseReason::Full);
         };
-        let all = self.clone();
+        let clients = self.clone();
         let task = async move {
-            // Given back only after the connection is closed.
+            // The slot is returned only after the connection is closed.
             let mut slot = slot;
             let stream = Rc::new(stream);
             let watch = ClientWatch::new(stream.clone());
-            let mut session = Session::new(&all, stream, &watch);
+            let mut session = Session::new(&clients, stream, &watch);
             if refused {
-                session.line.end(CloseReason::Full);
+                session.connection.set_close_reason(CloseReason::Full);
             }
-            // An error here is the client's connection failing: there is nobody left to tell.
-            let ended = refused || session.run().await.is_ok();
-            session.closes();
+            // An error means that the client's connection failed, so no answer can be written.
+            let ended_in_order = refused || session.run().await.is_ok();
+            session.record_close();
             session.pipeline.abandon();
-            if ended && (!session.line.evicted || all.admission.vacate(&mut slot)) {
-                session.line.farewell().await;
+            if ended_in_order && (!session.connection.evicted || clients.admission.move_to_refused(&mut slot))
+            {
+                session.connection.linger().await;
             }
         };
         self.executor.spawn(task);
     }
 }
 
-/// When to come again, in milliseconds, if that is to be said.
-fn advice(retry_in: Micros) -> Option<u64> {
+/// The retry delay for a client in milliseconds; `None` where no advice is given.
+fn retry_advice_ms(retry_in: Micros) -> Option<u64> {
     Some(retry_in.div_ceil(1_000)).filter(|&ms| ms > 0)
 }
 
-/// Whether there is no statement in a text.
+/// Whether the text holds no statement.
 fn is_empty(text: &str) -> bool {
     text.trim().trim_end_matches(';').is_empty()
 }
 
-/// A request as it was read.
+/// A request that was decoded and not served yet.
 struct DecodedRequest<'a> {
-    call: Request,
+    request: Request,
     statement: Statement,
-    /// A plain statement has no id, and is not claimed.
+    /// The claim of the request's id. A plain statement has no id.
     claim: Option<IdClaim<'a>>,
+    /// How a plain statement is routed; `None` for a request with a leading comment.
     plain: Option<PlainRoute>,
 }
 
-/// What a session does next.
+/// What a session handles next.
 enum NextItem<'a> {
-    /// When its last byte came.
+    /// A message, and when its last byte was received.
     Message(Frontend, Micros),
-    /// One that was read behind another.
+    /// The result of decoding a request that was read behind another.
     Request(Box<Result<Option<DecodedRequest<'a>>, StatementRefusal>>),
     Malformed(Malformed),
 }
 
 /// What a session waits for while a request is open.
 enum DriveEvent<T> {
+    /// The request has its answer.
     Done(T),
+    /// The connection was read.
     Read(ReadAhead),
-    /// A request wants the connection looked at.
-    Look,
+    /// A request waits for the connection to be checked.
+    CheckConnection,
 }
 
 /// One client's session.
 struct Session<'a> {
-    all: &'a Rc<Clients>,
-    line: ClientConnection<'a>,
+    clients: &'a Rc<Clients>,
+    connection: ClientConnection<'a>,
     watch: &'a ClientWatch,
-    /// The requests that were read behind another.
+    /// The requests that were read behind the open one.
     pipeline: Pipeline<'a>,
-    /// What was read behind them, and has to wait until all are answered.
-    held: Option<NextItem<'a>>,
-    /// A request was read whose turn it is, and its answer is not written yet.
+    /// An item behind the pipeline that can't join it, and is handled once all requests before it are answered.
+    deferred: Option<NextItem<'a>>,
+    /// The request whose turn it is has no answer yet.
     unanswered: bool,
-    /// Who asks and where, as the startup message says; kept only where plain statements are served.
-    who: Option<Box<(String, String)>>,
-    /// What this session's plain statements have written.
-    own: OwnWrites,
-    /// Whether it stands in a transaction that was refused.
+    /// The user and the database of the startup message; kept only where plain statements are served.
+    user_and_database: Option<Box<(String, String)>>,
+    /// The writes of this session's plain statements, which its reads have to see.
+    own_writes: OwnWrites,
+    /// Whether the session is in a transaction block that was refused.
     block: Block,
-    /// What the last answer told of its commit, and how long it took.
-    told: Told,
+    commit_and_duration: CommitAndDuration,
 }
 
-/// What the answer to a plain statement told of its commit, and how long it took.
-type Told = Option<(Option<Micros>, Duration)>;
+/// The commit position that the answer to a plain statement reported, and how long the statement took.
+type CommitAndDuration = Option<(Option<Micros>, Duration)>;
 
 impl Clients {
-    /// A request's life, as it begins.
-    fn life<'l, 'a>(&'l self, client: ClientLink<'l, 'a>) -> RequestHandler<'l, 'a> {
-        let Clients { core, hosts, admission, way_back, .. } = self;
-        RequestHandler { client, core, hosts, admission, way_back: *way_back, told: None }
+    /// A handler for one request.
+    fn request_handler<'l, 'a>(&'l self, client: ClientLink<'l, 'a>) -> RequestHandler<'l, 'a> {
+        let Clients { core, hosts, admission, return_delay, .. } = self;
+        RequestHandler {
+            client,
+            core,
+            hosts,
+            admission,
+            return_delay: *return_delay,
+            commit_and_duration: None,
+        }
     }
 }
 
 impl<'a> Session<'a> {
-    fn new(all: &'a Rc<Clients>, stream: Rc<Stream>, watch: &'a ClientWatch) -> Session<'a> {
-        let (who, own, block, told) = Default::default();
-        let (line, pipeline) = (ClientConnection::new(&all.admission, stream), Pipeline::new(watch));
-        Session { all, line, watch, pipeline, held: None, unanswered: false, who, own, block, told }
+    fn new(clients: &'a Rc<Clients>, stream: Rc<Stream>, watch: &'a ClientWatch) -> Session<'a> {
+        Session {
+            clients,
+            connection: ClientConnection::new(&clients.admission, stream),
+            watch,
+            pipeline: Pipeline::new(watch),
+            deferred: None,
+            unanswered: false,
+            user_and_database: None,
+            own_writes: OwnWrites::default(),
+            block: Block::default(),
+            commit_and_duration: None,
+        }
     }
 
-    /// The connection is about to be closed: tells why, and where it must not be.
-    fn closes(&self) {
-        let (reason, events) = (self.line.close_reason(), &self.all.core.events);
+    /// Counts the connection as closed, just before it is, and reports a broken invariant if requests lose their answers.
+    fn record_close(&self) {
+        let reason = self.connection.close_reason();
+        let events = &self.clients.core.events;
         events.closed(reason);
-        let held = matches!(&self.held, Some(NextItem::Request(request)) if matches!(**request, Ok(Some(_))));
-        let unanswered = usize::from(self.unanswered) + self.pipeline.len() + usize::from(held);
+        let deferred_request =
+            matches!(&self.deferred, Some(NextItem::Request(request)) if matches!(**request, Ok(Some(_))));
+        let unanswered = usize::from(self.unanswered) + self.pipeline.len() + usize::from(deferred_request);
         if !invariants::may_close(reason, unanswered) {
             let about = format_args!("{unanswered} requests, {reason:?}");
             events.violated(Violation::ClosedUnanswered, &about);
         }
     }
 
-    /// From the startup packet to the end.
+    /// Runs the session, from the startup message to its end.
     async fn run(&mut self) -> io::Result<()> {
         if !self.startup().await? {
             return Ok(());
         }
         let mut skipping = false;
-        while let Some(next) = self.next().await? {
-            let goes_on = match next {
-                NextItem::Message(message, came) => self.message(message, came, &mut skipping).await?,
-                NextItem::Request(read) => self.request(*read).await?,
+        while let Some(item) = self.next_item().await? {
+            let goes_on = match item {
+                NextItem::Message(message, received_at) => {
+                    self.handle_message(message, received_at, &mut skipping).await?
+                }
+                NextItem::Request(decoded) => self.serve_request(*decoded).await?,
                 NextItem::Malformed(e) => {
-                    self.line.end(CloseReason::Malformed);
-                    return self.line.fatal(code::PROTOCOL_VIOLATION, &e.0).await;
+                    self.connection.set_close_reason(CloseReason::Malformed);
+                    return self.connection.send_fatal(code::PROTOCOL_VIOLATION, &e.0).await;
                 }
             };
             if !goes_on {
                 return Ok(());
             }
-            if self.line.overrun {
-                return self.line.over(ReadResult::TooMuch).await;
+            if self.connection.overrun {
+                return self.connection.end_session(ReadResult::TooMuch).await;
             }
-            if !self.line.inbox.is_empty() {
-                // Where hundreds of commands come at once, others have their turn between two.
+            if !self.connection.inbox.is_empty() {
+                // Lets other tasks run between two of the commands of a client that sends hundreds at once.
                 future::yield_now().await;
             }
         }
         Ok(())
     }
 
-    /// What comes next; nothing if the session ends instead.
-    async fn next(&mut self) -> io::Result<Option<NextItem<'a>>> {
-        if let Some(held) = self.held.take() {
-            return Ok(Some(held));
+    /// Waits for the next item; `None` if the session ends.
+    async fn next_item(&mut self) -> io::Result<Option<NextItem<'a>>> {
+        if let Some(deferred) = self.deferred.take() {
+            return Ok(Some(deferred));
         }
         loop {
-            match pg::decode_frontend(&mut self.line.inbox) {
-                Ok(Some(message)) => return Ok(Some(NextItem::Message(message, self.came()))),
-                Ok(None) => match self.line.flush_and_read().await? {
+            match pg::decode_frontend(&mut self.connection.inbox) {
+                Ok(Some(message)) => return Ok(Some(NextItem::Message(message, self.received_at()))),
+                Ok(None) => match self.connection.flush_and_read().await? {
                     ReadResult::Bytes => {}
-                    other => return self.line.over(other).await.map(|()| None),
+                    other => return self.connection.end_session(other).await.map(|()| None),
                 },
                 Err(e) => return Ok(Some(NextItem::Malformed(e))),
             }
         }
     }
 
-    /// One message, up to its answer; false if the session ends.
-    async fn message(&mut self, message: Frontend, came: Micros, skipping: &mut bool) -> io::Result<bool> {
-        (self.line.spoken, self.line.partial) = (true, None);
-        self.line.affordable();
+    /// Handles one message, up to its answer; false if the session ends.
+    async fn handle_message(
+        &mut self, message: Frontend, received_at: Micros, skipping: &mut bool,
+    ) -> io::Result<bool> {
+        self.connection.received_message = true;
+        self.connection.partial_since = None;
+        self.connection.fits_memory();
         match message {
             Frontend::Terminate => return Ok(false),
             Frontend::Sync => {
                 *skipping = false;
-                self.ready();
+                self.put_ready();
             }
             Frontend::Flush => {}
             Frontend::Extended if *skipping => {}
             Frontend::Extended => {
-                // As in PostgreSQL, what follows up to the next Sync is skipped.
+                // As in PostgreSQL, messages are skipped up to the next Sync.
                 *skipping = true;
-                self.line.error(code::FEATURE_NOT_SUPPORTED, "only simple queries are served here");
+                self.connection.put_error(code::FEATURE_NOT_SUPPORTED, "only simple queries are served here");
             }
             Frontend::Unreadable(e) => {
-                self.line.error(code::UNTRANSLATABLE, &e.0);
-                self.ready();
+                self.connection.put_error(code::UNTRANSLATABLE, &e.0);
+                self.put_ready();
             }
             Frontend::Query(text) if is_empty(&text) => return self.empty_query().await,
-            Frontend::Query(text) if self.inside(&text) => {}
+            Frontend::Query(text) if self.answer_in_refused_block(&text) => {}
             Frontend::Query(text) => {
-                let read = self.read_request(text, came, 0);
-                return self.request(read).await;
+                let decoded = self.decode_request(text, received_at, 0);
+                return self.serve_request(decoded).await;
             }
-            Frontend::LongQuery(beginning, left) => {
-                return self.long_request(beginning, came, left).await;
+            Frontend::LongQuery(beginning, remaining) => {
+                return self.serve_long_request(beginning, received_at, remaining).await;
             }
         }
         Ok(true)
     }
 
-    /// When the last byte came of the message that was decoded last.
-    fn came(&mut self) -> Micros {
-        self.all.core.clock.micros(self.line.came())
+    /// When the last byte of the message that was decoded last was received.
+    fn received_at(&mut self) -> Micros {
+        self.clients.core.clock.micros(self.connection.received_at())
     }
 
-    /// Answers a query without a statement once the proxy is ready; false if its client has left.
+    /// Answers a query without a statement once the proxy is ready; false if the client disconnects first.
     async fn empty_query(&mut self) -> io::Result<bool> {
-        self.line.flush().await?;
-        let core = &self.all.core;
+        self.connection.flush().await?;
+        let core = &self.clients.core;
         let ready = async {
             core.ready().await;
             None
         };
-        let abandoned = async { Some(self.line.abandoned(true).await) };
-        if future::or(ready, abandoned).await == Some(Abandoned::ClientGone) {
-            self.line.end(CloseReason::ClientLeft);
+        let abandoned = async { Some(self.connection.until_abandoned(true).await) };
+        if future::or(ready, abandoned).await == Some(AbandonReason::ClientDisconnected) {
+            self.connection.set_close_reason(CloseReason::ClientLeft);
             return Ok(false);
         }
-        match self.all.admission.not_ready_reason() {
-            None => pg::put_empty_query(&mut self.line.out),
-            Some(why) => self.line.error(code::CANNOT_CONNECT_NOW, why),
+        match self.clients.admission.not_ready_reason() {
+            None => pg::put_empty_query(&mut self.connection.out),
+            Some(reason) => self.connection.put_error(code::CANNOT_CONNECT_NOW, reason),
         }
-        self.ready();
+        self.put_ready();
         Ok(true)
     }
 
-    /// One request up to its answer, and all that were read behind it up to theirs; false if one had none and the connection
-    /// has to end.
-    async fn request(
-        &mut self, read: Result<Option<DecodedRequest<'a>>, StatementRefusal>,
+    /// Serves one request, then the requests that were read behind it, and writes their answers; false if one has no answer
+    /// and the connection has to end.
+    async fn serve_request(
+        &mut self, decoded: Result<Option<DecodedRequest<'a>>, StatementRefusal>,
     ) -> io::Result<bool> {
-        let asked = match read {
-            Ok(Some(asked)) => asked,
+        let decoded = match decoded {
+            Ok(Some(decoded)) => decoded,
             Ok(None) => {
-                pg::put_empty_query(&mut self.line.out);
-                self.ready();
+                pg::put_empty_query(&mut self.connection.out);
+                self.put_ready();
                 return Ok(true);
             }
             Err(StatementRefusal { fields, control }) => {
                 self.block.meets(control);
-                pg::put_error(&mut self.line.out, &fields);
-                self.ready();
+                pg::put_error(&mut self.connection.out, &fields);
+                self.put_ready();
                 return Ok(true);
             }
         };
-        self.line.asked = true;
+        self.connection.received_request = true;
         self.unanswered = true;
-        // The answers to commands before this one do not wait for its own.
-        self.line.flush().await?;
-        let scope = self.scope(&asked.call);
+        // The answers to earlier commands don't wait for this request.
+        self.connection.flush().await?;
+        let scope = self.scope(&decoded.request);
         let answer = {
-            let mut life = self.all.life(ClientLink::Watched(self.watch));
+            let mut handler = self.clients.request_handler(ClientLink::Complete(self.watch));
             let answer = {
-                let served = pin!(life.serve(&asked.call, &asked.statement, asked.plain.as_ref()));
-                self.drive(served, scope, asked.plain.is_some()).await
+                let serving =
+                    pin!(handler.serve(&decoded.request, &decoded.statement, decoded.plain.as_ref()));
+                self.drive_head(serving, scope, decoded.plain.is_some()).await
             };
-            self.told = life.told;
+            self.commit_and_duration = handler.commit_and_duration;
             answer
         };
-        if !self.answer(answer, scope, asked.plain.as_ref()).await? {
+        if !self.write_answer(answer, scope, decoded.plain.as_ref()).await? {
             return Ok(false);
         }
-        drop(asked);
+        drop(decoded);
         while let Some(entry) = self.pipeline.pop() {
-            if !self.next_in_turn(entry).await? {
+            if !self.answer_next(entry).await? {
                 return Ok(false);
             }
         }
         Ok(true)
     }
 
-    /// The answer to a request that was read behind another, whose turn it is now.
-    async fn next_in_turn(&mut self, entry: PipelineEntry<'a>) -> io::Result<bool> {
+    /// Completes the pipelined request whose turn has come, and writes its answer; false if the connection has to end.
+    async fn answer_next(&mut self, entry: PipelineEntry<'a>) -> io::Result<bool> {
         let PipelineEntry { scope, claim, progress, .. } = entry;
         let answer = match progress {
             Progress::Answered(answer) => answer,
             Progress::Unanswered { mut serving, .. } => {
                 self.unanswered = true;
                 self.flush().await?;
-                self.drive(serving.as_mut(), scope, false).await
+                self.drive_head(serving.as_mut(), scope, false).await
             }
         };
-        let answered = self.answer(answer, scope, None).await;
+        let answered = self.write_answer(answer, scope, None).await;
         drop(claim);
         answered
     }
 
-    /// Writes what is due, and works on the requests behind it meanwhile.
+    /// Writes the bytes that are due. Pipelined requests go on meanwhile.
     async fn flush(&mut self) -> io::Result<()> {
-        self.count_taken();
-        self.pipeline.beside(self.line.flush()).await
+        self.update_request_bytes();
+        self.pipeline.run_alongside(self.connection.flush()).await
     }
 
-    /// Works on the request whose turn it is, and on those behind it, which are read and begun meanwhile, unless it has to be
-    /// `alone`.
-    async fn drive<T>(
-        &mut self, mut head: Pin<&mut (impl Future<Output = T> + ?Sized)>, scope: RequestScope, alone: bool,
+    /// Drives the request whose turn it is, `head`, to its end. Unless it is `exclusive`, requests behind it are read and
+    /// served meanwhile.
+    async fn drive_head<T>(
+        &mut self, mut head: Pin<&mut (impl Future<Output = T> + ?Sized)>, scope: RequestScope,
+        exclusive: bool,
     ) -> T {
-        let mut much_comes = false;
+        let mut just_read = false;
         loop {
-            if !alone {
-                self.take_behind();
+            if !exclusive {
+                self.read_pipelined();
             }
-            let ahead = if self.may_wait(alone) { ReadAheadMode::Bounded } else { ReadAheadMode::Discard };
-            match self.next_event(head.as_mut(), &scope, ahead, much_comes).await {
+            let mode = if self.may_leave_unread(exclusive) {
+                ReadAheadMode::Bounded
+            } else {
+                ReadAheadMode::Discard
+            };
+            match self.next_event(head.as_mut(), &scope, mode, just_read).await {
                 DriveEvent::Done(done) => return done,
-                DriveEvent::Look => much_comes = false,
-                DriveEvent::Read(ReadAhead::Bytes) => much_comes = true,
-                DriveEvent::Read(ReadAhead::Abandoned(why)) => {
-                    self.watch.abandon(why);
-                    return self.end_all(head).await;
+                DriveEvent::CheckConnection => just_read = false,
+                DriveEvent::Read(ReadAhead::Bytes) => just_read = true,
+                DriveEvent::Read(ReadAhead::Abandoned(reason)) => {
+                    self.watch.abandon(reason);
+                    return self.end_abandoned(head).await;
                 }
             }
         }
     }
 
-    /// The next event while the request `head` is open.
+    /// Waits for the next event while the request `head` is open. With `just_read`, other tasks run before the connection
+    /// is read again.
     async fn next_event<T>(
         &mut self, mut head: Pin<&mut (impl Future<Output = T> + ?Sized)>, scope: &RequestScope,
-        ahead: ReadAheadMode, much_comes: bool,
+        mode: ReadAheadMode, just_read: bool,
     ) -> DriveEvent<T> {
         let read = async {
-            if much_comes {
-                // Others have their turn while it does.
+            if just_read {
+                // Lets other tasks run while the client sends much.
                 future::yield_now().await;
             }
-            self.line.read_ahead(ahead).await
+            self.connection.read_ahead(mode).await
         };
         let mut read = pin!(read);
         poll_fn(|context| {
-            // The client comes first: guards against an attempt that begins for one that has left.
+            // The connection is polled first. Guards against an attempt that starts for a disconnected client.
             if let Poll::Ready(read) = read.as_mut().poll(context) {
                 return Poll::Ready(DriveEvent::Read(read));
             }
-            self.watch.looked();
+            self.watch.checked();
             if let Poll::Ready(done) = head.as_mut().poll(context) {
                 return Poll::Ready(DriveEvent::Done(done));
             }
-            self.pipeline.advance(Some(scope), context);
-            if self.watch.wants_look() { Poll::Ready(DriveEvent::Look) } else { Poll::Pending }
+            self.pipeline.poll(Some(scope), context);
+            if self.watch.needs_check() { Poll::Ready(DriveEvent::CheckConnection) } else { Poll::Pending }
         })
         .await
     }
 
-    /// The end of requests that are abandoned: each that has begun ends by itself, and at once.
-    async fn end_all<T>(&mut self, mut head: Pin<&mut (impl Future<Output = T> + ?Sized)>) -> T {
+    /// Polls the abandoned requests once more, upon which each that has started ends. Returns the result of `head`.
+    async fn end_abandoned<T>(&mut self, mut head: Pin<&mut (impl Future<Output = T> + ?Sized)>) -> T {
         poll_fn(|context| {
             let done = head.as_mut().poll(context);
-            self.pipeline.end_begun(context);
+            self.pipeline.poll_started(context);
             done
         })
         .await
     }
 
-    /// Whether reading may wait for room: what comes are requests, more than are begun at once, or one that is long.
-    fn may_wait(&self, alone: bool) -> bool {
-        match &self.held {
-            _ if alone => false,
+    /// Whether bytes beyond the read-ahead limits may stay unread: true where the bytes are pipelined requests, more than
+    /// may start at once, or a long statement.
+    fn may_leave_unread(&self, exclusive: bool) -> bool {
+        match &self.deferred {
+            _ if exclusive => false,
             None => true,
             Some(NextItem::Message(message, _)) => matches!(message, Frontend::LongQuery(..)),
             Some(NextItem::Request(_) | NextItem::Malformed(_)) => false,
         }
     }
 
-    /// Takes the requests that have come behind an open one, as far as there is room; all else is held, and so is what
-    /// comes behind it.
-    fn take_behind(&mut self) {
-        while self.held.is_none() && !self.line.inbox.is_empty() && self.has_room() {
-            let message = match pg::decode_frontend(&mut self.line.inbox) {
+    /// Decodes the requests that were received behind the open one and adds them to the pipeline, up to its limits. Any
+    /// other item is deferred, and reading stops there.
+    fn read_pipelined(&mut self) {
+        while self.deferred.is_none() && !self.connection.inbox.is_empty() && self.may_pipeline_more() {
+            let message = match pg::decode_frontend(&mut self.connection.inbox) {
                 Ok(Some(message)) => message,
                 Ok(None) => return,
                 Err(e) => {
-                    self.held = Some(NextItem::Malformed(e));
+                    self.deferred = Some(NextItem::Malformed(e));
                     return;
                 }
             };
-            let came = self.came();
-            self.held = match message {
+            let received_at = self.received_at();
+            self.deferred = match message {
                 Frontend::Query(text) if !is_empty(&text) && self.is_independent(&text) => {
-                    match self.read_request(text, came, 0) {
-                        Ok(Some(DecodedRequest { call, statement, claim: Some(claim), plain: None })) => {
-                            self.begin_behind(call, statement, claim);
+                    match self.decode_request(text, received_at, 0) {
+                        Ok(Some(DecodedRequest { request, statement, claim: Some(claim), plain: None })) => {
+                            self.push_pipelined(request, statement, claim);
                             None
                         }
                         other => Some(NextItem::Request(Box::new(other))),
                     }
                 }
-                other => Some(NextItem::Message(other, came)),
+                other => Some(NextItem::Message(other, received_at)),
             };
-            self.count_taken();
+            self.update_request_bytes();
         }
     }
 
-    /// Whether one more request may be begun behind the others.
-    fn has_room(&mut self) -> bool {
-        let most = self.all.hosts.most() / PIPELINE_SHARE;
-        self.pipeline.len() + 1 < most && self.line.taken_bytes < MOST_TAKEN_BYTES && self.line.affordable()
+    /// Whether the limits admit one more request to the pipeline.
+    fn may_pipeline_more(&mut self) -> bool {
+        let max_open = self.clients.hosts.most() / PIPELINE_SHARE_DIVISOR;
+        self.pipeline.len() + 1 < max_open
+            && self.connection.request_bytes < MAX_PIPELINE_BYTES
+            && self.connection.fits_memory()
     }
 
-    /// Whether a statement depends on nothing that its session did before. Plain ones do: what a session wrote, and a
-    /// transaction that was refused, count for those behind.
+    /// Whether a statement doesn't depend on earlier ones of its session. Plain statements do: they have to see the
+    /// session's writes, and a transaction that was refused applies to those behind it.
     fn is_independent(&self, text: &str) -> bool {
-        self.block != Block::Refused && (self.all.statements().is_none() || Statement::is_commented(text))
-    }
-
-    fn begin_behind(&mut self, call: Request, statement: Statement, claim: IdClaim<'a>) {
-        let (all, watch) = (self.all, self.watch);
-        let (scope, bytes) = (self.scope(&call), statement.text().len());
-        let serving =
-            Box::pin(
-                async move { all.life(ClientLink::Watched(watch)).serve(&call, &statement, None).await },
-            );
-        let progress = Progress::Unanswered { serving, begun: false };
+        self.block != Block::Refused && (self.clients.statements().is_none() || Statement::is_commented(text))
+    }
+
+    /// Adds a request to the pipeline.
+    fn push_pipelined(&mut self, request: Request, statement: Statement, claim: IdClaim<'a>) {
+        let clients = self.clients;
+        let watch = self.watch;
+        let scope = self.scope(&request);
+        let bytes = statement.text().len();
+        let serving = Box::pin(async move {
+            let mut handler = clients.request_handler(ClientLink::Complete(watch));
+            handler.serve(&request, &statement, None).await
+        });
+        let progress = Progress::Unanswered { serving, started: false };
         self.pipeline.push(PipelineEntry { scope, claim, bytes, progress });
     }
 
-    /// Counts the memory of what was taken.
-    fn count_taken(&mut self) {
-        self.line.taken_bytes = self.pipeline.held_bytes();
+    /// Updates the memory that the pipelined requests hold.
+    fn update_request_bytes(&mut self) {
+        self.connection.request_bytes = self.pipeline.held_bytes();
     }
 
-    fn scope(&self, call: &Request) -> RequestScope {
-        RequestScope { class: call.class, group: call.group, writes: self.all.core.writes(call.class) }
+    /// What the order of a request among others depends on.
+    fn scope(&self, request: &Request) -> RequestScope {
+        RequestScope {
+            class: request.class,
+            group: request.group,
+            writes: self.clients.core.writes(request.class),
+        }
     }
 
-    /// One request of which so many bytes are still to come, up to its answer; false if there was none and the connection has
-    /// to end.
-    async fn long_request(&mut self, beginning: String, came: Micros, mut left: usize) -> io::Result<bool> {
-        if !self.inside(&beginning) {
-            match self.read_request(beginning, came, left) {
-                Ok(Some(asked)) => {
-                    self.line.asked = true;
+    /// Serves one request of which `remaining` bytes are still to come, and writes its answer; false if it has none and the
+    /// connection has to end.
+    async fn serve_long_request(
+        &mut self, beginning: String, received_at: Micros, mut remaining: usize,
+    ) -> io::Result<bool> {
+        if !self.answer_in_refused_block(&beginning) {
+            match self.decode_request(beginning, received_at, remaining) {
+                Ok(Some(decoded)) => {
+                    self.connection.received_request = true;
                     self.unanswered = true;
-                    self.line.flush().await?;
-                    let client = ClientLink::Reading { line: &mut self.line, left: &mut left };
-                    let mut life = self.all.life(client);
-                    let answer = life.serve(&asked.call, &asked.statement, asked.plain.as_ref()).await;
-                    self.told = life.told;
-                    let scope = self.scope(&asked.call);
-                    if !self.answer(answer, scope, asked.plain.as_ref()).await? {
+                    self.connection.flush().await?;
+                    let client =
+                        ClientLink::Uploading { connection: &mut self.connection, remaining: &mut remaining };
+                    let mut handler = self.clients.request_handler(client);
+                    let answer =
+                        handler.serve(&decoded.request, &decoded.statement, decoded.plain.as_ref()).await;
+                    self.commit_and_duration = handler.commit_and_duration;
+                    let scope = self.scope(&decoded.request);
+                    if !self.write_answer(answer, scope, decoded.plain.as_ref()).await? {
                         return Ok(false);
                     }
                 }
-                other => drop(self.request(other).await?),
+                other => drop(self.serve_request(other).await?),
             }
         }
-        // What is left of one that had its answer before its end.
-        self.line.flush().await?;
-        while left > 0 {
-            match self.line.more().await? {
-                ReadResult::Bytes => left -= self.line.inbox.skip(left),
-                other => return self.line.over(other).await.map(|()| false),
+        // Skips the rest of a statement that was answered before its end.
+        self.connection.flush().await?;
+        while remaining > 0 {
+            match self.connection.read_more().await? {
+                ReadResult::Bytes => remaining -= self.connection.inbox.skip(remaining),
+                other => return self.connection.end_session(other).await.map(|()| false),
             }
         }
         Ok(true)
     }
 
-    /// Gives a request its answer; false if there is none and the connection has to end.
-    async fn answer(
-        &mut self, answer: Option<PendingAnswer>, of: RequestScope, plain: Option<&PlainRoute>,
+    /// Writes the answer to a request, and counts it; false if there is none and the connection has to end.
+    async fn write_answer(
+        &mut self, answer: Option<PendingAnswer>, scope: RequestScope, plain: Option<&PlainRoute>,
     ) -> io::Result<bool> {
         let Some(answer) = answer else {
-            self.line.end(CloseReason::ClientLeft);
+            self.connection.set_close_reason(CloseReason::ClientLeft);
             return Ok(false);
         };
         if mutants::on("closes unanswered") {
-            self.line.end(CloseReason::Rested);
+            self.connection.set_close_reason(CloseReason::Rested);
             return Ok(false);
         }
-        let Some(verdict) = self.pass_on(answer).await else {
-            self.line.end(CloseReason::ValueBrokenOff);
+        let Some(answer) = self.stream_answer(answer).await else {
+            self.connection.set_close_reason(CloseReason::ValueBrokenOff);
             return Ok(false);
         };
         self.unanswered = false;
-        if let Some(terms) = plain {
-            self.note_plain(terms, &verdict);
+        if let Some(route) = plain {
+            self.record_plain(route, &answer);
         }
-        let core = &self.all.core;
-        match &verdict {
-            FinalAnswer::Refused { .. } => core.note(|r| r.unserved(of.class, of.group, true)),
-            FinalAnswer::Failed => core.note(|r| r.unserved(of.class, of.group, false)),
+        let core = &self.clients.core;
+        match &answer {
+            FinalAnswer::Refused { .. } => core.record_load(|r| r.unserved(scope.class, scope.group, true)),
+            FinalAnswer::Failed => core.record_load(|r| r.unserved(scope.class, scope.group, false)),
             _ => {}
         }
-        self.put_verdict(of.class, verdict);
-        self.ready();
+        self.put_final_answer(scope.class, answer);
+        self.put_ready();
         Ok(true)
     }
 
-    /// Whether something came behind the request whose turn it is, also where it was not read yet.
+    /// Whether the client has sent anything behind the request whose turn it is, even if it is still unread.
     fn has_requests_behind(&self) -> bool {
-        !self.pipeline.is_empty() || self.held.is_some() || self.line.has_more()
+        !self.pipeline.is_empty() || self.deferred.is_some() || self.connection.has_unread_input()
     }
 
-    /// Passes on what does not fit into the memory, and works on the requests behind it meanwhile. Nothing if the host
-    /// broke it off.
-    async fn pass_on(&mut self, answer: PendingAnswer) -> Option<FinalAnswer> {
-        let (line, hosts) = (&mut self.line, &self.all.hosts);
+    /// Streams an answer that isn't complete to the client, and returns what remains to be written. `None` if the answer
+    /// broke off and the connection has to end. Pipelined requests go on while a long row is streamed.
+    async fn stream_answer(&mut self, answer: PendingAnswer) -> Option<FinalAnswer> {
+        let (connection, hosts) = (&mut self.connection, &self.clients.hosts);
         match answer {
             PendingAnswer::StreamedRow(long) => {
-                match self.pipeline.beside(pass_on_value(line, hosts, long)).await {
-                    StreamResult::Whole => Some(FinalAnswer::Streamed),
-                    StreamResult::Nothing => Some(FinalAnswer::Failed),
+                match self.pipeline.run_alongside(stream_value(connection, hosts, long)).await {
+                    StreamResult::Complete => Some(FinalAnswer::Streamed),
+                    StreamResult::NothingSent => Some(FinalAnswer::Failed),
                     StreamResult::BrokenOff { missing } if self.has_requests_behind() => {
-                        // The end of the connection would be the clearer word, but it would take their answers with it.
-                        self.pipeline.beside(fill_value(&mut self.line, missing)).await.ok()?;
+                        // Closing the connection would tell the client more clearly that the value is not valid, but the
+                        // requests behind this one would lose their answers.
+                        self.pipeline.run_alongside(pad_value(&mut self.connection, missing)).await.ok()?;
                         Some(FinalAnswer::Failed)
                     }
-                    StreamResult::BrokenOff { .. } | StreamResult::NotTaken => None,
+                    StreamResult::BrokenOff { .. } | StreamResult::ClientFailed => None,
                 }
             }
             PendingAnswer::StreamedResult(stream) => {
-                let told_at = pass_on_plain(line, hosts, stream).await?;
-                // Where a commit was is told at the end.
-                if let (Some((position, _)), Some(at)) = (&mut self.told, told_at) {
-                    *position = Some(at);
+                let commit_position = stream_plain_answer(connection, hosts, stream).await?;
+                // The position of a commit is reported at the answer's end.
+                if let (Some((position, _)), Some(commit_position)) =
+                    (&mut self.commit_and_duration, commit_position)
+                {
+                    *position = Some(commit_position);
                 }
                 Some(FinalAnswer::Streamed)
             }
-            PendingAnswer::Complete(verdict) => Some(verdict),
+            PendingAnswer::Complete(answer) => Some(answer),
         }
     }
 
-    /// Whether a text stands in a transaction that was refused, and has its answer by that.
-    fn inside(&mut self, text: &str) -> bool {
-        let met = match self.all.statements().filter(|_| self.block == Block::Refused) {
+    /// Answers a statement inside a transaction block that was refused; false if the session isn't in one.
+    fn answer_in_refused_block(&mut self, text: &str) -> bool {
+        let met = match self.clients.statements().filter(|_| self.block == Block::Refused) {
             Some(statements) => self.block.meets(statements.control(text)),
             None => Met::Passes,
         };
         match met {
             Met::Passes => return false,
-            Met::Ended => pg::put_complete(&mut self.line.out, "ROLLBACK"),
+            Met::Ended => pg::put_complete(&mut self.connection.out, "ROLLBACK"),
             Met::Inside => {
-                let what = "the transaction was refused, and so is all in it, up to COMMIT or ROLLBACK";
-                self.line.error(code::FAILED_TRANSACTION, what);
+                let message = "the transaction was refused, and so is all in it, up to COMMIT or ROLLBACK";
+                self.connection.put_error(code::FAILED_TRANSACTION, message);
             }
         }
-        self.ready();
+        self.put_ready();
         true
     }
 
-    fn ready(&mut self) {
-        pg::put_ready(&mut self.line.out, self.block == Block::Refused);
+    /// Tells the client that the session is ready for the next query.
+    fn put_ready(&mut self) {
+        pg::put_ready(&mut self.connection.out, self.block == Block::Refused);
     }
 
-    /// Takes in how a plain statement ended: what its shape took, and what the session wrote.
-    fn note_plain(&mut self, terms: &PlainRoute, verdict: &FinalAnswer) {
-        if let (Some(statements), Some((_, took))) = (self.all.statements(), self.told) {
-            statements.learn(terms, took);
-            self.all.core.note(|r| r.shape(terms.shape_number(), took.as_micros() as u64));
+    /// Records the end of a plain statement: the duration for its shape, and the session's write.
+    fn record_plain(&mut self, route: &PlainRoute, answer: &FinalAnswer) {
+        if let (Some(statements), Some((_, duration))) = (self.clients.statements(), self.commit_and_duration)
+        {
+            statements.learn(route, duration);
+            self.clients.core.record_load(|r| r.shape(route.shape_number(), duration.as_micros() as u64));
         }
-        let now = self.all.core.clock.now();
-        match verdict {
-            _ if !terms.writes => {}
+        let now = self.clients.core.clock.now();
+        match answer {
+            _ if !route.writes => {}
             FinalAnswer::Served(_) | FinalAnswer::Plain(_) | FinalAnswer::Streamed => {
-                self.own.answered(self.told.and_then(|t| t.0), now);
+                let commit_position = self.commit_and_duration.and_then(|t| t.0);
+                self.own_writes.answered(commit_position, now);
             }
-            FinalAnswer::Failed => self.own.unknown(now),
-            // It did not run, or was undone.
+            FinalAnswer::Failed => self.own_writes.unknown(now),
+            // The write did not run, or was rolled back.
             FinalAnswer::Refused { .. } | FinalAnswer::Rejected(_) => {}
         }
     }
 
-    /// Reads a request, of which so many bytes are still to come; the error is what the client is told instead.
-    /// Nothing if there is no statement in it.
-    fn read_request(
-        &self, text: String, came: Micros, left: usize,
+    /// Decodes a request of which `remaining` bytes are still to come. `Ok(None)` if the text holds no statement; the error
+    /// is the client's answer.
+    fn decode_request(
+        &self, text: String, received_at: Micros, remaining: usize,
     ) -> Result<Option<DecodedRequest<'a>>, StatementRefusal> {
         let fields =
             |code: &str, message: String| ErrorFields { code: code.into(), message, ..Default::default() };
         let error = |code: &str, message: String| StatementRefusal::from(fields(code, message));
-        let core = &self.all.core;
-        let statements = self.all.statements().filter(|_| !Statement::is_commented(&text));
+        let core = &self.clients.core;
+        let statements = self.clients.statements().filter(|_| !Statement::is_commented(&text));
         let (class, statement, plain) = match statements {
-            Some(_) if left > 0 => {
-                let what = format!("a plain statement of over {} bytes", pg::MOST_BYTES);
-                return Err(error(code::LIMIT_EXCEEDED, what));
+            Some(_) if remaining > 0 => {
+                let message = format!("a plain statement of over {} bytes", pg::MOST_BYTES);
+                return Err(error(code::LIMIT_EXCEEDED, message));
             }
             Some(statements) => {
-                let (user, database) = self.who.as_deref().map_or(("", ""), |w| (&w.0, &w.1));
-                let Some(terms) = statements.terms(&text, user, database)? else { return Ok(None) };
-                let statement = Statement::plain(text, terms.deadline_ms, terms.group);
-                (terms.class, statement, Some(terms))
+                let (user, database) =
+                    self.user_and_database.as_deref().map_or(("", ""), |names| (&names.0, &names.1));
+                let Some(route) = statements.route(&text, user, database)? else { return Ok(None) };
+                let statement = Statement::plain(text, route.deadline_ms, route.group);
+                (route.class, statement, Some(route))
             }
             None => {
-                let statement = Statement::parse(text).map_err(|what| error(code::SYNTAX_ERROR, what))?;
+                let statement =
+                    Statement::parse(text).map_err(|message| error(code::SYNTAX_ERROR, message))?;
                 let class = core.dialect.classes.iter().position(|c| *c == statement.class);
-                let class = class.and_then(|i| u8::try_from(i).ok());
+                let class = class.and_then(|index| u8::try_from(index).ok());
                 let no_class = || format!("no class {:?} here", statement.class);
                 let class = class.ok_or_else(|| error(code::UNDEFINED_OBJECT, no_class()))?;
                 (class, statement, None)
@@ -730,88 +796,93 @@
             core.count(class, |c| &mut c.busy);
             core.events.refused(&statement.id, RefusalReason::NoList);
             let refused = fields(code::CANNOT_CONNECT_NOW, "no database host is known yet".into());
-            return Err(ErrorFields { retry_in_ms: advice(core.retry_in), ..refused }.into());
+            return Err(ErrorFields { retry_in_ms: retry_advice_ms(core.retry_in), ..refused }.into());
         }
         if !core.knows_group(statement.group) {
-            let what = format!("no group {} in the list of database hosts", statement.group);
-            return Err(error(code::UNDEFINED_OBJECT, what));
+            let message = format!("no group {} in the list of database hosts", statement.group);
+            return Err(error(code::UNDEFINED_OBJECT, message));
         }
         let claim = match plain {
             Some(_) => None,
-            None => Some(self.all.admission.claim(&statement.id).ok_or_else(|| {
-                let what = format!("id {:?} is that of another request", statement.id);
-                error(code::DUPLICATE_OBJECT, what)
+            None => Some(self.clients.admission.claim(&statement.id).ok_or_else(|| {
+                let message = format!("id {:?} is that of another request", statement.id);
+                error(code::DUPLICATE_OBJECT, message)
             })?),
         };
-        let call = Request {
+        let request = Request {
             class,
             session: if plain.is_some() { 0 } else { fnv1a(statement.key()) },
             group: statement.group,
-            give_up_at: give_up_at(&statement, came, self.all.way_back),
-            after: match plain {
-                Some(_) => self.own.after(),
+            give_up_at: give_up_at(&statement, received_at, self.clients.return_delay),
+            min_position: match plain {
+                Some(_) => self.own_writes.after(),
                 None => statement.after_ms.map(Clock::from_unix_ms),
             },
-            again: statement.again,
+            client_retry: statement.again,
             tenant: statement.tenant.as_deref().and_then(|t| core.tenant(t)),
-            // A write whose comment names no key is never repeated either.
+            // A write of a keyed class whose comment names no key must not be retried either.
             plain: plain.is_some() || !statement.keyed && core.is_keyed(class),
-            expected: plain.as_ref().map_or(0, |p| p.expected),
+            expected_duration: plain.as_ref().map_or(0, |p| p.expected_duration),
         };
-        Ok(Some(DecodedRequest { call, statement, claim, plain }))
+        Ok(Some(DecodedRequest { request, statement, claim, plain }))
     }
 
-    fn put_verdict(&mut self, class: u8, verdict: FinalAnswer) {
-        self.all.core.count(class, |c| match verdict {
+    /// Appends a final answer to the bytes that are due, and counts it.
+    fn put_final_answer(&mut self, class: u8, answer: FinalAnswer) {
+        self.clients.core.count(class, |c| match answer {
             FinalAnswer::Served(_) | FinalAnswer::Plain(_) | FinalAnswer::Streamed => &mut c.success,
             FinalAnswer::Refused { .. } => &mut c.busy,
             FinalAnswer::Failed | FinalAnswer::Rejected(_) => &mut c.failure,
         });
-        match verdict {
+        match answer {
             FinalAnswer::Served(row) if mutants::on("two answers") => {
-                pg::put_row(&mut self.line.out, &row);
-                self.ready();
-                pg::put_row(&mut self.line.out, &row);
+                pg::put_row(&mut self.connection.out, &row);
+                self.put_ready();
+                pg::put_row(&mut self.connection.out, &row);
             }
-            FinalAnswer::Served(row) => pg::put_row(&mut self.line.out, &row),
-            FinalAnswer::Plain(bytes) if self.line.out.is_empty() => self.line.out = bytes,
-            FinalAnswer::Plain(bytes) => self.line.out.extend(bytes),
+            FinalAnswer::Served(row) => pg::put_row(&mut self.connection.out, &row),
+            FinalAnswer::Plain(bytes) if self.connection.out.is_empty() => self.connection.out = bytes,
+            FinalAnswer::Plain(bytes) => self.connection.out.extend(bytes),
             FinalAnswer::Streamed => {}
             FinalAnswer::Refused { retry_in } => {
                 let fields = ErrorFields {
                     code: code::TOO_MANY_CONNECTIONS.into(),
                     message: "refused: trying again later is harmless".into(),
-                    retry_in_ms: advice(retry_in),
+                    retry_in_ms: retry_advice_ms(retry_in),
                     ..Default::default()
                 };
-                pg::put_error(&mut self.line.out, &fields);
+                pg::put_error(&mut self.connection.out, &fields);
+            }
+            FinalAnswer::Rejected(e) => {
+                pg::put_error(&mut self.connection.out, &ErrorFields { fatal: false, ..e })
             }
-            FinalAnswer::Rejected(e) => pg::put_error(&mut self.line.out, &ErrorFields { fatal: false, ..e }),
             FinalAnswer::Failed => {
-                self.line.error(code::COMPLETION_UNKNOWN, "failed: it may or may not have run")
+                self.connection.put_error(code::COMPLETION_UNKNOWN, "failed: it may or may not have run")
             }
         }
     }
 
-    /// Opens the session; false if it ends instead.
+    /// Handles the startup messages, up to the welcome; false if the session ends instead.
     async fn startup(&mut self) -> io::Result<bool> {
         loop {
-            match pg::decode_startup(&mut self.line.inbox) {
-                Ok(None) => match self.line.flush_and_read().await? {
+            match pg::decode_startup(&mut self.connection.inbox) {
+                Ok(None) => match self.connection.flush_and_read().await? {
                     ReadResult::Bytes => {}
-                    other => return self.line.over(other).await.map(|()| false),
+                    other => return self.connection.end_session(other).await.map(|()| false),
                 },
-                Ok(Some(Startup::Encryption)) => self.line.out.push(b'N'),
+                Ok(Some(Startup::Encryption)) => self.connection.out.push(b'N'),
                 Ok(Some(Startup::Cancel)) => return Ok(false),
                 Ok(Some(Startup::Session { minor, options, user, database })) => {
-                    self.who = self.all.statements().map(|_| Box::new((user, database)));
+                    self.user_and_database = self.clients.statements().map(|_| Box::new((user, database)));
                     if minor > 0 || !options.is_empty() {
-                        pg::put_negotiate(&mut self.line.out, &options);
+                        pg::put_negotiate(&mut self.connection.out, &options);
                     }
-                    pg::put_welcome(&mut self.line.out);
+                    pg::put_welcome(&mut self.connection.out);
                     return Ok(true);
                 }
-                Err(e) => return self.line.fatal(code::PROTOCOL_VIOLATION, &e.0).await.map(|()| false),
+                Err(e) => {
+                    return self.connection.send_fatal(code::PROTOCOL_VIOLATION, &e.0).await.map(|()| false);
+                }
             }
         }
     }
--- a/src/net/client_connection.rs
+++ b/src/net/client_connection.rs
@@ -1,10 +1,12 @@
-//! A client's connection: what it sends and what it is sent, as bytes in time. It owns one connection, what has come and
-//! is not read, what is due and not written, and the times that a client has. It must never read a request, nor
-//! know whether one is open.
+//! One client's connection. It reads and writes bytes, and applies the timeouts and memory limits of a client. It owns the
+//! connection, the bytes received but not decoded, and the bytes due but not written. It must never interpret a request,
+//! nor know whether one is open.
 //!
-//! Who says nothing, or half of something, is closed after `PROMPT`.
+//! A client that sends nothing, or only a part of a message, is disconnected after `CONTINUE_TIMEOUT`.
 
-use super::admission::{Admission, IDLE, IDLE_CROWDED, IDLE_THRONGED, MemoryShare};
+use super::admission::{
+    Admission, IDLE_TIMEOUT, IDLE_TIMEOUT_CROWDED, IDLE_TIMEOUT_OVERCROWDED, MemoryShare,
+};
 use super::world::{self, Stream};
 use super::{by, read};
 use crate::invariants::CloseReason;
@@ -17,269 +19,286 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// A client that has begun to say something, or said nothing yet, has this long to go on: an error or a
-/// close is owed within 3 s to whoever stops in the middle, and a usual client may take 2 s for a head.
-const PROMPT: Duration = Duration::from_millis(2_500);
-/// A message that is taken whole has to be within this. Guards against a byte now and then.
-const LONGEST_MESSAGE: Duration = Duration::from_secs(30);
-/// A client that takes nothing of an answer for this long is given up. Usual ones read slowly at times.
-const STUCK: Duration = Duration::from_secs(15);
-/// After a last message the connection is closed once the client has sent nothing for this long, or
-/// after the longest farewell: one that is still sending 60 MB has to hear the error.
-const FAREWELL: Duration = Duration::from_millis(200);
-const LONGEST_FAREWELL: Duration = Duration::from_secs(3);
-/// What a client may have sent behind a request that is open.
+/// The timeout for the next bytes of a client that has sent a part of a message, or nothing yet. A client that stops in
+/// the middle has to get an error or a close within 3 s, and a normal client may take 2 s for the head of a message.
+const CONTINUE_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// The timeout for a message that is buffered as a whole. Guards against a client that sends a byte now and then.
+const MESSAGE_TIMEOUT: Duration = Duration::from_secs(30);
+/// A client that reads nothing of an answer for this long is disconnected. Normal clients read slowly at times.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(15);
+/// After the last message, the connection is closed once the client has sent nothing for this long.
+const LINGER_QUIET: Duration = Duration::from_millis(200);
+/// After the last message, the connection is closed after this time at the latest. A client that is still sending 60 MB
+/// has to receive the error.
+const MAX_LINGER: Duration = Duration::from_secs(3);
+/// How much a client may send behind an open request.
 const MAX_READ_AHEAD_BYTES: usize = 1 << 20;
-/// The most receive_times that are told apart of what is read ahead; those beyond count as the last of them.
-const MAX_ARRIVALS: usize = 64;
-/// Where nothing is read, the machine is asked this often whether the client has left.
-const LOOK: Duration = Duration::from_millis(50);
-/// A connection that never asked anything is given this long when all are closed: what the client
+/// How many receive times are kept for the bytes that were read ahead. Bytes beyond share the last one.
+const MAX_RECEIVE_TIMES: usize = 64;
+/// How often a connection that isn't read is checked for a disconnected client.
+const HANGUP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// When idle connections are closed, one without any request so far gets this much longer: the request that the client
 /// wrote behind its startup message may be on its way.
-const UNASKED: Duration = Duration::from_millis(200);
-/// What a connection may have sent without a share in the common allowance.
-const OWN_BYTES: usize = 8 * 1024;
+const NO_REQUEST_GRACE: Duration = Duration::from_millis(200);
+/// How many bytes a connection may hold before they count towards the memory limit of all clients.
+const UNSHARED_BYTES: usize = 8 * 1024;
 
-/// A last error.
+/// Appends an error that ends the session.
 pub fn put_fatal(out: &mut Vec<u8>, code: &str, message: &str) {
     let fields =
         ErrorFields { code: code.into(), message: message.into(), fatal: true, ..Default::default() };
     pg::put_error(out, &fields);
 }
 
-/// Why a wait for more bytes ended.
+/// How a wait for more bytes ended.
 pub enum ReadResult {
+    /// There are bytes in the inbox.
     Bytes,
-    /// The connection ended, or its time or its place was up.
+    /// The connection has ended, or has to end: it was idle for too long, or its slot is wanted for another client.
     End,
-    /// What was begun did not go on in time, or there is no room for more of it.
+    /// The rest of a message did not come in time.
     TooSlow,
+    /// There is no memory for more of the message.
     TooMuch,
 }
 
-/// Why nothing more is begun for a request that is open.
+/// Why an open request is abandoned: no further attempt starts.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Abandoned {
-    /// Its client has closed the connection, or takes no answers from it.
-    ClientGone,
-    /// The time of the stop is over: it gets its last answer now.
+pub enum AbandonReason {
+    /// The client has closed the connection, or takes no answers any more.
+    ClientDisconnected,
+    /// The stop's time is over: the request gets its final answer now.
     CutOff,
 }
 
-/// What came of reading behind a request that is open.
+/// The result of reading ahead behind an open request.
 pub enum ReadAhead {
     Bytes,
-    Abandoned(Abandoned),
+    Abandoned(AbandonReason),
 }
 
-/// How much is read behind a request that is open.
+/// What happens to the bytes beyond the read-ahead limits.
 #[derive(Clone, Copy, PartialEq)]
 pub enum ReadAheadMode {
-    /// What is within the bounds, and then nothing until there is room.
+    /// They stay unread until there is space.
     Bounded,
-    /// What is within the bounds; the rest is passed over, and the session ends behind its answers.
+    /// They are discarded, and the session ends behind its answers.
     Discard,
 }
 
-/// Bytes that came behind a request that is open.
+/// When bytes behind an open request were received.
 struct ReceiveTime {
-    /// The number of bytes that had come by then.
-    upto: u64,
+    /// The number of bytes that the connection had received by then.
+    end_offset: u64,
     at: Instant,
 }
 
 /// One client's connection.
 pub struct ClientConnection<'a> {
-    all: &'a Rc<Admission>,
+    admission: &'a Rc<Admission>,
     stream: Rc<Stream>,
-    /// Why it ends, where it does.
-    ends: Option<CloseReason>,
-    begun: Instant,
+    /// Why the connection ends, once that is known.
+    close_reason: Option<CloseReason>,
+    opened_at: Instant,
+    /// Bytes that were received and not decoded yet.
     pub inbox: Inbox,
-    /// How many bytes have come.
-    received: u64,
-    /// When those came that were read behind an open request.
+    /// The number of bytes received since the connection was opened.
+    received_bytes: u64,
+    /// The receive times of the bytes that were read behind an open request.
     receive_times: VecDeque<ReceiveTime>,
-    /// The memory of requests that were taken and not answered yet.
-    pub taken_bytes: usize,
-    share: MemoryShare,
+    /// The memory of requests that were decoded and not answered yet.
+    pub request_bytes: usize,
+    memory_share: MemoryShare,
+    /// Bytes that are due to the client and not written yet.
     pub out: Vec<u8>,
-    /// A whole message of the session has come.
-    pub spoken: bool,
-    /// A request has come, and was taken.
-    pub asked: bool,
-    /// Since when a part of a message waits for the rest.
-    pub partial: Option<Instant>,
-    /// It rests no longer because another wants its place.
+    /// The session has received a complete message.
+    pub received_message: bool,
+    /// The session has received a request.
+    pub received_request: bool,
+    /// Since when the inbox has held only a part of a message.
+    pub partial_since: Option<Instant>,
+    /// The connection was asked to end, because another client needs its slot.
     pub evicted: bool,
-    /// It has sent more than is read ahead.
+    /// The client has sent more than the read-ahead limits allow.
     pub overrun: bool,
-    /// When the client last said anything.
-    heard: Instant,
-    /// Told when the place is wanted for another.
-    go: (Sender<()>, Receiver<()>),
+    /// When bytes of the client were last received.
+    last_received: Instant,
+    /// Notified when the connection has to end because another client needs its slot.
+    eviction: (Sender<()>, Receiver<()>),
 }
 
 impl<'a> ClientConnection<'a> {
-    pub fn new(all: &'a Rc<Admission>, stream: Rc<Stream>) -> ClientConnection<'a> {
+    pub fn new(admission: &'a Rc<Admission>, stream: Rc<Stream>) -> ClientConnection<'a> {
         ClientConnection {
-            all,
+            admission,
             stream,
-            ends: None,
-            begun: world::now(),
+            close_reason: None,
+            opened_at: world::now(),
             inbox: Inbox::default(),
-            received: 0,
+            received_bytes: 0,
             receive_times: VecDeque::new(),
-            taken_bytes: 0,
-            share: all.bytes(),
+            request_bytes: 0,
+            memory_share: admission.new_memory_share(),
             out: Vec::new(),
-            spoken: false,
-            asked: false,
-            partial: None,
+            received_message: false,
+            received_request: false,
+            partial_since: None,
             evicted: false,
             overrun: false,
-            heard: world::now(),
-            go: async_channel::bounded(1),
+            last_received: world::now(),
+            eviction: async_channel::bounded(1),
         }
     }
 
-    /// It ends for this reason; the first one counts.
-    pub fn end(&mut self, reason: CloseReason) {
-        self.ends.get_or_insert(reason);
+    /// Sets why the connection ends, unless that is known already.
+    pub fn set_close_reason(&mut self, reason: CloseReason) {
+        self.close_reason.get_or_insert(reason);
     }
 
-    /// Whether its client has sent something that is not taken yet.
-    pub fn has_more(&self) -> bool {
+    /// Whether the client has sent bytes that are not decoded yet.
+    pub fn has_unread_input(&self) -> bool {
         !self.inbox.is_empty() || !self.stream.quiet()
     }
 
-    /// Why it ends: its client has ended it where nothing else is known.
+    /// Why the connection ends: the client has ended it, if nothing else is known.
     pub fn close_reason(&self) -> CloseReason {
-        self.ends.unwrap_or(CloseReason::ClientEnded)
+        self.close_reason.unwrap_or(CloseReason::ClientEnded)
     }
 
-    /// Bytes of a message that has begun, those that wait or the next.
-    pub async fn more(&mut self) -> io::Result<ReadResult> {
+    /// Waits for more bytes of a message that has begun, unless there are some in the inbox.
+    pub async fn read_more(&mut self) -> io::Result<ReadResult> {
         if !self.inbox.is_empty() {
             return Ok(ReadResult::Bytes);
         }
-        match by(world::now() + PROMPT, read(&self.stream, &mut self.inbox)).await {
+        match by(world::now() + CONTINUE_TIMEOUT, read(&self.stream, &mut self.inbox)).await {
             Some(Ok(n @ 1..)) => {
-                self.received += n as u64;
-                self.heard = world::now();
+                self.received_bytes += n as u64;
+                self.last_received = world::now();
                 Ok(ReadResult::Bytes)
             }
             Some(Ok(_)) => {
-                self.end(CloseReason::ClientEnded);
+                self.set_close_reason(CloseReason::ClientEnded);
                 Ok(ReadResult::End)
             }
             Some(Err(e)) => {
-                self.end(CloseReason::ReadFailed);
+                self.set_close_reason(CloseReason::ReadFailed);
                 Err(e)
             }
             None => Ok(ReadResult::TooSlow),
         }
     }
 
-    pub fn error(&mut self, code: &str, message: &str) {
+    /// Appends an error that doesn't end the session.
+    pub fn put_error(&mut self, code: &str, message: &str) {
         let fields = ErrorFields { code: code.into(), message: message.into(), ..Default::default() };
         pg::put_error(&mut self.out, &fields);
     }
 
-    /// A last error.
-    pub async fn fatal(&mut self, code: &str, message: &str) -> io::Result<()> {
+    /// Writes an error that ends the session.
+    pub async fn send_fatal(&mut self, code: &str, message: &str) -> io::Result<()> {
         put_fatal(&mut self.out, code, message);
         self.flush().await
     }
 
-    /// The end of the session.
-    pub async fn over(&mut self, why: ReadResult) -> io::Result<()> {
-        match why {
-            ReadResult::TooSlow => self.end(CloseReason::TooSlow),
-            ReadResult::TooMuch => self.end(CloseReason::TooMuch),
+    /// Ends the session after a read that gave no bytes, with an error where the client is at fault.
+    pub async fn end_session(&mut self, reason: ReadResult) -> io::Result<()> {
+        match reason {
+            ReadResult::TooSlow => self.set_close_reason(CloseReason::TooSlow),
+            ReadResult::TooMuch => self.set_close_reason(CloseReason::TooMuch),
             ReadResult::Bytes | ReadResult::End => {}
         }
-        match why {
+        match reason {
             ReadResult::TooSlow => {
-                self.fatal(code::PROTOCOL_VIOLATION, "what was begun did not end in time").await
+                self.send_fatal(code::PROTOCOL_VIOLATION, "what was begun did not end in time").await
             }
             ReadResult::TooMuch => {
-                self.fatal(code::OUT_OF_MEMORY, "too much is being sent here at once").await
+                self.send_fatal(code::OUT_OF_MEMORY, "too much is being sent here at once").await
             }
             ReadResult::Bytes | ReadResult::End => Ok(()),
         }
     }
 
-    /// Writes what is due. Where requests are open behind it, it also fails once the client has closed the connection, so
-    /// that they end with it.
+    /// Writes the bytes that are due. While requests of the connection are open, it also fails once the client has closed
+    /// the connection, so that these requests end.
     pub async fn flush(&mut self) -> io::Result<()> {
         let flushed = self.write_due().await;
         if let Err(e) = &flushed {
-            let left = e.kind() == io::ErrorKind::ConnectionAborted;
-            self.end(if left { CloseReason::ClientLeft } else { CloseReason::WriteFailed });
+            let disconnected = e.kind() == io::ErrorKind::ConnectionAborted;
+            self.set_close_reason(if disconnected {
+                CloseReason::ClientLeft
+            } else {
+                CloseReason::WriteFailed
+            });
         }
         flushed
     }
 
+    /// Writes all bytes that are due.
     async fn write_due(&mut self) -> io::Result<()> {
         let mut written = 0;
         while written < self.out.len() {
-            let gone = async {
-                self.hung_up().await;
+            let disconnected = async {
+                self.until_hung_up().await;
                 Err(io::ErrorKind::ConnectionAborted.into())
             };
-            written += match self.taken_bytes {
+            written += match self.request_bytes {
                 0 => self.write_part(written).await?,
-                _ => future::or(self.write_part(written), gone).await?,
+                _ => future::or(self.write_part(written), disconnected).await?,
             };
         }
         self.out.clear();
-        self.out.shrink_to(OWN_BYTES);
+        self.out.shrink_to(UNSHARED_BYTES);
         Ok(())
     }
 
-    /// Writes a part of what is due.
+    /// Writes some of the bytes that are due, beginning at `from`. Returns how many.
     async fn write_part(&self, from: usize) -> io::Result<usize> {
-        let part = by(world::now() + STUCK, self.stream.write(&self.out[from..])).await;
-        match part.unwrap_or_else(|| Err(io::ErrorKind::TimedOut.into()))? {
+        let written = by(world::now() + WRITE_TIMEOUT, self.stream.write(&self.out[from..])).await;
+        match written.unwrap_or_else(|| Err(io::ErrorKind::TimedOut.into()))? {
             0 => Err(io::ErrorKind::WriteZero.into()),
             n => Ok(n),
         }
     }
 
-    /// Writes what is due, then waits for more, for as long as the client may take.
+    /// Writes the bytes that are due, then waits for more from the client, up to the timeout that applies to it.
     pub async fn flush_and_read(&mut self) -> io::Result<ReadResult> {
         self.flush().await?;
         let now = world::now();
-        let resting = self.inbox.is_empty();
-        if resting && !self.receive_times.is_empty() {
+        let idle = self.inbox.is_empty();
+        if idle && !self.receive_times.is_empty() {
             self.receive_times = VecDeque::new();
         }
-        if resting && self.asked && self.all.answered_last() && self.nothing_came() {
-            self.end(CloseReason::Stopping);
+        if idle && self.received_request && self.admission.closes_after_answer() && self.is_quiet() {
+            self.set_close_reason(CloseReason::Stopping);
             return Ok(ReadResult::End);
         }
-        if !resting {
-            self.partial.get_or_insert(now);
+        if !idle {
+            self.partial_since.get_or_insert(now);
         }
-        let until = match self.partial {
-            _ if !self.spoken => Some((self.heard + PROMPT).min(self.begun + LONGEST_MESSAGE)),
-            Some(since) => Some((self.heard.max(since) + PROMPT).min(since + LONGEST_MESSAGE)),
-            None if !self.asked => Some(now + IDLE_CROWDED),
+        let until = match self.partial_since {
+            _ if !self.received_message => {
+                Some((self.last_received + CONTINUE_TIMEOUT).min(self.opened_at + MESSAGE_TIMEOUT))
+            }
+            Some(since) => {
+                Some((self.last_received.max(since) + CONTINUE_TIMEOUT).min(since + MESSAGE_TIMEOUT))
+            }
+            None if !self.received_request => Some(now + IDLE_TIMEOUT_CROWDED),
             None => None,
         };
-        let (all, go, asked) = (self.all, self.go.1.clone(), self.asked);
+        let admission = self.admission;
+        let eviction = self.eviction.1.clone();
+        let received_request = self.received_request;
         if until.is_none() {
-            all.thin_out();
+            admission.evict_longest_idle();
         }
-        let time_is_up = async {
+        let timed_out = async {
             match until {
                 Some(until) => world::at(until).await,
-                // Looked at again as it rests: a crowd may have come since.
+                // The timeout depends on how many connections are idle, which may change meanwhile.
                 None => {
-                    for rest in [IDLE_THRONGED, IDLE_CROWDED, IDLE] {
-                        world::at(now + rest).await;
-                        if all.may_rest() <= rest {
+                    for idle_time in [IDLE_TIMEOUT_OVERCROWDED, IDLE_TIMEOUT_CROWDED, IDLE_TIMEOUT] {
+                        world::at(now + idle_time).await;
+                        if admission.idle_timeout() <= idle_time {
                             break;
                         }
                     }
@@ -287,122 +306,123 @@
             }
             None
         };
-        // Asked to go in an earlier wait, which ended by itself.
-        let _ = go.try_recv();
-        let _seat = (resting || !self.asked).then(|| all.seat(self.asked, self.go.0.clone()));
-        // Reading comes first: a request that is here already is still served.
+        // Drops an eviction that came during an earlier wait, which ended by itself.
+        let _ = eviction.try_recv();
+        let _idle_entry = (idle || !self.received_request)
+            .then(|| admission.register_idle(self.received_request, self.eviction.0.clone()));
+        // Reading takes precedence: a request that has been received already is still served.
         let read = async { Some(read(&self.stream, &mut self.inbox).await) };
-        // Whoever came that late hears its refusal, and rests no longer than others of its kind.
-        let late = self.all.is_late(self.begun);
-        let mut stops = false;
+        // A connection that was opened after the idle ones were closed stays open for its refusal, with the usual timeouts.
+        let opened_late = self.admission.opened_after_idle_close(self.opened_at);
+        let mut stopping = false;
         let closing = async {
-            if !resting || late {
-                all.until_cut_off().await;
+            if !idle || opened_late {
+                admission.until_cut_off().await;
             } else {
-                let _ = all.closing().recv().await;
-                if !asked {
-                    future::or(world::after(UNASKED), all.until_cut_off()).await;
+                let _ = admission.closing_idle().recv().await;
+                if !received_request {
+                    future::or(world::after(NO_REQUEST_GRACE), admission.until_cut_off()).await;
                 }
             }
-            stops = true;
+            stopping = true;
             None
         };
         let mut evicted = false;
-        let asked_to_go = async {
-            let _ = go.recv().await;
+        let evicting = async {
+            let _ = eviction.recv().await;
             evicted = true;
             Some(Ok(0))
         };
-        let read = future::or(read, future::or(closing, future::or(asked_to_go, time_is_up))).await;
-        self.heard = world::now();
+        let read = future::or(read, future::or(closing, future::or(evicting, timed_out))).await;
+        self.last_received = world::now();
         self.evicted = evicted;
         match read {
             Some(Ok(n)) if n > 0 => {
-                self.received += n as u64;
-                return Ok(if self.affordable() { ReadResult::Bytes } else { ReadResult::TooMuch });
+                self.received_bytes += n as u64;
+                return Ok(if self.fits_memory() { ReadResult::Bytes } else { ReadResult::TooMuch });
             }
             Some(Err(e)) => {
-                self.end(CloseReason::ReadFailed);
+                self.set_close_reason(CloseReason::ReadFailed);
                 return Err(e);
             }
-            // Half of a message hears that it came too late.
-            None if !resting => return Ok(ReadResult::TooSlow),
-            None if stops => self.end(CloseReason::Stopping),
-            Some(Ok(_)) if !evicted => self.end(CloseReason::ClientEnded),
-            _ => self.end(CloseReason::Rested),
+            // A client that has sent a part of a message gets an error.
+            None if !idle => return Ok(ReadResult::TooSlow),
+            None if stopping => self.set_close_reason(CloseReason::Stopping),
+            Some(Ok(_)) if !evicted => self.set_close_reason(CloseReason::ClientEnded),
+            _ => self.set_close_reason(CloseReason::Rested),
         }
         Ok(ReadResult::End)
     }
 
-    /// Whether nothing waits to be read. Guards against a close on a request that is here already.
-    fn nothing_came(&self) -> bool {
+    /// Whether the stream has no unread bytes. Guards against a close while a request waits to be read.
+    fn is_quiet(&self) -> bool {
         self.stream.quiet()
     }
 
-    /// Whether what this client has sent, beside what all others have, fits into the memory.
-    pub fn affordable(&mut self) -> bool {
-        self.share.set((self.inbox.held() + self.taken_bytes).saturating_sub(OWN_BYTES));
-        self.share.is_empty() || self.all.fits()
+    /// Updates this client's share of the memory limit. Returns whether there is memory for what it has sent.
+    pub fn fits_memory(&mut self) -> bool {
+        self.memory_share.set((self.inbox.held() + self.request_bytes).saturating_sub(UNSHARED_BYTES));
+        self.memory_share.is_empty() || self.admission.has_memory()
     }
 
-    /// When the last byte came of the message that was decoded last.
-    pub fn came(&mut self) -> Instant {
-        let end = self.received - self.inbox.len() as u64;
-        while self.receive_times.front().is_some_and(|a| a.upto < end) {
+    /// When the last byte of the message that was decoded last was received.
+    pub fn received_at(&mut self) -> Instant {
+        let end = self.received_bytes - self.inbox.len() as u64;
+        while self.receive_times.front().is_some_and(|a| a.end_offset < end) {
             self.receive_times.pop_front();
         }
-        self.receive_times.front().map_or(self.heard, |a| a.at)
+        self.receive_times.front().map_or(self.last_received, |a| a.at)
     }
 
-    /// Returns once nothing more is to be begun for the request that is open. Where it `reads`, what the client sends
-    /// meanwhile is kept, up to `MAX_READ_AHEAD_BYTES` and what all may have sent; beyond that it is passed over, and the session ends
-    /// behind the answer: a client's end shows only to whoever reads up to it.
-    pub async fn abandoned(&mut self, reads: bool) -> Abandoned {
+    /// Returns once the open request is abandoned. With `reads`, what the client sends meanwhile is kept, up to
+    /// `MAX_READ_AHEAD_BYTES` and the memory limit of all clients. Bytes beyond are read and discarded, since the end of
+    /// the connection shows only behind them, and the session ends behind the answer.
+    pub async fn until_abandoned(&mut self, reads: bool) -> AbandonReason {
         if !reads {
             let cut_off = async {
-                self.all.until_cut_off().await;
-                Abandoned::CutOff
+                self.admission.until_cut_off().await;
+                AbandonReason::CutOff
             };
-            let gone = async {
-                self.hung_up().await;
-                Abandoned::ClientGone
+            let disconnected = async {
+                self.until_hung_up().await;
+                AbandonReason::ClientDisconnected
             };
-            return future::or(gone, cut_off).await;
+            return future::or(disconnected, cut_off).await;
         }
         loop {
-            if let ReadAhead::Abandoned(why) = self.read_ahead(ReadAheadMode::Discard).await {
-                return why;
+            if let ReadAhead::Abandoned(reason) = self.read_ahead(ReadAheadMode::Discard).await {
+                return reason;
             }
-            // Others have their turn while much comes.
+            // Lets other tasks run while the client sends much.
             future::yield_now().await;
         }
     }
 
-    /// Reads what the client sends behind a request that is open, or returns why nothing more is to be begun for it.
-    pub async fn read_ahead(&mut self, ahead: ReadAheadMode) -> ReadAhead {
-        let all = self.all;
+    /// Reads what the client sends behind an open request, or returns why the request is abandoned.
+    pub async fn read_ahead(&mut self, mode: ReadAheadMode) -> ReadAhead {
+        let admission = self.admission;
         let cut_off = async {
-            all.until_cut_off().await;
-            ReadAhead::Abandoned(Abandoned::CutOff)
+            admission.until_cut_off().await;
+            ReadAhead::Abandoned(AbandonReason::CutOff)
         };
         let read = async {
-            if self.receive(ahead).await {
+            if self.receive(mode).await {
                 ReadAhead::Bytes
             } else {
-                ReadAhead::Abandoned(Abandoned::ClientGone)
+                ReadAhead::Abandoned(AbandonReason::ClientDisconnected)
             }
         };
         future::or(read, cut_off).await
     }
 
-    /// Waits for bytes behind a request that is open; false once the client has closed its connection.
-    async fn receive(&mut self, ahead: ReadAheadMode) -> bool {
+    /// Waits for bytes behind an open request; false once the client has closed its connection.
+    async fn receive(&mut self, mode: ReadAheadMode) -> bool {
         if mutants::on("departures are not seen") {
             return future::pending().await;
         }
-        let too_much = self.inbox.len() > MAX_READ_AHEAD_BYTES || !self.affordable();
-        if too_much && ahead == ReadAheadMode::Bounded && !self.overrun {
-            self.hung_up().await;
+        let too_much = self.inbox.len() > MAX_READ_AHEAD_BYTES || !self.fits_memory();
+        if too_much && mode == ReadAheadMode::Bounded && !self.overrun {
+            self.until_hung_up().await;
             return false;
         }
         self.overrun |= too_much;
@@ -410,8 +430,8 @@
             true => self.stream.read_with(|_| ()).await,
             false => {
                 let read = read(&self.stream, &mut self.inbox).await;
-                if let Ok(n) = read {
-                    self.arrived(n);
+                if let Ok(count) = read {
+                    self.note_received(count);
                 }
                 read
             }
@@ -419,51 +439,54 @@
         matches!(read, Ok(1..))
     }
 
-    /// Keeps when these bytes came, which were read behind an open request.
-    fn arrived(&mut self, count: usize) {
+    /// Keeps the receive time of `count` bytes that were just read behind an open request.
+    fn note_received(&mut self, count: usize) {
         if self.receive_times.is_empty() && self.inbox.len() > count {
-            self.receive_times.push_back(ReceiveTime { upto: self.received, at: self.heard });
+            self.receive_times
+                .push_back(ReceiveTime { end_offset: self.received_bytes, at: self.last_received });
         }
-        self.received += count as u64;
-        let many = self.receive_times.len() >= MAX_ARRIVALS;
+        self.received_bytes += count as u64;
+        let is_full = self.receive_times.len() >= MAX_RECEIVE_TIMES;
         match self.receive_times.back_mut() {
-            Some(last) if many => last.upto = self.received,
-            _ => self.receive_times.push_back(ReceiveTime { upto: self.received, at: world::now() }),
+            Some(last) if is_full => last.end_offset = self.received_bytes,
+            _ => self
+                .receive_times
+                .push_back(ReceiveTime { end_offset: self.received_bytes, at: world::now() }),
         }
     }
 
-    /// Returns once the client has closed its connection, of which nothing is read.
-    async fn hung_up(&self) {
+    /// Returns once the client has closed its connection. Reads nothing meanwhile.
+    async fn until_hung_up(&self) {
         if mutants::on("departures are not seen") {
             return future::pending().await;
         }
         while !self.is_hung_up() {
-            world::after(LOOK).await;
+            world::after(HANGUP_CHECK_INTERVAL).await;
         }
     }
 
-    /// Whether the client has closed its connection, also where what it sent before is not read.
+    /// Whether the client has closed its connection, even if bytes that it sent before are still unread.
     pub fn is_hung_up(&self) -> bool {
         self.stream.is_hung_up()
     }
 
-    /// The lingering close: ends the sending and reads on, into nothing, until the client is done. Closing over
-    /// unread input would reset the connection, and what was said last with it. A request that crosses this is not
-    /// begun: its client sees the end before any answer, and asks again elsewhere.
-    pub async fn farewell(&mut self) {
+    /// Closes gracefully: shuts down the sending side, then reads and discards until the client is done. A close with
+    /// unread input would reset the connection, and the client would lose the last answer. A request that comes meanwhile
+    /// isn't started: its client sees the end of the connection before any answer, and retries on another one.
+    pub async fn linger(&mut self) {
         if mutants::on("closes at once") || self.stream.shutdown().is_err() {
             return;
         }
         self.inbox.clear();
-        self.share.set(0);
+        self.memory_share.set(0);
         let drained = async {
-            while let Some(Ok(n)) = by(world::now() + FAREWELL, self.stream.read_with(|_| ())).await
+            while let Some(Ok(n)) = by(world::now() + LINGER_QUIET, self.stream.read_with(|_| ())).await
                 && n > 0
             {
-                // Others have their turn while 60 MB come.
+                // Lets other tasks run while a client sends 60 MB.
                 future::yield_now().await;
             }
         };
-        by(world::now() + LONGEST_FAREWELL, drained).await;
+        by(world::now() + MAX_LINGER, drained).await;
     }
 }
--- a/src/net/core.rs
+++ b/src/net/core.rs
@@ -1,7 +1,8 @@
-//! The core: the decision module among events. It owns the `Router`, the clock, the module's
-//! timers, the names behind its numbers, each request's mailbox and the figures. It turns what happened into
-//! the module's events and the module's actions into messages to whoever carries them out. It must
-//! never touch a socket, name a message of any protocol, or decide anything itself.
+//! The core connects the decision module (the `Router`) to the rest of the proxy. It owns the `Router`, the clock, the
+//! module's timers, the map between host names and ids, the directive queue of each open request, and the figures. It
+//! translates what happened into the module's events, and the module's actions into directives for requests, tasks for
+//! `hosts` and updates for `peers`. It must never touch a socket, depend on a protocol's messages, or make a decision
+//! itself.
 
 use super::backoff;
 use super::events::{EventFigures, Events};
@@ -29,17 +30,18 @@
 use std::time::{Duration, Instant};
 use tracing::info;
 
-/// With a list of before, this much silence of discovery is waited for, unless its callers take turns.
-const SILENT: Duration = Duration::from_secs(1);
+/// With a cached list, the proxy waits this long for discovery's first answer before it serves from the cache. It doesn't
+/// wait where the proxies take turns at asking discovery.
+const DISCOVERY_GRACE: Duration = Duration::from_secs(1);
 
-/// A name that has left the list is kept for so many times as long as a server is cold: longer than
-/// the module keeps it, so that a number never passes to another name meanwhile.
-const KEPT_COLD: Micros = 4;
+/// The name of a host that left the list is kept for this many cold durations. That is longer than the module keeps the
+/// host, so an id never passes to another name while the module still knows it.
+const NAME_RETENTION_COLD_DURATIONS: Micros = 4;
 
-/// The one clock, and the one place where times of the sockets become the module's.
+/// The proxy's only clock, and the only place that converts other times to the module's.
 ///
-/// The module counts microseconds since the Unix epoch, steadily from the program's start, so a
-/// position or a start in Unix milliseconds only changes its unit.
+/// The module counts microseconds since the Unix epoch, and the count advances with the monotonic clock from the
+/// program's start. A position or a start time in Unix milliseconds only needs another unit.
 pub struct Clock {
     started: Instant,
     unix: Duration,
@@ -52,74 +54,78 @@
     pub fn now(&self) -> Micros {
         self.micros(world::now())
     }
-    /// A moment as the module counts it.
+    /// Converts an instant to the module's time.
     pub fn micros(&self, at: Instant) -> Micros {
         (self.unix + at.saturating_duration_since(self.started)).as_micros() as Micros
     }
-    /// When this time of the module's clock comes.
+    /// Converts the module's time to an instant.
     pub fn instant(&self, at: Micros) -> Instant {
         self.started + Duration::from_micros(at).saturating_sub(self.unix)
     }
-    /// A Unix time in milliseconds, as the sockets tell positions and starts.
+    /// Converts Unix milliseconds, the unit of commit positions in answers and of start times in the list.
     pub fn from_unix_ms(ms: u64) -> Micros {
         ms.saturating_mul(1_000)
     }
-    /// A Unix time in seconds, as load reports tell positions.
-    pub fn from_unix_s(s: f64) -> Micros {
-        (s * 1e6) as Micros
+    /// Converts Unix seconds, the unit of positions in load reports.
+    pub fn from_unix_s(seconds: f64) -> Micros {
+        (seconds * 1e6) as Micros
     }
 }
 
-/// FNV-1a over a name: the same at every proxy, so that the numbers drawn from names agree.
+/// The 64-bit FNV-1a hash of a text. Every proxy computes the same value, so ids derived from names agree between proxies.
 pub fn fnv1a(text: &str) -> u64 {
-    text.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
+    text.bytes()
+        .fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
 }
 
-/// What all proxies call a server, whatever number each of them has for it.
+/// The id of a host that all proxies share, whatever `HostId` each of them uses for it.
 pub fn shared_host_id(name: &str) -> u32 {
     let hash = fnv1a(name);
     (hash ^ (hash >> 32)) as u32
 }
 
-/// What a request's task is told to do next.
+/// What the decision module tells a request's handler to do next.
 #[derive(Debug)]
 pub enum Directive {
-    /// Start an attempt, and stop waiting for it at `until`.
-    Attempt { host: HostId, number: u8, until: Micros },
-    /// Withdraw the attempt that is out.
+    /// Start an attempt, and stop waiting for its answer at `deadline`.
+    Attempt { host: HostId, number: u8, deadline: Micros },
+    /// Withdraw the attempt that is in flight.
     Withdraw,
-    /// Final: refused, with advice when to come again.
+    /// Final: refuse the request, and advise the client to retry after this delay.
     Refuse { retry_in: Micros },
-    /// Final: failed.
+    /// Final: fail the request.
     Fail,
 }
 
-/// What the hosts' owner is told to do.
+/// A task of the decision module for `hosts`.
 #[derive(Debug)]
 pub enum HostTask {
+    /// Probe this host.
     Probe(HostId),
+    /// Close the idle connections to this host.
     CloseIdle(HostId),
 }
 
-/// A request as the core knows it, whatever protocol brought it.
+/// What the core needs to know of a request. It doesn't depend on the client's protocol.
 pub struct Request {
     pub class: u8,
     pub session: u64,
     pub group: GroupId,
+    /// When the client stops waiting for the answer.
     pub give_up_at: Micros,
-    /// The position that the read must see.
-    pub after: Option<Micros>,
-    /// The client marks it as a repeat of its own.
-    pub again: bool,
-    /// Whose it is, where known.
+    /// The replication position that the read must see at least.
+    pub min_position: Option<Micros>,
+    /// The client marks the request as a retry of its own.
+    pub client_retry: bool,
+    /// The client's tenant, where the request names one of the settings.
     pub tenant: Option<u16>,
-    /// Servers know nothing of its terms.
+    /// Hosts receive no deadline and no key with the statement.
     pub plain: bool,
-    /// What an attempt is expected to take; 0 where only the class tells.
-    pub expected: Micros,
+    /// How long an attempt is expected to take; 0 where only the class tells.
+    pub expected_duration: Micros,
 }
 
-/// How one attempt ended, with what the answer told of its server.
+/// How one attempt ended, and what the answer reported about its host.
 pub struct AttemptEnd {
     pub host: HostId,
     pub number: u8,
@@ -128,17 +134,17 @@
     pub note: HostReport,
 }
 
-/// What is counted of a class since the start, whatever protocol brought its requests.
+/// The counters of one class since the start.
 #[derive(Clone, Default, Serialize)]
 pub struct ClassCounts {
     pub success: u64,
     pub busy: u64,
     pub failure: u64,
-    /// Attempts written whole to database hosts.
+    /// Attempts that were written completely to database hosts.
     pub backend_calls: u64,
 }
 
-/// What operators are told.
+/// The figures that the operators' console shows.
 #[derive(Serialize)]
 pub struct Figures {
     calls: BTreeMap<String, ClassCounts>,
@@ -148,78 +154,89 @@
     hosts_down: usize,
     #[serde(flatten)]
     events: EventFigures,
-    /// By group, where it is learnt.
+    /// The headroom of each group, where the proxy learns it.
     #[serde(skip_serializing_if = "Option::is_none")]
     headroom: Option<BTreeMap<GroupId, Left>>,
 }
 
+/// A request that has no final answer yet.
 struct OpenRequest {
-    orders: Sender<Directive>,
+    directives: Sender<Directive>,
     give_up_at: Micros,
     attempts: u8,
-    /// Its last bytes are still to come: it is not taken yet.
-    coming: bool,
+    /// Only the head of the statement has been read, so the request doesn't count as in flight yet.
+    incomplete: bool,
 }
 
+/// The decision module, and what its events and actions are translated with.
 struct Inner {
     router: Router,
+    /// Kept empty between events, for its allocation.
     actions: Vec<Action>,
     open: BTreeMap<RequestId, OpenRequest>,
     last_id: RequestId,
+    /// The module's timers: when each is due, and the mark that the module gave it.
     timers: BinaryHeap<Reverse<(Micros, u64)>>,
     names: BTreeMap<HostId, String>,
     ids: BTreeMap<String, HostId>,
-    /// Servers by what all proxies call them; none where two are called so.
-    shared: BTreeMap<u32, Option<HostId>>,
-    /// Those that have left the list, and when.
-    left: BTreeMap<HostId, Micros>,
+    /// Hosts by the id that all proxies share; `None` where two hosts have the same one.
+    by_shared_id: BTreeMap<u32, Option<HostId>>,
+    /// When each host that is no longer listed left the list.
+    removed_at: BTreeMap<HostId, Micros>,
     groups: BTreeSet<GroupId>,
-    calls: Vec<ClassCounts>,
+    class_counts: Vec<ClassCounts>,
 }
 
-/// Owner of the decision module.
+/// Owns the decision module, and gives the rest of the proxy access to it.
 pub struct Core {
     pub clock: Clock,
     pub dialect: Dialect,
-    /// When to come again after a refusal that is none of the module's; 0 where the settings allow no advice.
+    /// The retry delay that clients are advised of when the proxy refuses without asking the module; 0 where the settings
+    /// allow no advice.
     pub retry_in: Micros,
     inner: RefCell<Inner>,
-    /// Closes, refusals, repeats and broken invariants.
+    /// Counts and logs closes, refusals, retries and broken invariants.
     pub events: Rc<Events>,
-    /// What a second run of each class's requests does.
-    effects: Vec<Idempotency>,
-    kept: Micros,
-    /// For how long discovery may be silent before the list of before will have to do.
-    silent: Duration,
-    timer_set: (Sender<()>, Receiver<()>),
+    /// Whether requests of each class may run a second time.
+    class_idempotency: Vec<Idempotency>,
+    /// How long the name of a host that left the list is kept.
+    name_retention: Micros,
+    /// How long the proxy waits for discovery's first answer before it serves from a cached list.
+    discovery_grace: Duration,
+    /// Notified when the earliest timer changes.
+    timer_changed: (Sender<()>, Receiver<()>),
     host_tasks: Sender<HostTask>,
-    /// What is left of the hosts' capacity, where it is learnt, whether it binds, and the lots for that.
+    /// The estimate of the hosts' free capacity, where the proxy learns it.
     headroom: RefCell<Option<Headroom>>,
+    /// Whether requests beyond the headroom are refused.
     sheds_load: Cell<bool>,
+    /// The random draws for shedding.
     draws: RefCell<Rand64>,
-    /// What each class is worth, and whether it writes.
+    /// The worth of each class, and whether it writes.
     headroom_classes: Vec<HeadroomClass>,
-    /// The record of load, where it is kept.
+    /// The recorder of the load capture, where there is one.
     recorder: RefCell<Option<Recorder>>,
-    /// Where news for other proxies go, where there are any to hear them.
+    /// The queue of updates for other proxies, where there are any.
     peer_outbox: RefCell<Option<Sender<Vec<Item>>>>,
-    /// Closed once discovery has spoken.
-    listed: (Sender<()>, Receiver<()>),
-    /// Whether any list has come, also one of before.
+    /// Closed once discovery has sent a list.
+    discovery_answered: (Sender<()>, Receiver<()>),
+    /// Whether any list has been applied, cached ones included.
     has_list: Cell<bool>,
 }
 
 impl Core {
-    /// A core that knows nothing yet; what the hosts' owner must do comes out of the receiver.
+    /// Creates a core that knows no hosts yet. The receiver yields the tasks for `hosts`.
     pub fn new(settings: Settings, dialect: Dialect, seed: u64) -> (Core, Receiver<HostTask>) {
-        let (host_tasks, todo) = unbounded();
+        let (host_tasks, task_receiver) = unbounded();
         let limits = &settings.limits;
         let retry_in = if limits.retry_after { limits.max_retry_after / 4 } else { 0 };
-        let silent = if backoff::takes_turns(settings.proxy_count) { Duration::ZERO } else { SILENT };
-        let kept = settings.safety.cold_duration.saturating_mul(KEPT_COLD);
-        let effects = settings.classes.iter().map(|c| c.idempotency).collect();
-        let worth = |c: &crate::Class| HeadroomClass { worth: c.worth, writes: c.access == Access::Write };
-        let headroom_classes = settings.classes.iter().map(worth).collect();
+        let takes_turns = backoff::takes_turns(settings.proxy_count);
+        let discovery_grace = if takes_turns { Duration::ZERO } else { DISCOVERY_GRACE };
+        let name_retention = settings.safety.cold_duration.saturating_mul(NAME_RETENTION_COLD_DURATIONS);
+        let class_idempotency = settings.classes.iter().map(|c| c.idempotency).collect();
+        let headroom_class =
+            |c: &crate::Class| HeadroomClass { worth: c.worth, writes: c.access == Access::Write };
+        let headroom_classes = settings.classes.iter().map(headroom_class).collect();
         let inner = Inner {
             router: Router::new(settings.clone(), seed),
             actions: Vec::new(),
@@ -228,10 +245,10 @@
             timers: BinaryHeap::new(),
             names: BTreeMap::new(),
             ids: BTreeMap::new(),
-            shared: BTreeMap::new(),
-            left: BTreeMap::new(),
+            by_shared_id: BTreeMap::new(),
+            removed_at: BTreeMap::new(),
             groups: BTreeSet::new(),
-            calls: vec![ClassCounts::default(); dialect.classes.len()],
+            class_counts: vec![ClassCounts::default(); dialect.classes.len()],
         };
         let core = Core {
             clock: Clock::start(),
@@ -239,10 +256,10 @@
             retry_in,
             inner: RefCell::new(inner),
             events: Rc::default(),
-            effects,
-            kept,
-            silent,
-            timer_set: async_channel::bounded(1),
+            class_idempotency,
+            name_retention,
+            discovery_grace,
+            timer_changed: async_channel::bounded(1),
             host_tasks,
             recorder: RefCell::default(),
             headroom: RefCell::default(),
@@ -250,45 +267,44 @@
             draws: RefCell::new(Rand64::new(u128::from(seed) ^ 0x6865_6164)),
             headroom_classes,
             peer_outbox: RefCell::default(),
-            listed: async_channel::bounded(1),
+            discovery_answered: async_channel::bounded(1),
             has_list: Cell::default(),
         };
-        (core, todo)
+        (core, task_receiver)
     }
 
-    /// Returns once requests can be served: discovery has spoken, or it is silent for long and the
-    /// list of before will have to do.
+    /// Returns once requests can be served: discovery has sent a list, or its grace is over and there is a cached list.
     pub async fn ready(&self) {
-        let old_list = async {
-            world::at(self.clock.started + self.silent).await;
+        let cached_list = async {
+            world::at(self.clock.started + self.discovery_grace).await;
             if !self.is_ready() {
                 future::pending::<()>().await;
             }
         };
-        future::or(async { _ = self.listed.1.recv().await }, old_list).await;
+        future::or(async { _ = self.discovery_answered.1.recv().await }, cached_list).await;
     }
 
     /// Whether `ready` returns at once.
     pub fn is_ready(&self) -> bool {
-        self.listed.0.is_closed()
-            || (self.knows_any_host() && world::since(self.clock.started) >= self.silent)
+        self.discovery_answered.0.is_closed()
+            || (self.knows_any_host() && world::since(self.clock.started) >= self.discovery_grace)
     }
 
-    /// Counts something of a class.
-    pub fn count(&self, class: u8, what: impl FnOnce(&mut ClassCounts) -> &mut u64) {
-        if let Some(calls) = self.inner.borrow_mut().calls.get_mut(usize::from(class)) {
-            *what(calls) += 1;
+    /// Increments the counter of a class that `counter` picks.
+    pub fn count(&self, class: u8, counter: impl FnOnce(&mut ClassCounts) -> &mut u64) {
+        if let Some(counts) = self.inner.borrow_mut().class_counts.get_mut(usize::from(class)) {
+            *counter(counts) += 1;
         }
     }
 
-    /// The figures of this moment. Every class is there from the start.
+    /// The current figures. Classes without requests are included.
     pub fn figures(&self) -> Figures {
         let inner = self.inner.borrow();
         let (hosts_listed, hosts_down) = inner.router.hosts();
         Figures {
-            calls: self.dialect.classes.iter().cloned().zip(inner.calls.iter().cloned()).collect(),
-            backend_calls: inner.calls.iter().map(|c| c.backend_calls).sum(),
-            inflight: inner.open.values().filter(|o| !o.coming).count(),
+            calls: self.dialect.classes.iter().cloned().zip(inner.class_counts.iter().cloned()).collect(),
+            backend_calls: inner.class_counts.iter().map(|c| c.backend_calls).sum(),
+            inflight: inner.open.values().filter(|o| !o.incomplete).count(),
             hosts_listed,
             hosts_down,
             events: self.events.figures(),
@@ -296,57 +312,57 @@
         }
     }
 
-    /// From now on headroom is learnt; where it binds, it also turns away.
+    /// Starts to learn the hosts' headroom. With `sheds_load`, requests beyond it are refused.
     pub fn learn_headroom(&self, sheds_load: bool) {
         *self.headroom.borrow_mut() = Some(Headroom::new(self.headroom_classes.clone()));
         self.sheds_load.set(sheds_load);
     }
 
-    /// Whether a request may come in; always, where headroom does not bind.
-    pub fn lets_in(&self, call: &Request) -> bool {
-        // What is turned away here has come too.
-        self.note(|r| r.arrived(call.class, call.group, call.expected));
+    /// Whether the hosts' headroom admits a request; always true where the proxy doesn't shed load.
+    pub fn admits(&self, request: &Request) -> bool {
+        // Refused requests count as load as well.
+        self.record_load(|r| r.arrived(request.class, request.group, request.expected_duration));
         let mut headroom = self.headroom.borrow_mut();
         let Some(headroom) = headroom.as_mut() else { return true };
-        let lot = self.draws.borrow_mut().rand_float();
-        headroom.arrived(call.class, call.group, lot, self.clock.now()) || !self.sheds_load.get()
+        let draw = self.draws.borrow_mut().rand_float();
+        headroom.arrived(request.class, request.group, draw, self.clock.now()) || !self.sheds_load.get()
     }
 
-    /// From now on load is recorded so, or not at all.
+    /// Sets the recorder of the load capture; `None` ends the capture.
     pub fn set_recorder(&self, recorder: Option<Recorder>) {
         *self.recorder.borrow_mut() = recorder;
     }
 
-    /// What was recorded in this interval; nothing where nothing is.
+    /// Takes what was recorded in the interval that ends now; `None` without a recorder.
     pub fn take_record(&self, at_ms: u64, for_ms: u64) -> Option<Record> {
         self.recorder.borrow_mut().as_mut().map(|r| r.take(at_ms, for_ms))
     }
 
-    /// Tells the record of load, if it is kept.
-    pub fn note(&self, what: impl FnOnce(&mut Recorder)) {
+    /// Calls `record` with the recorder, if there is one.
+    pub fn record_load(&self, record: impl FnOnce(&mut Recorder)) {
         if let Some(recorder) = self.recorder.borrow_mut().as_mut() {
-            what(recorder);
+            record(recorder);
         }
     }
 
-    /// Whether repeats of a class's requests are dropped by a key.
+    /// Whether hosts recognise a second run of the class's requests by a key.
     pub fn is_keyed(&self, class: u8) -> bool {
         matches!(self.idempotency(class), Some(Idempotency::Keyed(..)))
     }
 
-    /// What a second run of a class's requests does.
+    /// Whether the class's requests may run a second time; `None` for an unknown class.
     pub fn idempotency(&self, class: u8) -> Option<Idempotency> {
-        self.effects.get(usize::from(class)).copied()
+        self.class_idempotency.get(usize::from(class)).copied()
     }
 
-    /// Whether a class's requests write.
+    /// Whether the class's requests write.
     pub fn writes(&self, class: u8) -> bool {
         self.headroom_classes.get(usize::from(class)).is_some_and(|c| c.writes)
     }
 
-    /// The number of a tenant that the settings name.
+    /// The index of a tenant in the settings.
     pub fn tenant(&self, name: &str) -> Option<u16> {
-        self.dialect.tenants.iter().position(|t| t == name).and_then(|n| u16::try_from(n).ok())
+        self.dialect.tenants.iter().position(|t| t == name).and_then(|index| u16::try_from(index).ok())
     }
 
     /// Whether any list has named this group.
@@ -354,18 +370,18 @@
         self.inner.borrow().groups.contains(&group)
     }
 
-    /// Whether any list has named any server.
+    /// Whether any host is known, from a list or from a manual override.
     pub fn knows_any_host(&self) -> bool {
         !self.inner.borrow().ids.is_empty()
     }
 
-    /// Whether a list names this database host, or did so lately, or operators leave it out.
+    /// Whether this database host is listed, was listed lately, or has a manual override.
     pub fn knows_host(&self, name: &str) -> bool {
         self.inner.borrow().ids.contains_key(name)
     }
 
-    /// Operators leave a database host out, or use it again. A name that no list holds yet is kept for
-    /// when one does.
+    /// Applies a manual override: operators leave a database host out, or use it again. The override of a host that isn't
+    /// listed yet is kept until a list names the host.
     pub fn override_host(&self, name: &str, out: bool, since: Micros) {
         let host = self.inner.borrow_mut().host_id(name);
         self.feed(Event::HostOverride { host, out, since });
@@ -377,156 +393,162 @@
         inner.ids.get(name).is_some_and(|id| inner.router.out_since(*id).is_some())
     }
 
-    /// Since when operators leave a database host out, if they do.
+    /// When operators left the database host out, if they do.
     pub fn left_out_since(&self, host: HostId) -> Option<Micros> {
         self.inner.borrow().router.out_since(host)
     }
 
-    /// A request came in: the ticket through which its task hears of it. Where its last bytes are still
-    /// `coming`, its time begins with `RequestHandle::whole`.
-    pub fn open(&self, call: &Request, coming: bool) -> RequestHandle<'_> {
-        let (orders, mailbox) = unbounded();
+    /// Opens a request, and returns the handle by which its handler follows the module's directives. The time of an
+    /// `incomplete` request, whose last bytes are still to come, begins with `RequestHandle::complete`.
+    pub fn open(&self, request: &Request, incomplete: bool) -> RequestHandle<'_> {
+        let (directives, directive_receiver) = unbounded();
         let id = {
             let mut inner = self.inner.borrow_mut();
             inner.last_id = inner.last_id.wrapping_add(1);
             let id = inner.last_id;
-            inner.open.insert(id, OpenRequest { orders, give_up_at: call.give_up_at, attempts: 0, coming });
+            let give_up_at = request.give_up_at;
+            inner.open.insert(id, OpenRequest { directives, give_up_at, attempts: 0, incomplete });
             id
         };
         let now = self.clock.now();
-        // 0 stands for no token, so a commit of this very moment counts as a little older.
-        let age = call.after.map_or(0.0, |at| (now.saturating_sub(at) as f32 / 1e3).max(0.001));
-        let arrival = RequestInfo {
+        // An age of 0 means "no token", so a commit of this very moment counts as 1 us old.
+        let token_age_ms =
+            request.min_position.map_or(0.0, |at| (now.saturating_sub(at) as f32 / 1e3).max(0.001));
+        let info = RequestInfo {
             id,
-            class: call.class,
-            session: call.session,
-            give_up_at: call.give_up_at,
-            group: call.group,
-            token_ms: age,
-            client_retry: call.again,
-            tenant: call.tenant,
-            plain: call.plain,
-            expected_duration: call.expected,
+            class: request.class,
+            session: request.session,
+            give_up_at: request.give_up_at,
+            group: request.group,
+            token_ms: token_age_ms,
+            client_retry: request.client_retry,
+            tenant: request.tenant,
+            plain: request.plain,
+            expected_duration: request.expected_duration,
         };
-        self.feed(if coming { Event::RequestHead(arrival) } else { Event::Request(arrival) });
-        RequestHandle { core: self, id, mailbox, answered: Cell::new(false), of: (call.class, call.group) }
+        self.feed(if incomplete { Event::RequestHead(info) } else { Event::Request(info) });
+        let class_and_group = (request.class, request.group);
+        let answered = Cell::new(false);
+        RequestHandle { core: self, id, directives: directive_receiver, answered, class_and_group }
     }
 
-    /// From now on news for other proxies go there; what is not taken at once is dropped.
+    /// Sets the queue of updates for other proxies. An update that the queue can't take at once is dropped.
     pub fn set_peer_outbox(&self, peer_outbox: Sender<Vec<Item>>) {
         *self.peer_outbox.borrow_mut() = Some(peer_outbox);
     }
 
-    /// Another proxy said this.
+    /// Passes updates of another proxy to the module.
     pub fn receive_from_peer(&self, from: u16, items: &[Item]) {
-        let news = {
+        let updates = {
             let inner = self.inner.borrow();
-            let own = |host| inner.shared.get(&host).copied().flatten();
-            items.iter().filter_map(|item| talk::news(*item, own)).collect()
+            let own_id = |shared_id| inner.by_shared_id.get(&shared_id).copied().flatten();
+            items.iter().filter_map(|item| talk::news(*item, own_id)).collect()
         };
-        self.feed(Event::Peer { from, news });
+        self.feed(Event::Peer { from, news: updates });
     }
 
-    /// Whether another process serves the same clients: what it answers binds the reads of this one's sessions.
+    /// Sets whether another process serves the same clients. Reads of this process's sessions must see the writes that
+    /// the other process answers.
     pub fn set_other_process(&self, runs: bool) {
         self.feed(Event::Sessions(SessionEvent::OtherProcess(runs)));
     }
 
-    /// The answer to a request has begun and is passed on in pieces: where it is a write, what keeps its session's
-    /// reads to what it commits, until it is dropped.
-    pub fn streamed_write(self: &Rc<Core>, call: &Request) -> Option<StreamedWrite> {
-        if !self.headroom_classes.get(usize::from(call.class))?.writes {
+    /// Called when the answer to a request starts to be streamed to the client. For a write it returns a guard; until the
+    /// guard is dropped, the reads of the write's session have to see what it commits.
+    pub fn begin_streamed_write(self: &Rc<Core>, request: &Request) -> Option<StreamedWrite> {
+        if !self.headroom_classes.get(usize::from(request.class))?.writes {
             return None;
         }
-        self.feed(Event::Sessions(SessionEvent::StreamBegins(call.session)));
-        Some(StreamedWrite { core: self.clone(), session: call.session, commit: None })
+        self.feed(Event::Sessions(SessionEvent::StreamBegins(request.session)));
+        Some(StreamedWrite { core: self.clone(), session: request.session, commit: None })
     }
 
-    /// An answer that is not whole yet has told this of its server.
+    /// Passes on what an answer that isn't complete yet has reported about its host.
     pub fn partial_answer(&self, host: HostId, note: HostReport) {
         if !mutants::on("notes wait for the answer's end") {
             self.feed(Event::PartialAnswer { host, note });
         }
     }
 
-    /// A probe returned.
+    /// Passes on the result of a probe; `None` is a probe that failed.
     pub fn probe_finished(&self, host: HostId, report: Option<HostReport>) {
         let ok = report.is_some();
         self.feed(Event::Probed { host, ok, report: report.unwrap_or_default() });
     }
 
-    /// News of the list, in the module's numbers. Returns the number of every entry.
+    /// Passes a list to the module. Returns the id of every entry, in the list's order.
     pub fn apply_listing(&self, listing: &Listing, cached: bool) -> Vec<HostId> {
         let kind = match (cached, listing.full) {
             (true, _) => ListUpdate::Cached,
             (false, true) => ListUpdate::Full,
             (false, false) => ListUpdate::Delta,
         };
-        let place = |names: &[String], name: &str| {
+        // An unknown name gets the index behind all known ones.
+        let index_of = |names: &[String], name: &str| {
             let found = names.iter().position(|n| n == name);
             u8::try_from(found.unwrap_or(names.len())).unwrap_or(u8::MAX)
         };
         let mut entries = Vec::new();
-        for e in &listing.entries {
-            let host = self.inner.borrow_mut().host_id(&e.name);
-            self.inner.borrow_mut().groups.insert(e.group);
+        for listed in &listing.entries {
+            let host = self.inner.borrow_mut().host_id(&listed.name);
+            self.inner.borrow_mut().groups.insert(listed.group);
             entries.push(HostEntry {
                 host,
-                zone: place(&self.dialect.zones, &e.zone),
-                kind: place(&self.dialect.kinds, &e.kind),
-                group: e.group,
-                state: match e.status {
+                zone: index_of(&self.dialect.zones, &listed.zone),
+                kind: index_of(&self.dialect.kinds, &listed.kind),
+                group: listed.group,
+                state: match listed.status {
                     Status::Serving => HostStatus::Ready,
                     Status::Draining => HostStatus::Draining,
                     Status::Deleted => HostStatus::Removed,
                 },
-                weight: e.weight,
-                primary: e.writer,
-                started: if mutants::on("cold is warm") { 0 } else { Clock::from_unix_ms(e.since_ms) },
+                weight: listed.weight,
+                primary: listed.writer,
+                started: if mutants::on("cold is warm") { 0 } else { Clock::from_unix_ms(listed.since_ms) },
             });
         }
         let ids: Vec<HostId> = entries.iter().map(|e| e.host).collect();
         self.inner.borrow_mut().track_removed(&entries, listing.full, self.clock.now());
         if !cached {
-            self.listed.0.close();
+            self.discovery_answered.0.close();
         }
         let list = Event::List { kind, entries: entries.into() };
         if self.has_list.replace(true) {
             self.feed(list);
         } else {
-            // Together: what comes before the first list would put off the first probes.
+            // Both in one batch: an event before the first list would delay the first probes.
             self.feed_all(&[Event::Sessions(SessionEvent::Started), list]);
         }
         ids
     }
 
-    /// Lets go of the names that left the list long ago, and returns their numbers. Guards against a
-    /// day on which servers are replaced by new ones without end.
+    /// Forgets the hosts that left the list long ago, and returns their ids. Guards against memory that grows without
+    /// bound where hosts are replaced by new ones again and again.
     pub fn forget_removed_hosts(&self) -> Vec<HostId> {
         let now = self.clock.now();
         let mut inner = self.inner.borrow_mut();
-        let Inner { left, names, ids, router, shared, .. } = &mut *inner;
-        let gone: Vec<HostId> = left
+        let Inner { removed_at, names, ids, router, by_shared_id, .. } = &mut *inner;
+        let forgotten: Vec<HostId> = removed_at
             .iter()
-            .filter(|(id, at)| **at + self.kept < now && router.out_since(**id).is_none())
+            .filter(|(id, at)| **at + self.name_retention < now && router.out_since(**id).is_none())
             .map(|(id, _)| *id)
             .collect();
-        for id in &gone {
-            left.remove(id);
+        for id in &forgotten {
+            removed_at.remove(id);
             if let Some(name) = names.remove(id) {
                 ids.remove(&name);
-                shared.remove(&shared_host_id(&name));
+                by_shared_id.remove(&shared_host_id(&name));
             }
         }
-        gone
+        forgotten
     }
 
-    /// Hands one event to the module as it happens, and its actions to those who carry them out.
+    /// Passes one event to the module, and carries out the actions that it returns.
     fn feed(&self, event: Event) {
         self.feed_all(&[event]);
     }
 
-    /// The same of events of one moment.
+    /// Passes events of one moment to the module, and carries out the actions that it returns.
     fn feed_all(&self, events: &[Event]) {
         let mut inner = self.inner.borrow_mut();
         let inner = &mut *inner;
@@ -537,27 +559,31 @@
             match action {
                 Action::Send { id, host, timeout } => {
                     let Some(open) = inner.open.get_mut(&id) else { continue };
-                    let until = match timeout {
+                    let deadline = match timeout {
                         0 => open.give_up_at,
-                        span => open.give_up_at.min(self.clock.now().saturating_add(span)),
+                        timeout => open.give_up_at.min(self.clock.now().saturating_add(timeout)),
                     };
-                    let order = Directive::Attempt { host, number: open.attempts, until };
+                    let directive = Directive::Attempt { host, number: open.attempts, deadline };
                     open.attempts = open.attempts.saturating_add(1);
-                    tell(open, order);
+                    send_directive(open, directive);
                 }
                 Action::Refuse { .. } | Action::Fail(_) if mutants::on("no final answer") => {}
                 Action::Refuse { id, retry_in } => {
-                    inner.open.get(&id).into_iter().for_each(|o| tell(o, Directive::Refuse { retry_in }));
+                    let refuse = |open| send_directive(open, Directive::Refuse { retry_in });
+                    inner.open.get(&id).into_iter().for_each(refuse);
+                }
+                Action::Fail(id) => {
+                    inner.open.get(&id).into_iter().for_each(|open| send_directive(open, Directive::Fail));
                 }
-                Action::Fail(id) => inner.open.get(&id).into_iter().for_each(|o| tell(o, Directive::Fail)),
                 Action::Cancel(id, _) => {
-                    inner.open.get(&id).into_iter().for_each(|o| tell(o, Directive::Withdraw));
+                    let withdraw = |open| send_directive(open, Directive::Withdraw);
+                    inner.open.get(&id).into_iter().for_each(withdraw);
                 }
                 Action::Timer { at, mark } => inner.timers.push(Reverse((at, mark))),
                 Action::Probe(host) => drop(self.host_tasks.try_send(HostTask::Probe(host))),
                 Action::CloseIdle(host) => drop(self.host_tasks.try_send(HostTask::CloseIdle(host))),
                 Action::Log(text) => {
-                    // Operators know names, the module numbers.
+                    // The second word is the host's id. Operators know hosts by name, so the name replaces the id.
                     let number = text.split(' ').nth(1).unwrap_or("");
                     match number.parse().ok().and_then(|id: HostId| inner.names.get(&id)) {
                         Some(name) => {
@@ -566,26 +592,27 @@
                         None => info!(target: "module", "{text}"),
                     }
                 }
-                Action::Broadcast(news) => {
+                Action::Broadcast(updates) => {
                     if let Some(peer_outbox) = self.peer_outbox.borrow().as_ref() {
-                        let shared = |id| inner.names.get(&id).map(|name| shared_host_id(name));
-                        let items = news.into_iter().filter_map(|n| talk::item(n, shared)).collect();
-                        // A door that is shut, or behind, says newer things later.
+                        let shared_id = |id| inner.names.get(&id).map(|name| shared_host_id(name));
+                        let items =
+                            updates.into_iter().filter_map(|update| talk::item(update, shared_id)).collect();
+                        // A full or closed queue loses this update; newer ones follow.
                         let _ = peer_outbox.try_send(items);
                     }
                 }
-                // Discovery pushes by itself.
+                // `discovery` watches the list without being asked.
                 Action::Subscribe => {}
             }
         }
         inner.actions = actions;
         if inner.timers.peek().map(|t| t.0.0) != earliest {
-            // Full means that the timers' task is about to look anyway.
-            let _ = self.timer_set.0.try_send(());
+            // A full channel means that the timers' task is about to look at the timers anyway.
+            let _ = self.timer_changed.0.try_send(());
         }
     }
 
-    /// Feeds the module its timers as they fall due, for as long as the program runs.
+    /// Passes the module its timers as they fall due. Never returns.
     pub async fn run_timers(&self) {
         loop {
             let next = self.inner.borrow().timers.peek().map(|t| t.0.0);
@@ -601,7 +628,7 @@
                             None => future::pending().await,
                         }
                     };
-                    future::or(due, async { _ = self.timer_set.1.recv().await }).await;
+                    future::or(due, async { _ = self.timer_changed.1.recv().await }).await;
                 }
             }
         }
@@ -609,46 +636,49 @@
 }
 
 impl Inner {
+    /// Keeps since when hosts have been missing from the list.
     fn track_removed(&mut self, entries: &[HostEntry], full: bool, now: Micros) {
         let named: BTreeSet<HostId> = entries.iter().map(|e| e.host).collect();
         let missing = self.names.keys().filter(|id| full && !named.contains(id));
         let deleted = entries.iter().filter(|e| e.state == HostStatus::Removed).map(|e| &e.host);
         for id in missing.chain(deleted) {
-            self.left.entry(*id).or_insert(now);
+            self.removed_at.entry(*id).or_insert(now);
         }
-        for e in entries.iter().filter(|e| e.state != HostStatus::Removed) {
-            self.left.remove(&e.host);
+        for entry in entries.iter().filter(|e| e.state != HostStatus::Removed) {
+            self.removed_at.remove(&entry.host);
         }
     }
 
-    /// A server's number: drawn from its name, so that all proxies agree on the order of servers.
+    /// The id of a host, which is assigned when its name first appears. It is derived from the name, so that all proxies
+    /// agree on the order of hosts.
     fn host_id(&mut self, name: &str) -> HostId {
         if let Some(&id) = self.ids.get(name) {
             return id;
         }
-        let shared = shared_host_id(name);
-        let mut id: HostId = shared;
+        let shared_id = shared_host_id(name);
+        let mut id: HostId = shared_id;
         while self.names.contains_key(&id) {
             id = id.wrapping_add(1);
         }
         self.names.insert(id, name.to_string());
         self.ids.insert(name.to_string(), id);
-        // Two that others call the same: nobody can say which of them is meant.
-        self.shared.entry(shared).and_modify(|known| *known = None).or_insert(Some(id));
+        // Where two hosts have the same shared id, an update of another proxy can't be assigned to either.
+        self.by_shared_id.entry(shared_id).and_modify(|known| *known = None).or_insert(Some(id));
         id
     }
 }
 
-fn tell(open: &OpenRequest, order: Directive) {
-    // The mailbox is unbounded, and closed only when its request is over.
-    let _ = open.orders.try_send(order);
+fn send_directive(open: &OpenRequest, directive: Directive) {
+    // The queue is unbounded, and closed only when its request is over.
+    let _ = open.directives.try_send(directive);
 }
 
-/// A write whose answer is passed on in pieces. It is over, and committed, when this is dropped.
+/// Guard of a write whose answer is streamed to the client. Dropping it tells the module that the write is over and
+/// committed.
 pub struct StreamedWrite {
     core: Rc<Core>,
     session: u64,
-    /// The position of the commit, once it is told.
+    /// The position of the commit, once the host has reported it.
     pub commit: Option<Micros>,
 }
 
@@ -658,91 +688,95 @@
     }
 }
 
-/// A request's place in the core; dropping it gives the place back.
+/// An open request in the core; dropping the handle closes the request.
 pub struct RequestHandle<'a> {
     core: &'a Core,
     id: RequestId,
-    mailbox: Receiver<Directive>,
+    directives: Receiver<Directive>,
+    /// The client has its final answer, or gets one that the module did not decide.
     answered: Cell<bool>,
-    /// Its class and group.
-    of: (u8, GroupId),
+    class_and_group: (u8, GroupId),
 }
 
 impl RequestHandle<'_> {
-    /// The module's next order for this request.
-    pub async fn order(&self) -> Directive {
-        match self.mailbox.recv().await {
-            Ok(order) => order,
-            // The core outlives every ticket.
+    /// Waits for the module's next directive for this request.
+    pub async fn next_directive(&self) -> Directive {
+        match self.directives.recv().await {
+            Ok(directive) => directive,
+            // Unreachable: the core outlives every handle.
             Err(_) => Directive::Fail,
         }
     }
 
-    /// What the start of the attempt that was ordered last rests on, asked as its first byte is about to go.
-    pub fn starts(&self, now: Micros) -> RequestStart {
+    /// The conditions under which the latest attempt may start. Asked just before its first byte is written.
+    pub fn start_conditions(&self, now: Micros) -> RequestStart {
         self.core.inner.borrow_mut().router.starts(now, self.id)
     }
 
-    /// What this answer to what was sent at that time amounts to, where the module holds it to be too old.
-    pub fn stale_outcome(&self, host: HostId, note: &HostReport, sent: Micros) -> Option<Outcome> {
+    /// The outcome of an attempt that was sent at `sent_at`, where the module finds its answer too old for the request.
+    pub fn stale_outcome(&self, host: HostId, note: &HostReport, sent_at: Micros) -> Option<Outcome> {
         let inner = self.core.inner.borrow();
-        let outcome = inner.router.stale_outcome(self.id, host, note, sent);
+        let outcome = inner.router.stale_outcome(self.id, host, note, sent_at);
         outcome.filter(|_| !mutants::on("stale answers pass"))
     }
 
-    /// The request's last byte is here, and passed on.
-    pub fn whole(&self, give_up_at: Micros) {
+    /// Reports that the last byte of an incomplete request was received and written to its host.
+    pub fn complete(&self, give_up_at: Micros) {
         if let Some(open) = self.core.inner.borrow_mut().open.get_mut(&self.id) {
-            (open.coming, open.give_up_at) = (false, give_up_at);
+            open.incomplete = false;
+            open.give_up_at = give_up_at;
         }
         self.core.feed(Event::RequestComplete(self.id, give_up_at));
     }
 
-    /// An attempt of this request ended; its connection is given back or closed by now.
-    pub fn ended(&self, e: AttemptEnd) {
-        let finished = self.answered.get() || e.outcome == Outcome::Ok;
+    /// Reports the end of an attempt, whose connection has been returned to the pool or closed by now.
+    pub fn attempt_ended(&self, end: AttemptEnd) {
+        let finished = self.answered.get() || end.outcome == Outcome::Ok;
         self.answered.set(finished);
-        let how = match e.outcome {
-            Outcome::Ok => Tried::Served(e.latency.as_micros() as u64),
+        let (class, group) = self.class_and_group;
+        let tried = match end.outcome {
+            Outcome::Ok => Tried::Served(end.latency.as_micros() as u64),
             Outcome::Unsuitable => Tried::Missed,
             _ => Tried::Else,
         };
-        self.core.note(|r| r.tried(self.of.0, self.of.1, how));
+        self.core.record_load(|r| r.tried(class, group, tried));
         if let Some(headroom) = self.core.headroom.borrow_mut().as_mut() {
-            let ended = match e.outcome {
-                Outcome::Ok => Ended::Served(e.latency.as_micros() as u64),
+            let ended = match end.outcome {
+                Outcome::Ok => Ended::Served(end.latency.as_micros() as u64),
                 Outcome::Overloaded | Outcome::Timeout => Ended::Full,
                 _ => Ended::Else,
             };
             let now = self.core.clock.now();
-            headroom.tried(self.of.0, self.of.1, e.host, ended, now);
-            if let (Some(Role::Replica), Some(at)) = (e.note.role, e.note.position) {
-                headroom.behind(self.of.1, now.saturating_sub(at), now);
+            headroom.tried(class, group, end.host, ended, now);
+            if let (Some(Role::Replica), Some(at)) = (end.note.role, end.note.position) {
+                headroom.behind(group, now.saturating_sub(at), now);
             }
         }
         self.core.feed(Event::Outcome(AttemptResult {
             id: self.id,
-            attempt: e.number,
-            host: e.host,
-            outcome: e.outcome,
-            latency: e.latency.as_micros() as Micros,
+            attempt: end.number,
+            host: end.host,
+            outcome: end.outcome,
+            latency: end.latency.as_micros() as Micros,
             finished,
-            note: e.note,
+            note: end.note,
             report: HostReport::default(),
         }));
     }
 
-    /// The client gets an answer that is none of the module's: with the attempt, the request is over.
-    pub fn answered(&self) {
+    /// Marks the request as answered by something that the module did not decide: the end of its attempt ends the
+    /// request.
+    pub fn mark_answered(&self) {
         self.answered.set(true);
     }
 
-    /// The client has left, or gets an answer that is none of the module's: nothing is to be begun any more.
-    pub fn abandoned(&self) {
+    /// Abandons the request: its client disconnected, or gets an answer that the module did not decide. No further attempt
+    /// starts.
+    pub fn abandon(&self) {
         self.answered.set(true);
         self.core.feed(Event::ClientGone(self.id));
-        // The order to withdraw an attempt, which its task has done already.
-        while !matches!(self.mailbox.try_recv(), Err(TryRecvError::Empty | TryRecvError::Closed)) {}
+        // Drops the directive to withdraw the attempt, which the handler has withdrawn already.
+        while !matches!(self.directives.try_recv(), Err(TryRecvError::Empty | TryRecvError::Closed)) {}
     }
 }
 
--- a/src/net/events.rs
+++ b/src/net/events.rs
@@ -1,6 +1,6 @@
-//! What happens to requests and connections, counted by its reason and written to the log with the request's id: closes,
-//! refusals, repeats, attempts that were not started, and broken invariants. It owns the counters. It must never decide
-//! anything, nor fill the log: all but broken invariants is written at the level `debug` only.
+//! Counts what happens to requests and connections by its reason, and logs it with the request's id: closes, refusals,
+//! retries, attempts that were not started, and broken invariants. It owns the counters. It must never decide anything,
+//! nor fill the log: everything but broken invariants is logged at the level `debug`.
 
 use super::world;
 use crate::Outcome;
@@ -12,28 +12,28 @@
 use std::time::{Duration, Instant};
 use tracing::{debug, error};
 
-/// Broken invariants that are written in a second; of the others only the number is.
-const MOST_REPORTS: u32 = 10;
+/// How many broken invariants are logged per second; those beyond are only counted.
+const MAX_REPORTS_PER_SECOND: u32 = 10;
 
 /// Why a request was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalReason {
-    /// The decision module sees no host that can serve it in time.
+    /// The decision module sees no host that can serve the request in time.
     Module,
-    /// No list of database hosts is there yet.
+    /// There is no list of database hosts yet.
     NoList,
-    /// The time of the stop was over.
+    /// The stop's time was over.
     Stopping,
     /// The hosts' headroom is used up.
     Headroom,
-    /// A long statement found no connection to a host.
+    /// There was no connection to a host for a long statement.
     NoConnection,
-    /// All places for clients were taken.
+    /// All slots for clients were taken.
     Full,
 }
 
-/// What ended the attempt before a repeat.
+/// What ended the attempt before a retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RepeatReason {
@@ -48,7 +48,7 @@
 }
 
 impl RepeatReason {
-    /// The reason for another attempt behind one that ended so; none behind one that was served.
+    /// The reason for a retry after an attempt with this outcome; `None` after one that was served.
     pub fn of(outcome: Outcome) -> Option<RepeatReason> {
         Some(match outcome {
             Outcome::Ok => return None,
@@ -72,18 +72,18 @@
     repeats: RefCell<BTreeMap<RepeatReason, u64>>,
     denials: RefCell<BTreeMap<Denial, u64>>,
     violations: RefCell<BTreeMap<Violation, u64>>,
-    /// Since when reports of broken invariants are counted, and how many there were.
+    /// When the current second of reports of broken invariants began, and how many there were in it.
     reports: Cell<(Option<Instant>, u32)>,
 }
 
-/// What operators are told.
+/// The counters that the operators' console shows.
 #[derive(Serialize)]
 pub struct EventFigures {
     closes: BTreeMap<CloseReason, u64>,
     refusals: BTreeMap<RefusalReason, u64>,
     repeats: BTreeMap<RepeatReason, u64>,
     denied_starts: BTreeMap<Denial, u64>,
-    /// Every invariant is there from the start; each is to stay 0.
+    /// Every invariant is listed from the start; each counter has to stay 0.
     invariants: BTreeMap<Violation, u64>,
 }
 
@@ -92,38 +92,38 @@
 }
 
 impl Events {
-    /// A client's connection is closed.
+    /// Counts a client's connection as closed.
     pub fn closed(&self, reason: CloseReason) {
         debug!(target: "clients", ?reason, "closed");
         count(&self.closes, reason);
     }
 
-    /// A request was refused.
+    /// Counts a request as refused.
     pub fn refused(&self, id: &str, reason: RefusalReason) {
         debug!(target: "requests", id, ?reason, "refused");
         count(&self.refusals, reason);
     }
 
-    /// Another attempt at a request follows on this outcome.
+    /// Counts a retry of a request after an attempt with this outcome.
     pub fn repeated(&self, id: &str, outcome: Outcome) {
         let Some(reason) = RepeatReason::of(outcome) else { return };
         debug!(target: "requests", id, ?reason, "repeated");
         count(&self.repeats, reason);
     }
 
-    /// An attempt was not started.
+    /// Counts an attempt as not started.
     pub fn denied(&self, id: &str, reason: Denial) {
         debug!(target: "requests", id, ?reason, "not started");
         count(&self.denials, reason);
     }
 
-    /// An invariant was broken.
+    /// Counts and logs a broken invariant; `about` names the request or connection.
     pub fn violated(&self, what: Violation, about: &dyn Display) {
         count(&self.violations, what);
         let (since, reports) = self.reports.get();
-        let fresh = since.is_none_or(|since| world::since(since) > Duration::from_secs(1));
-        let (since, reports) = if fresh { (Some(world::now()), 0) } else { (since, reports) };
-        if reports < MOST_REPORTS {
+        let new_second = since.is_none_or(|since| world::since(since) > Duration::from_secs(1));
+        let (since, reports) = if new_second { (Some(world::now()), 0) } else { (since, reports) };
+        if reports < MAX_REPORTS_PER_SECOND {
             error!(target: "invariants", ?what, "broken: {about}");
         }
         self.reports.set((since, reports + 1));
@@ -135,12 +135,12 @@
         Violation::ALL.iter().map(|v| (*v, counted.get(v).copied().unwrap_or(0))).collect()
     }
 
-    /// Whether an invariant was broken at all.
+    /// Whether any invariant was broken.
     pub fn is_violated(&self) -> bool {
         !self.violations.borrow().is_empty()
     }
 
-    /// The figures of this moment.
+    /// The current counters.
     pub fn figures(&self) -> EventFigures {
         EventFigures {
             closes: self.closes.borrow().clone(),
--- a/src/net/pipeline.rs
+++ b/src/net/pipeline.rs
@@ -1,11 +1,11 @@
-//! The pipeline: the requests of one connection that were read behind another, in the order in which they came. It owns
-//! their progress and their answers until their turn. It must never read or write a connection, nor choose a host.
+//! The requests of one connection that were read behind another, in their order. The pipeline serves them, and keeps their
+//! answers until their turn. It must never read or write a connection, nor choose a host.
 //!
-//! A request begins as soon as none that came before it could change what it does: a write and a request of the same
-//! group, or two writes, go one after the other; all else is worked on at the same time.
+//! A request starts as soon as it doesn't depend on an unanswered one before it: two writes, or a write and another request
+//! of the same group, run one after the other; all others run at the same time.
 
 use super::admission::IdClaim;
-use super::client_connection::Abandoned;
+use super::client_connection::AbandonReason;
 use super::request::{ClientWatch, PendingAnswer};
 use crate::GroupId;
 use std::collections::VecDeque;
@@ -13,7 +13,7 @@
 use std::pin::{Pin, pin};
 use std::task::{Context, Poll, Waker};
 
-/// What is known of a request before it begins.
+/// What the order of a request among others depends on.
 #[derive(Clone, Copy)]
 pub struct RequestScope {
     pub class: u8,
@@ -22,7 +22,7 @@
 }
 
 impl RequestScope {
-    /// Whether it has to wait for the end of a request that came before it.
+    /// Whether the request has to wait for the end of an earlier one.
     fn must_follow(&self, earlier: &RequestScope) -> bool {
         match (self.writes, earlier.writes) {
             (true, true) => true,
@@ -32,20 +32,21 @@
     }
 }
 
-/// The work on a request, up to its answer; nothing if its client left before. It begins when it is first polled.
+/// The future that serves a request and returns its answer, or `None` if the client disconnects before. Serving starts at
+/// the first poll.
 pub type ServeFuture<'a> = Pin<Box<dyn Future<Output = Option<PendingAnswer>> + 'a>>;
 
-/// How far a request has come.
+/// The progress of a pipelined request.
 pub enum Progress<'a> {
-    Unanswered { serving: ServeFuture<'a>, begun: bool },
+    Unanswered { serving: ServeFuture<'a>, started: bool },
     Answered(Option<PendingAnswer>),
 }
 
-/// A request behind another.
+/// A pipelined request.
 pub struct PipelineEntry<'a> {
     pub scope: RequestScope,
     pub claim: IdClaim<'a>,
-    /// The memory of its statement.
+    /// The size of its statement.
     pub bytes: usize,
     pub progress: Progress<'a>,
 }
@@ -55,7 +56,7 @@
         matches!(self.progress, Progress::Answered(_))
     }
 
-    /// The memory that it holds: its statement until it has an answer, then that.
+    /// The bytes of memory that the request holds: its statement, or its answer once there is one.
     fn held_bytes(&self) -> usize {
         match &self.progress {
             Progress::Answered(Some(answer)) => answer.held_bytes(),
@@ -64,20 +65,20 @@
         }
     }
 
-    /// Works on it as far as it goes now, if it has begun or may begin.
-    fn advance(&mut self, may_begin: bool, context: &mut Context<'_>) {
-        let Progress::Unanswered { serving, begun } = &mut self.progress else { return };
-        if !*begun && !may_begin {
+    /// Polls the request if it has started or may start.
+    fn poll(&mut self, may_start: bool, context: &mut Context<'_>) {
+        let Progress::Unanswered { serving, started } = &mut self.progress else { return };
+        if !*started && !may_start {
             return;
         }
-        *begun = true;
+        *started = true;
         if let Poll::Ready(answer) = serving.as_mut().poll(context) {
             self.progress = Progress::Answered(answer);
         }
     }
 }
 
-/// The requests behind the one whose turn it is.
+/// The pipelined requests of one connection, behind the one whose turn it is.
 pub struct Pipeline<'a> {
     entries: VecDeque<PipelineEntry<'a>>,
     watch: &'a ClientWatch,
@@ -96,45 +97,46 @@
         self.entries.len()
     }
 
-    /// The memory of their statements and answers.
+    /// The bytes of memory that the requests and their answers hold.
     pub fn held_bytes(&self) -> usize {
         self.entries.iter().map(PipelineEntry::held_bytes).sum()
     }
 
-    /// One more, behind all others.
+    /// Adds a request behind all others.
     pub fn push(&mut self, entry: PipelineEntry<'a>) {
         self.entries.push_back(entry);
     }
 
-    /// The one whose turn comes next.
+    /// Removes the request whose turn comes next.
     pub fn pop(&mut self) -> Option<PipelineEntry<'a>> {
         let next = self.entries.pop_front();
         if self.entries.is_empty() {
-            // A connection at rest keeps no memory of what it once had open.
+            // Frees the memory, since the connection may stay idle.
             self.entries = VecDeque::new();
         }
         next
     }
 
-    /// Works on all that may be worked on now; `head` is the open request whose turn it is, if there is one.
-    pub fn advance(&mut self, head: Option<&RequestScope>, context: &mut Context<'_>) {
+    /// Polls all requests that have started or may start now; `head` is the open request whose turn it is, if there is one.
+    pub fn poll(&mut self, head: Option<&RequestScope>, context: &mut Context<'_>) {
         for index in 0..self.entries.len() {
-            let may_begin = self.may_begin(index, head);
+            let may_start = self.may_start(index, head);
             if let Some(entry) = self.entries.get_mut(index) {
-                entry.advance(may_begin, context);
+                entry.poll(may_start, context);
             }
         }
     }
 
-    fn may_begin(&self, index: usize, head: Option<&RequestScope>) -> bool {
+    /// Whether the request at `index` depends on no unanswered one before it.
+    fn may_start(&self, index: usize, head: Option<&RequestScope>) -> bool {
         let scope = &self.entries[index].scope;
         let unanswered = self.entries.range(..index).filter(|earlier| !earlier.is_answered());
         let mut earlier = head.into_iter().chain(unanswered.map(|e| &e.scope));
         !earlier.any(|earlier| scope.must_follow(earlier))
     }
 
-    /// Does this, and meanwhile works on the requests.
-    pub async fn beside<T>(&mut self, work: impl Future<Output = T>) -> T {
+    /// Runs `work` to its end, and polls the requests meanwhile.
+    pub async fn run_alongside<T>(&mut self, work: impl Future<Output = T>) -> T {
         if self.is_empty() {
             return work.await;
         }
@@ -143,9 +145,9 @@
             if let Poll::Ready(done) = work.as_mut().poll(context) {
                 return Poll::Ready(done);
             }
-            self.watch.looked();
-            self.advance(None, context);
-            if self.watch.wants_look() {
+            self.watch.checked();
+            self.poll(None, context);
+            if self.watch.needs_check() {
                 context.waker().wake_by_ref();
             }
             Poll::Pending
@@ -153,18 +155,18 @@
         .await
     }
 
-    /// Works on those that have begun, and begins no others: once abandoned, they end by this.
-    pub fn end_begun(&mut self, context: &mut Context<'_>) {
-        self.entries.iter_mut().for_each(|entry| entry.advance(false, context));
+    /// Polls the requests that have started, and starts no others. Abandoned requests end with this.
+    pub fn poll_started(&mut self, context: &mut Context<'_>) {
+        self.entries.iter_mut().for_each(|entry| entry.poll(false, context));
     }
 
-    /// Nobody waits for them any more: withdraws all that have begun, and forgets the others.
+    /// Abandons all requests, since the connection is closing: withdraws those that have started, and drops the others.
     pub fn abandon(&mut self) {
         if self.is_empty() {
             return;
         }
-        self.watch.abandon(Abandoned::ClientGone);
-        self.end_begun(&mut Context::from_waker(Waker::noop()));
+        self.watch.abandon(AbandonReason::ClientDisconnected);
+        self.poll_started(&mut Context::from_waker(Waker::noop()));
         self.entries.clear();
     }
 }
--- a/src/net/proxy.rs
+++ b/src/net/proxy.rs
@@ -1,5 +1,5 @@
-//! One proxy, whole: it owns the order in which the parts start and stop, in the machine's world or a simulated one.
-//! It must never decide about a request, speak on a connection, or read a file or a signal itself.
+//! One proxy: starts its parts, serves until it is told to stop, and stops the parts in order, in the real world or in a
+//! simulated one. It must never decide about a request, use a connection, or read a file or a signal itself.
 
 use super::admission::Admission;
 use super::backoff::Backoff;
@@ -24,46 +24,47 @@
 use std::time::Duration;
 use tracing::info;
 
-/// The longest wait of a client that counts at a stop, since SIGKILL comes 0.7 s after it at the soonest.
-const LONGEST_WAIT: Duration = Duration::from_secs(3);
-/// How long the last answers may take on their way, and long values that have begun: a reader that takes nothing of one
-/// is given up within this.
-const LAST_WORDS: Duration = Duration::from_secs(15);
+/// The longest request deadline that a stop waits for. SIGKILL follows at the earliest 0.7 s after it.
+const MAX_STOP_WAIT: Duration = Duration::from_secs(3);
+/// How long the last answers of a stop may take, with the values that are being streamed. A client that reads nothing of
+/// its answer is disconnected within this time.
+const LAST_ANSWERS_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// A proxy whose parts run, and which takes no clients yet.
+/// A proxy whose parts run, and which accepts no clients yet.
 pub struct Proxy {
     pub core: Rc<Core>,
     pub clients: Rc<Clients>,
     pub hosts: Rc<Hosts>,
-    /// Where discovery has moved to.
+    /// Takes new addresses of discovery.
     pub discovery_addresses: Sender<SocketAddr>,
     pub upgrade: Rc<Upgrade>,
-    /// The talk with other proxies, where there is any.
+    /// The updates between proxies, where there are other proxies.
     pub peers: Option<Rc<Peers>>,
     socket: Bound,
     name: String,
     address: SocketAddr,
     linger: Duration,
-    /// The longest that a request may take.
-    longest: Duration,
+    /// The longest deadline of any class of requests.
+    longest_deadline: Duration,
 }
 
 impl Proxy {
-    /// Takes the addresses, and starts all parts; the error names the key that will not do.
+    /// Binds the addresses, and starts all parts. An error names the configuration key that can't be used.
     pub fn start(config: &mut Config, file: &File, executor: &Spawner) -> Result<Proxy, String> {
         let socket = world::bind(config.listen)
             .map_err(|e| format!("listen: cannot listen on {}: {e}", config.listen))?;
-        let door = config.console.map(Listener::alone).transpose();
-        let door = door.map_err(|e| format!("console: cannot listen there: {e}"))?;
+        let console_listener = config.console.map(Listener::alone).transpose();
+        let console_listener = console_listener.map_err(|e| format!("console: cannot listen there: {e}"))?;
         let drain_grace = config.settings.safety.drain_grace;
-        let longest = config.settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
-        let (core, todo) = Core::new(config.settings.clone(), config.dialect.clone(), config.seed);
+        let longest_deadline = config.settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
+        let (core, host_tasks) = Core::new(config.settings.clone(), config.dialect.clone(), config.seed);
         let core = Rc::new(core);
         let (user, database) = (&file.hosts.user, &file.hosts.database);
         let hosts = Hosts::new(core.clone(), config.most_host_connections, drain_grace, user, database);
         let hosts = Rc::new(hosts);
-        let (most, bytes) = (config.most_clients, config.most_client_bytes);
-        let admission = Admission::new(core.clone(), most, bytes, executor.clone());
+        let max_clients = config.most_clients;
+        let max_client_bytes = config.most_client_bytes;
+        let admission = Admission::new(core.clone(), max_clients, max_client_bytes, executor.clone());
         let clients = Clients::new(core.clone(), hosts.clone(), admission, config.way_back, executor.clone());
         let clients = Rc::new(clients);
         clients.set_statements(Statements::from_config(&file.statements, &config.dialect));
@@ -76,14 +77,14 @@
         let upgrade = Rc::new(upgrade);
         let peers = config.talk.clone().map(|talk| Rc::new(Peers::new(core.clone(), talk)));
         peers.iter().for_each(|peers| executor.spawn(peers.clone().run()));
-        if let Some(door) = door {
+        if let Some(console_listener) = console_listener {
             let console =
                 Rc::new(Console::new(core.clone(), clients.clone(), upgrade.clone(), peers.clone()));
-            executor.spawn(console.run(door, executor.clone()));
+            executor.spawn(console.run(console_listener, executor.clone()));
         }
         upgrade.meet(executor);
-        let known = config.known.take().map(|k| k.index);
-        executor.spawn(hosts.clone().run_chores(todo, executor.clone()));
+        let known_index = config.known.take().map(|k| k.index);
+        executor.spawn(hosts.clone().run_chores(host_tasks, executor.clone()));
         executor.spawn({
             let hosts = hosts.clone();
             async move { hosts.run_upkeep().await }
@@ -96,18 +97,18 @@
             core.learn_headroom(file.headroom.shed);
         }
         executor.spawn(capture::run(core.clone(), file.capture.clone(), config.name.clone()));
-        let (discovery_addresses, moved) = async_channel::unbounded();
-        let (discovery, backoff) = (
-            config.discovery,
-            Backoff::new(config.settings.list_mode, config.settings.proxy_count, config.seed),
-        );
+        let (discovery_addresses, new_addresses) = async_channel::unbounded();
+        let discovery = config.discovery;
+        let backoff = Backoff::new(config.settings.list_mode, config.settings.proxy_count, config.seed);
         let watch = {
             let (core, hosts) = (core.clone(), hosts.clone());
-            async move { discovery::run(discovery, moved, known, backoff, &core, &hosts).await }
+            async move { discovery::run(discovery, new_addresses, known_index, backoff, &core, &hosts).await }
         };
         executor.spawn(watch);
-        let (name, address, linger) = (config.name.clone(), config.listen, config.linger);
-        let longest = Duration::from_micros(longest);
+        let name = config.name.clone();
+        let address = config.listen;
+        let linger = config.linger;
+        let longest_deadline = Duration::from_micros(longest_deadline);
         Ok(Proxy {
             core,
             clients,
@@ -119,14 +120,15 @@
             name,
             address,
             linger,
-            longest,
+            longest_deadline,
         })
     }
 
-    /// Serves until told to stop, and stops in order.
+    /// Serves until told to stop, then stops in order.
     pub async fn run(self, stopped: Receiver<()>) -> Result<(), String> {
-        let Proxy { core, clients, upgrade, peers, socket, name, address, linger, longest, .. } = self;
-        // Beside another version no client comes here before it can be served.
+        let Proxy { core, clients, upgrade, peers, socket, name, address, linger, longest_deadline, .. } =
+            self;
+        // Next to another version, clients are accepted only once they can be served.
         let ready = async {
             if upgrade.accompanied() {
                 let ready = future::zip(core.ready(), upgrade.until_introduced());
@@ -144,27 +146,28 @@
         let listener = socket.listen().map_err(|e| format!("listen: cannot listen on {address}: {e}"))?;
         info!(target: "sillfold", "{name} serves on {address}");
         future::or(clients.accept(&listener), async { _ = stopped.recv().await }).await;
-        let micros = |span: Duration| span.as_micros() as Micros;
-        let cut_off = invariants::cut_off_after(micros(linger), micros(longest.min(LONGEST_WAIT)));
-        let cut_off = world::now() + Duration::from_micros(cut_off);
+        let micros = |duration: Duration| duration.as_micros() as Micros;
+        let longest_wait = longest_deadline.min(MAX_STOP_WAIT);
+        let cut_off_after = invariants::cut_off_after(micros(linger), micros(longest_wait));
+        let cut_off = world::now() + Duration::from_micros(cut_off_after);
         if mutants::on("never stops") {
             future::pending::<()>().await;
         }
         clients.admission.stop();
-        // The other version, if there is one, talks from now on.
+        // The other version, if there is one, exchanges updates with other proxies from now on.
         peers.iter().for_each(|peers| peers.stop());
         info!(target: "sillfold", "{name} stops");
         if upgrade.relieved() {
-            // The other version takes whoever comes. Connections end behind their answers first: guards
-            // against a close that catches a request on its way.
-            clients.admission.relieve();
-            clients.accept_rest(&listener).await;
+            // The other version accepts new clients. This one closes connections behind their answers first. Guards
+            // against a close that crosses a request.
+            clients.admission.close_after_answers();
+            clients.accept_backlog(&listener).await;
             drop(listener);
             world::after(linger).await;
         } else {
-            // Clients go on coming for a while, and are served as ever.
+            // Clients go on connecting for a while, and are still served.
             future::or(clients.accept(&listener), world::after(linger)).await;
-            clients.accept_rest(&listener).await;
+            clients.accept_backlog(&listener).await;
             drop(listener);
         }
         if by(cut_off, clients.admission.close()).await.is_some() {
@@ -173,11 +176,11 @@
         if mutants::on("stops with requests open") {
             return Ok(());
         }
-        // Guards against a close on a request that was taken: whoever waits for longer hears so.
+        // Requests that are still open get a final answer. Guards against a close on a request that was accepted.
         info!(target: "sillfold", "{name} gives its last answers");
         clients.admission.cut_off();
-        if by(world::now() + LAST_WORDS, clients.admission.close()).await.is_none() {
-            info!(target: "sillfold", "{name} stops with clients that would not end");
+        if by(world::now() + LAST_ANSWERS_TIMEOUT, clients.admission.close()).await.is_none() {
+            info!(target: "sillfold", "{name} stops although some clients have not read their last answers");
         }
         Ok(())
     }
