--- a/src/net/request.rs
+++ b/src/net/request.rs
@@ -1,9 +1,9 @@
-//! A request's life, from its ticket to its answer: `RequestHandler::serve` reads from top to bottom. It owns nothing beyond that:
-//! the connection is its line's, the attempt its host's owner's, the turn of its answer its session's. It must never choose
-//! a host or judge an outcome: at each point of choice it asks the core.
+//! Serves one request, from its arrival to its final answer; `RequestHandler::serve` is the sequence. The client's
+//! connection belongs to `client_connection`, an attempt to `hosts`, and the order of answers to `client` and `pipeline`.
+//! The handler must never choose a host or judge an outcome: it follows the directives of the core.
 
 use super::admission::Admission;
-use super::client_connection::{Abandoned, ClientConnection, ReadResult};
+use super::client_connection::{AbandonReason, ClientConnection, ReadResult};
 use super::core::{AttemptEnd, Core, Directive, Request, RequestHandle};
 use super::events::RefusalReason;
 use super::hosts::{Asking, Attempted, CheckedStart, Hosts, LongAnswer, Opened, PlainAnswer};
@@ -22,37 +22,38 @@
 use std::task::Poll;
 use std::time::{Duration, Instant};
 
-/// A value that was broken off is filled in pieces of so many bytes.
-const FILLER_BYTES: usize = 32 * 1024;
-/// The longest wait that is believed of a client.
-const MOST_PATIENCE_MS: u64 = 60_000;
+/// The size of the pieces in which a truncated value is padded to its length.
+const PADDING_BYTES: usize = 32 * 1024;
+/// A client that announces a longer wait counts as waiting this long.
+const MAX_PATIENCE_MS: u64 = 60_000;
 
-/// The one final answer to a request.
+/// The final answer to a request.
 pub enum FinalAnswer {
+    /// The row of the request.
     Served(Row),
-    /// The answer to a plain statement, all of its results.
+    /// The answer to a plain statement, with all of its results.
     Plain(Vec<u8>),
-    /// The client has its row already, and the end of the command.
+    /// The row and the end of the command were streamed to the client already.
     Streamed,
-    Refused {
-        retry_in: Micros,
-    },
+    /// The request has not run; the client may retry it after the delay.
+    Refused { retry_in: Micros },
+    /// The request may or may not have run.
     Failed,
-    /// The statement itself was wrong, as a database host says.
+    /// A database host rejected the statement itself.
     Rejected(ErrorFields),
 }
 
-/// What a request ends with, until its turn comes.
+/// The answer to a request, until its turn on the connection comes.
 pub enum PendingAnswer {
     Complete(FinalAnswer),
-    /// A row whose value is passed on as its client takes it.
+    /// A row whose value is streamed as fast as the client reads it.
     StreamedRow(Box<LongAnswer>),
-    /// The same of all that a plain statement gives.
+    /// The results of a plain statement, streamed as fast as the client reads them.
     StreamedResult(Box<PlainAnswer>),
 }
 
 impl PendingAnswer {
-    /// The memory that it holds.
+    /// The bytes of memory that the answer holds.
     pub fn held_bytes(&self) -> usize {
         match self {
             PendingAnswer::Complete(FinalAnswer::Served(row)) => row.value.as_ref().map_or(0, Vec::len),
@@ -61,460 +62,483 @@
             PendingAnswer::Complete(
                 FinalAnswer::Streamed | FinalAnswer::Refused { .. } | FinalAnswer::Failed,
             ) => 0,
-            // What has come of them waits at their connections.
+            // The bytes received so far are in the buffers of the hosts' connections.
             PendingAnswer::StreamedRow(_) | PendingAnswer::StreamedResult(_) => 0,
         }
     }
 }
 
-/// What a session has seen of its client, told to all its open requests. The session works on them in one task, so
-/// that nobody has to be woken.
+/// The state of a client's connection, which its session shares with all the open requests of the connection. The session
+/// polls these requests in its own task, so that no waker is needed.
 pub struct ClientWatch {
     stream: Rc<Stream>,
-    abandoned: Cell<Option<Abandoned>>,
-    /// A request wants the connection looked at once more before it begins another attempt.
-    wants_look: Cell<bool>,
+    abandoned: Cell<Option<AbandonReason>>,
+    /// A request asks the session to check the connection before the request starts another attempt.
+    needs_check: Cell<bool>,
 }
 
 impl ClientWatch {
     pub fn new(stream: Rc<Stream>) -> ClientWatch {
-        ClientWatch { stream, abandoned: Cell::default(), wants_look: Cell::default() }
+        ClientWatch { stream, abandoned: Cell::default(), needs_check: Cell::default() }
     }
 
-    /// Whether the client has closed the connection, as the machine knows at this moment: its end may be there, and not
-    /// read yet.
-    pub fn has_left(&self) -> bool {
-        let known = self.abandoned.get() == Some(Abandoned::ClientGone);
+    /// Whether the client has closed the connection, as the operating system knows now: the end may not have been read
+    /// yet.
+    pub fn is_disconnected(&self) -> bool {
+        let known = self.abandoned.get() == Some(AbandonReason::ClientDisconnected);
         known || (self.stream.is_hung_up() && !mutants::on("departures are not seen"))
     }
 
-    /// From now on nothing more is begun.
-    pub fn abandon(&self, why: Abandoned) {
-        self.abandoned.set(Some(why));
+    /// Abandons all requests of the connection: no further attempt starts.
+    pub fn abandon(&self, reason: AbandonReason) {
+        self.abandoned.set(Some(reason));
     }
 
-    /// The connection has been looked at.
-    pub fn looked(&self) {
-        self.wants_look.set(false);
+    /// Records that the session has checked the connection.
+    pub fn checked(&self) {
+        self.needs_check.set(false);
     }
 
-    /// Whether it is to be looked at again at once.
-    pub fn wants_look(&self) -> bool {
-        self.wants_look.get()
+    /// Whether a request waits for the connection to be checked.
+    pub fn needs_check(&self) -> bool {
+        self.needs_check.get()
     }
 
-    /// Returns once the connection has been looked at again.
-    async fn look(&self) {
-        self.wants_look.set(true);
-        let waits = || self.wants_look.get() && self.abandoned.get().is_none();
+    /// Asks the session to check the connection, and returns once it has.
+    async fn until_checked(&self) {
+        self.needs_check.set(true);
+        let waits = || self.needs_check.get() && self.abandoned.get().is_none();
         poll_fn(|_| if waits() { Poll::Pending } else { Poll::Ready(()) }).await;
     }
 
-    /// Returns once nothing more is to be begun.
-    async fn abandoned(&self) -> Abandoned {
+    /// Returns once the requests are abandoned.
+    async fn until_abandoned(&self) -> AbandonReason {
         poll_fn(|_| self.abandoned.get().map_or(Poll::Pending, Poll::Ready)).await
     }
 }
 
-/// How a request hears of its client.
+/// How a request handler watches its client.
 pub enum ClientLink<'l, 'a> {
-    /// Its statement is whole, and its session reads on meanwhile.
-    Watched(&'l ClientWatch),
-    /// So many bytes of its statement are still to come, which it reads itself.
-    Reading { line: &'l mut ClientConnection<'a>, left: &'l mut usize },
+    /// The statement is complete. The session goes on reading from the connection.
+    Complete(&'l ClientWatch),
+    /// `remaining` bytes of the statement are still to come. The request handler reads them itself.
+    Uploading { connection: &'l mut ClientConnection<'a>, remaining: &'l mut usize },
 }
 
 impl ClientLink<'_, '_> {
-    /// How many bytes of the statement are still to come.
-    fn left(&self) -> usize {
+    /// The bytes of the statement that are still to come.
+    fn remaining(&self) -> usize {
         match self {
-            ClientLink::Watched(_) => 0,
-            ClientLink::Reading { left, .. } => **left,
+            ClientLink::Complete(_) => 0,
+            ClientLink::Uploading { remaining, .. } => **remaining,
         }
     }
 
-    /// Whether the client has closed the connection, as the machine knows at this moment.
-    fn has_left(&self) -> bool {
+    /// Whether the client has closed the connection, as the operating system knows now.
+    fn is_disconnected(&self) -> bool {
         match self {
-            ClientLink::Watched(watch) => watch.has_left(),
-            ClientLink::Reading { line, .. } => line.is_hung_up(),
+            ClientLink::Complete(watch) => watch.is_disconnected(),
+            ClientLink::Uploading { connection, .. } => connection.is_hung_up(),
         }
     }
 
-    /// Returns once nothing more is to be begun for the request.
-    async fn abandoned(&mut self) -> Abandoned {
+    /// Returns once the request is abandoned.
+    async fn until_abandoned(&mut self) -> AbandonReason {
         match self {
-            ClientLink::Watched(watch) => watch.abandoned().await,
-            // What is still to come of a long statement stays where it is until a host is chosen.
-            ClientLink::Reading { line, left } => line.abandoned(**left == 0).await,
+            ClientLink::Complete(watch) => watch.until_abandoned().await,
+            // The rest of a long statement stays unread until a host is chosen.
+            ClientLink::Uploading { connection, remaining } => {
+                connection.until_abandoned(**remaining == 0).await
+            }
         }
     }
 
-    /// The client comes first: guards against another attempt that begins for one that has left.
-    async fn look(&self) {
-        if let ClientLink::Watched(watch) = self {
-            watch.look().await;
+    /// Returns once the session has checked the connection. Guards against a further attempt for a client that has
+    /// disconnected.
+    async fn until_checked(&self) {
+        if let ClientLink::Complete(watch) = self {
+            watch.until_checked().await;
         }
     }
 }
 
-/// Why a long statement did not get to a host.
+/// Why a long statement was not written to a host.
 enum UploadError {
-    /// The outcome that the lack of a connection amounts to; nothing has run.
+    /// There is no connection to the host; nothing has run. The outcome says why.
     NoConnection(Outcome),
-    /// The client broke it off.
+    /// The client did not send the rest of the statement.
     BrokenOff,
 }
 
-/// When the client of a statement whose last byte came then gives it up, less the way back: the
-/// answer has to be there by then, not only on its way.
-pub fn give_up_at(statement: &Statement, came: Micros, way_back: Micros) -> Micros {
-    let patience = statement.patience_ms.min(MOST_PATIENCE_MS) * 1_000;
-    came + patience.saturating_sub(way_back).max(patience / 2)
+/// When the client of a statement, whose last byte was received at `received_at`, stops waiting. The time that the answer
+/// takes to the client is subtracted, since the answer has to arrive by then; at most half of the patience is.
+pub fn give_up_at(statement: &Statement, received_at: Micros, return_delay: Micros) -> Micros {
+    let patience = statement.patience_ms.min(MAX_PATIENCE_MS) * 1_000;
+    received_at + patience.saturating_sub(return_delay).max(patience / 2)
 }
 
-/// One request, while it is served.
+/// Serves one request.
 pub struct RequestHandler<'l, 'a> {
     pub client: ClientLink<'l, 'a>,
     pub core: &'l Rc<Core>,
     pub hosts: &'l Rc<Hosts>,
     pub admission: &'l Rc<Admission>,
-    pub way_back: Micros,
-    /// What the last answer told of its commit, and how long it took.
-    pub told: Option<(Option<Micros>, Duration)>,
+    /// How long an answer takes to the client.
+    pub return_delay: Micros,
+    /// The commit position that the last answer reported, and how long the attempt took; of plain statements only.
+    pub commit_and_duration: Option<(Option<Micros>, Duration)>,
 }
 
-/// One attempt, as the module orders it.
+/// One attempt, as the module directed it.
 struct Attempt {
     host: HostId,
     number: u8,
-    until: Micros,
-    /// When it began, for what the module hears of its host.
-    begun: Instant,
-    begun_at: Micros,
+    deadline: Micros,
+    /// When the attempt started, for the latency that the module is told.
+    started: Instant,
+    started_at: Micros,
 }
 
-/// What ended an attempt.
+/// What ended the wait for an attempt.
 enum AttemptEvent {
     Ended(Attempted),
-    Ordered(Directive),
+    /// The module sent another directive.
+    Directed(Directive),
+    /// The upload of a long statement ended.
     Uploaded(Result<Opened, UploadError>),
-    Abandoned(Abandoned),
+    Abandoned(AbandonReason),
 }
 
 impl AttemptEvent {
-    /// How the attempt ended.
+    /// The outcome of the attempt.
     fn outcome(&self) -> Outcome {
         match self {
             AttemptEvent::Ended(attempted) => attempted.outcome,
             AttemptEvent::Uploaded(Err(UploadError::NoConnection(outcome))) => *outcome,
-            AttemptEvent::Uploaded(_) | AttemptEvent::Ordered(_) | AttemptEvent::Abandoned(_) => {
+            AttemptEvent::Uploaded(_) | AttemptEvent::Directed(_) | AttemptEvent::Abandoned(_) => {
                 Outcome::Cancelled
             }
         }
     }
 }
 
-/// What follows on the end of an attempt.
+/// What follows the end of an attempt.
 enum NextStep {
-    /// The end of the request.
+    /// The request has ended with this answer.
     Done(Option<PendingAnswer>),
-    /// The module's next order, where it has come already.
-    Order(Option<Directive>),
+    /// Follow the module's next directive, which may have been received already.
+    Follow(Option<Directive>),
 }
 
 impl RequestHandler<'_, '_> {
-    /// The life of one request. Nothing if its client left before it was answered, or can no longer be answered in order.
+    /// Serves the request, and returns its answer. `None` if the client disconnected before the answer, or if the
+    /// connection can't carry an answer any more.
     pub async fn serve(
-        &mut self, call: &Request, statement: &Statement, plain: Option<&PlainRoute>,
+        &mut self, request: &Request, statement: &Statement, plain: Option<&PlainRoute>,
     ) -> Option<PendingAnswer> {
         let (core, hosts) = (self.core, self.hosts);
-        // At the door, before it could wait for anything.
+        // First, so that nothing waits after the stop's time is over.
         if self.admission.is_cut_off() {
             return self.refuse(&statement.id, RefusalReason::Stopping, core.retry_in);
         }
-        if !core.lets_in(call) {
+        if !core.admits(request) {
             return self.refuse(&statement.id, RefusalReason::Headroom, core.retry_in);
         }
         let writes = plain.is_some_and(|p| p.writes);
-        let ticket = core.open(call, self.client.left() > 0);
-        // Whether any attempt was written whole: only what was not is harmless to try again.
-        let sent_on = Cell::new(false);
-        let written = || {
-            sent_on.set(true);
-            core.count(call.class, |c| &mut c.backend_calls);
+        let handle = core.open(request, self.client.remaining() > 0);
+        // Whether any attempt was written completely: a client may retry only what wasn't.
+        let any_written = Cell::new(false);
+        let on_written = || {
+            any_written.set(true);
+            core.count(request.class, |c| &mut c.backend_calls);
         };
         let watch = match &self.client {
-            ClientLink::Watched(watch) => Some(*watch),
-            ClientLink::Reading { .. } => None,
+            ClientLink::Complete(watch) => Some(*watch),
+            ClientLink::Uploading { .. } => None,
         };
-        let asks = |now| Asking {
-            client_left: watch.is_some_and(ClientWatch::has_left),
-            request: ticket.starts(now),
+        let start_conditions = |now| Asking {
+            client_left: watch.is_some_and(ClientWatch::is_disconnected),
+            request: handle.start_conditions(now),
         };
-        let (mut order, mut before, mut may_have_run) = (None, None, false);
+        let mut received_directive = None;
+        let mut last_outcome = None;
+        let mut may_have_run = false;
         loop {
-            let next = match self.next_order(&ticket, order.take()).await {
-                Ok(order) => order,
-                Err(why) => {
-                    ticket.abandoned();
-                    return self.last_answer(why, &statement.id, sent_on.get());
+            let directive = match self.next_directive(&handle, received_directive.take()).await {
+                Ok(directive) => directive,
+                Err(reason) => {
+                    handle.abandon();
+                    return self.abandoned_answer(reason, &statement.id, any_written.get());
                 }
             };
-            let (host, number, until) = match next {
-                Directive::Attempt { host, number, until } => (host, number, until),
+            let (host, number, deadline) = match directive {
+                Directive::Attempt { host, number, deadline } => (host, number, deadline),
                 Directive::Refuse { retry_in } => {
-                    self.check_refusal(call, &statement.id, may_have_run);
+                    self.check_refusal(request, &statement.id, may_have_run);
                     return self.refuse(&statement.id, RefusalReason::Module, retry_in);
                 }
-                Directive::Fail => return whole(FinalAnswer::Failed),
-                // The attempt ended on its own just before.
+                Directive::Fail => return complete(FinalAnswer::Failed),
+                // The attempt ended by itself just before the directive.
                 Directive::Withdraw => continue,
             };
-            if let Some(outcome) = before.take() {
+            if let Some(outcome) = last_outcome.take() {
                 core.events.repeated(&statement.id, outcome);
             }
-            let heard = Cell::default();
-            let begun = world::now();
-            let begun_at = core.clock.micros(begun);
-            let mut attempt = Attempt { host, number, until, begun, begun_at };
-            let coming = self.client.left();
-            // Whichever comes first; the others are dropped here, and with an attempt its connection:
-            // it is closed before the module hears of it, so that no second copy can be out.
-            let mut happened = if coming > 0 {
-                self.upload(&attempt, &ticket, statement).await
+            // What an answer that isn't complete yet has reported about its host.
+            let partial_report = Cell::default();
+            let started = world::now();
+            let started_at = core.clock.micros(started);
+            let mut attempt = Attempt { host, number, deadline, started, started_at };
+            let remaining_before = self.client.remaining();
+            // The first event ends the wait and drops the other futures. A dropped attempt closes its connection before
+            // the module is told of the end, so that no two attempts can be in flight.
+            let mut event = if remaining_before > 0 {
+                self.upload(&attempt, &handle, statement).await
             } else {
-                let attempt = pin!(hosts.attempt(host, statement, writes, until, asks, written, &heard));
-                self.beside(attempt, &ticket).await
+                let attempt = pin!(hosts.attempt(
+                    host,
+                    statement,
+                    writes,
+                    deadline,
+                    start_conditions,
+                    on_written,
+                    &partial_report
+                ));
+                self.until_attempt_event(attempt, &handle).await
             };
-            // What was passed on in pieces is not here any more for another attempt.
-            let once = self.client.left() < coming;
-            if once {
-                // The client's pace says nothing of the host's.
-                attempt.begun = world::now();
+            // The uploaded part of a statement isn't kept, so no other attempt can send it.
+            let not_repeatable = self.client.remaining() < remaining_before;
+            if not_repeatable {
+                // The client's speed must not count as the host's latency.
+                attempt.started = world::now();
             }
-            if let AttemptEvent::Uploaded(Ok(opened)) = happened {
-                // Its last byte is here: its time begins.
-                let give_up_at = give_up_at(statement, core.clock.now(), self.way_back);
-                written();
-                ticket.whole(give_up_at);
-                let answer = pin!(hosts.answer(opened, give_up_at, &heard));
-                happened = self.beside(answer, &ticket).await;
+            if let AttemptEvent::Uploaded(Ok(opened)) = event {
+                // The last byte has been received, so the client's time begins.
+                let give_up_at = give_up_at(statement, core.clock.now(), self.return_delay);
+                on_written();
+                handle.complete(give_up_at);
+                let answer = pin!(hosts.answer(opened, give_up_at, &partial_report));
+                event = self.until_attempt_event(answer, &handle).await;
             }
-            let ended = happened.outcome();
-            may_have_run |= !ended.never_ran();
-            before = Some(ended);
-            let next = match happened {
+            let outcome = event.outcome();
+            may_have_run |= !outcome.never_ran();
+            last_outcome = Some(outcome);
+            let next_step = match event {
                 AttemptEvent::Ended(attempted) => {
-                    self.take_in(attempted, &attempt, &ticket, call, statement, once)
+                    self.handle_attempt_end(attempted, &attempt, &handle, request, statement, not_repeatable)
                 }
                 AttemptEvent::Uploaded(Err(UploadError::NoConnection(outcome))) => {
-                    if once {
-                        ticket.answered();
+                    if not_repeatable {
+                        handle.mark_answered();
                     }
-                    attempt.ended(&ticket, outcome, HostReport::default());
+                    attempt.ended(&handle, outcome, HostReport::default());
                     let refused = || self.refuse(&statement.id, RefusalReason::NoConnection, core.retry_in);
-                    if once { NextStep::Done(refused()) } else { NextStep::Order(None) }
+                    if not_repeatable { NextStep::Done(refused()) } else { NextStep::Follow(None) }
                 }
-                AttemptEvent::Ordered(other) => {
-                    if matches!(other, Directive::Attempt { .. }) {
+                AttemptEvent::Directed(directive) => {
+                    if matches!(directive, Directive::Attempt { .. }) {
                         let about = format_args!("id {:?}", statement.id);
                         core.events.violated(Violation::SecondAttempt, &about);
                     }
-                    attempt.ended(&ticket, Outcome::Cancelled, heard.get());
-                    NextStep::Order(Some(other))
+                    attempt.ended(&handle, Outcome::Cancelled, partial_report.get());
+                    NextStep::Follow(Some(directive))
                 }
                 AttemptEvent::Uploaded(_) => {
-                    ticket.abandoned();
-                    attempt.ended(&ticket, Outcome::Cancelled, HostReport::default());
+                    handle.abandon();
+                    attempt.ended(&handle, Outcome::Cancelled, HostReport::default());
                     NextStep::Done(None)
                 }
-                AttemptEvent::Abandoned(why) => {
-                    ticket.abandoned();
-                    attempt.ended(&ticket, Outcome::Cancelled, heard.get());
-                    NextStep::Done(self.last_answer(why, &statement.id, sent_on.get()))
+                AttemptEvent::Abandoned(reason) => {
+                    handle.abandon();
+                    attempt.ended(&handle, Outcome::Cancelled, partial_report.get());
+                    NextStep::Done(self.abandoned_answer(reason, &statement.id, any_written.get()))
                 }
             };
-            match next {
+            match next_step {
                 NextStep::Done(answer) => return answer,
-                NextStep::Order(next) => order = next,
+                NextStep::Follow(directive) => received_directive = directive,
             }
-            self.client.look().await;
+            self.client.until_checked().await;
         }
     }
 
-    /// The module's next order, or why none is followed any more.
-    async fn next_order(
-        &mut self, ticket: &RequestHandle<'_>, had: Option<Directive>,
-    ) -> Result<Directive, Abandoned> {
-        let abandoned = async { Err(self.client.abandoned().await) };
-        let ordered = async {
-            match had {
-                Some(order) => Ok(order),
-                None => Ok(ticket.order().await),
+    /// The next directive: the one `received` already, or the module's next. An error if the request is abandoned first.
+    async fn next_directive(
+        &mut self, handle: &RequestHandle<'_>, received: Option<Directive>,
+    ) -> Result<Directive, AbandonReason> {
+        let abandoned = async { Err(self.client.until_abandoned().await) };
+        let directed = async {
+            match received {
+                Some(directive) => Ok(directive),
+                None => Ok(handle.next_directive().await),
             }
         };
-        future::or(abandoned, ordered).await
+        future::or(abandoned, directed).await
     }
 
-    /// The answer to a request that is abandoned: none to a client that has left.
-    fn last_answer(&self, why: Abandoned, id: &str, sent_on: bool) -> Option<PendingAnswer> {
-        match why {
-            Abandoned::ClientGone => None,
-            Abandoned::CutOff if sent_on => whole(FinalAnswer::Failed),
-            Abandoned::CutOff => self.refuse(id, RefusalReason::Stopping, self.core.retry_in),
+    /// The answer to an abandoned request; `None` if its client has disconnected.
+    fn abandoned_answer(&self, reason: AbandonReason, id: &str, any_written: bool) -> Option<PendingAnswer> {
+        match reason {
+            AbandonReason::ClientDisconnected => None,
+            AbandonReason::CutOff if any_written => complete(FinalAnswer::Failed),
+            AbandonReason::CutOff => self.refuse(id, RefusalReason::Stopping, self.core.retry_in),
         }
     }
 
-    /// A refusal: no further try does harm.
+    /// Refuses the request, which tells the client that a retry is harmless.
     fn refuse(&self, id: &str, reason: RefusalReason, retry_in: Micros) -> Option<PendingAnswer> {
         self.core.events.refused(id, reason);
-        whole(FinalAnswer::Refused { retry_in })
+        complete(FinalAnswer::Refused { retry_in })
     }
 
-    /// Tells where a request is refused that must not run again, and may have run.
-    fn check_refusal(&self, call: &Request, id: &str, may_have_run: bool) {
-        let Some(idempotency) = self.core.idempotency(call.class) else { return };
-        if !invariants::may_refuse(idempotency, may_have_run, call.plain) {
+    /// Reports a broken invariant if the request is about to be refused, may have run, and must not run twice.
+    fn check_refusal(&self, request: &Request, id: &str, may_have_run: bool) {
+        let Some(idempotency) = self.core.idempotency(request.class) else { return };
+        if !invariants::may_refuse(idempotency, may_have_run, request.plain) {
             self.core.events.violated(Violation::RefusedAfterRun, &format_args!("id {id:?}"));
         }
     }
 
-    /// Takes in what came of an attempt, which cannot be made again where it is made `once`.
-    fn take_in(
-        &mut self, attempted: Attempted, attempt: &Attempt, ticket: &RequestHandle<'_>, call: &Request,
-        statement: &Statement, once: bool,
+    /// Reports the end of an attempt to the module, and returns the request's next step.
+    fn handle_attempt_end(
+        &mut self, attempted: Attempted, attempt: &Attempt, handle: &RequestHandle<'_>, request: &Request,
+        statement: &Statement, not_repeatable: bool,
     ) -> NextStep {
         let Attempted { mut outcome, note, mut row, rejected, long, plain, stream } = attempted;
-        if let Some(e) = rejected {
-            ticket.answered();
-            attempt.ended(ticket, outcome, note);
-            return NextStep::Done(whole(FinalAnswer::Rejected(e)));
+        if let Some(error) = rejected {
+            handle.mark_answered();
+            attempt.ended(handle, outcome, note);
+            return NextStep::Done(complete(FinalAnswer::Rejected(error)));
         }
         if let Some(mut long) = long {
-            long.write = self.core.streamed_write(call);
-            // The host has done its work: a slow reader must not look like a slow host.
-            attempt.ended(ticket, outcome, note);
+            long.write = self.core.begin_streamed_write(request);
+            // The attempt ends here for the module: a client that reads slowly must not count as a slow host.
+            attempt.ended(handle, outcome, note);
             return NextStep::Done(Some(PendingAnswer::StreamedRow(long)));
         }
         if let Some(stream) = stream {
-            // As with a long row: the host has begun, and the rest is as fast as its reader.
-            self.told = Some((note.position, world::since(attempt.begun)));
-            attempt.ended(ticket, outcome, note);
+            // As for a long row: the rest is as fast as the client reads it.
+            self.commit_and_duration = Some((note.position, world::since(attempt.started)));
+            attempt.ended(handle, outcome, note);
             return NextStep::Done(Some(PendingAnswer::StreamedResult(stream)));
         }
         if let Some(bytes) = plain {
-            self.told = Some((note.position, world::since(attempt.begun)));
-            attempt.ended(ticket, outcome, note);
-            return NextStep::Done(whole(FinalAnswer::Plain(bytes)));
+            self.commit_and_duration = Some((note.position, world::since(attempt.started)));
+            attempt.ended(handle, outcome, note);
+            return NextStep::Done(complete(FinalAnswer::Plain(bytes)));
         }
-        let stale = || ticket.stale_outcome(attempt.host, &note, attempt.begun_at);
-        if let Some(stale) = row.as_ref().filter(|_| !once).and_then(|_| stale()) {
-            (outcome, row) = (stale, None);
+        let stale_outcome = || handle.stale_outcome(attempt.host, &note, attempt.started_at);
+        if let Some(stale) = row.as_ref().filter(|_| !not_repeatable).and_then(|_| stale_outcome()) {
+            outcome = stale;
+            row = None;
         }
-        if once {
-            ticket.answered();
+        if not_repeatable {
+            handle.mark_answered();
         }
-        attempt.ended(ticket, outcome, note);
+        attempt.ended(handle, outcome, note);
         match row {
-            Some(row) => NextStep::Done(whole(FinalAnswer::Served(row))),
-            None if once && outcome.never_ran() => {
+            Some(row) => NextStep::Done(complete(FinalAnswer::Served(row))),
+            None if not_repeatable && outcome.never_ran() => {
                 let retry_in = self.core.retry_in;
                 NextStep::Done(self.refuse(&statement.id, RefusalReason::NoConnection, retry_in))
             }
-            None if once => NextStep::Done(whole(FinalAnswer::Failed)),
-            None => NextStep::Order(None),
+            None if not_repeatable => NextStep::Done(complete(FinalAnswer::Failed)),
+            None => NextStep::Follow(None),
         }
     }
 
-    /// The work, unless the module orders something else before, the client leaves, or the stop's time is over. An answer
-    /// that is here comes first, for what it tells of its server; whether another attempt begins is looked at behind it.
-    async fn beside(
-        &mut self, work: Pin<&mut impl Future<Output = Attempted>>, ticket: &RequestHandle<'_>,
+    /// Waits for the end of an attempt, the module's next directive or the request's abandonment. An answer that has been
+    /// received takes precedence, for what it reports about its host; the connection is checked after it, before another
+    /// attempt starts.
+    async fn until_attempt_event(
+        &mut self, attempt: Pin<&mut impl Future<Output = Attempted>>, handle: &RequestHandle<'_>,
     ) -> AttemptEvent {
-        let work = async { AttemptEvent::Ended(work.await) };
-        let ordered = async { AttemptEvent::Ordered(ticket.order().await) };
-        let abandoned = async { AttemptEvent::Abandoned(self.client.abandoned().await) };
-        future::or(work, future::or(ordered, abandoned)).await
+        let ended = async { AttemptEvent::Ended(attempt.await) };
+        let directed = async { AttemptEvent::Directed(handle.next_directive().await) };
+        let abandoned = async { AttemptEvent::Abandoned(self.client.until_abandoned().await) };
+        future::or(ended, future::or(directed, abandoned)).await
     }
 
-    /// Passes on a long statement, unless the module orders something else before, or the stop's time is over.
+    /// Streams a long statement to the attempt's host. The module's next directive or the end of the stop's time ends the
+    /// upload.
     async fn upload(
-        &mut self, attempt: &Attempt, ticket: &RequestHandle<'_>, statement: &Statement,
+        &mut self, attempt: &Attempt, handle: &RequestHandle<'_>, statement: &Statement,
     ) -> AttemptEvent {
         let (hosts, admission) = (self.hosts, self.admission);
         let upload = async {
             let client = &self.client;
-            let asks = |now| Asking { client_left: client.has_left(), request: ticket.starts(now) };
-            let opened = hosts.open(attempt.host, &statement.id, attempt.until, asks).await;
+            let start_conditions =
+                |now| Asking { client_left: client.is_disconnected(), request: handle.start_conditions(now) };
+            let opened = hosts.open(attempt.host, &statement.id, attempt.deadline, start_conditions).await;
             let (opened, start) = opened.map_err(UploadError::NoConnection)?;
             match &mut self.client {
-                ClientLink::Reading { line, left } => {
-                    let mut upload = LongUpload { hosts, opened, statement, left };
-                    upload.begin(start).await?;
-                    upload.pass_on(line).await?;
+                ClientLink::Uploading { connection, remaining } => {
+                    let mut upload = LongUpload { hosts, opened, statement, remaining };
+                    upload.write_head(start).await?;
+                    upload.write_rest(connection).await?;
                     Ok(upload.opened)
                 }
-                // It is whole already.
-                ClientLink::Watched(_) => Ok(opened),
+                // A complete statement needs no upload.
+                ClientLink::Complete(_) => Ok(opened),
             }
         };
         let upload = async { AttemptEvent::Uploaded(upload.await) };
-        let ordered = async { AttemptEvent::Ordered(ticket.order().await) };
+        let directed = async { AttemptEvent::Directed(handle.next_directive().await) };
         let cut_off = async {
             admission.until_cut_off().await;
-            AttemptEvent::Abandoned(Abandoned::CutOff)
+            AttemptEvent::Abandoned(AbandonReason::CutOff)
         };
-        future::or(upload, future::or(ordered, cut_off)).await
+        future::or(upload, future::or(directed, cut_off)).await
     }
 }
 
-fn whole(verdict: FinalAnswer) -> Option<PendingAnswer> {
-    Some(PendingAnswer::Complete(verdict))
+fn complete(answer: FinalAnswer) -> Option<PendingAnswer> {
+    Some(PendingAnswer::Complete(answer))
 }
 
 impl Attempt {
-    /// It has ended: the module hears how.
-    fn ended(&self, ticket: &RequestHandle<'_>, outcome: Outcome, note: HostReport) {
-        let latency = world::since(self.begun);
-        ticket.ended(AttemptEnd { host: self.host, number: self.number, outcome, latency, note });
+    /// Reports the end of the attempt to the module.
+    fn ended(&self, handle: &RequestHandle<'_>, outcome: Outcome, note: HostReport) {
+        let latency = world::since(self.started);
+        handle.attempt_ended(AttemptEnd { host: self.host, number: self.number, outcome, latency, note });
     }
 }
 
-/// A long statement that is passed on as its client writes it.
+/// A long statement that is written to its host as fast as its client sends it.
 struct LongUpload<'u> {
     hosts: &'u Hosts,
     opened: Opened,
     statement: &'u Statement,
-    left: &'u mut usize,
+    /// Bytes of the statement that are still to come.
+    remaining: &'u mut usize,
 }
 
 impl LongUpload<'_> {
-    /// Passes on its beginning.
-    async fn begin(&mut self, start: CheckedStart) -> Result<(), UploadError> {
+    /// Writes the beginning of the statement.
+    async fn write_head(&mut self, start: CheckedStart) -> Result<(), UploadError> {
         let mut piece = Vec::new();
-        pg::put_long_query(&mut piece, self.statement.text(), *self.left);
+        pg::put_long_query(&mut piece, self.statement.text(), *self.remaining);
         self.write(&piece).await?;
-        // Its client's own time is passed on, and runs from its last byte.
+        // The host receives the client's own patience, which begins with the last byte: no limit applies to it yet.
         self.hosts.check(&self.opened, &start, &self.statement.id, 0, Micros::MAX);
         Ok(())
     }
 
-    /// Passes on the rest, up to its last byte.
-    async fn pass_on(&mut self, line: &mut ClientConnection<'_>) -> Result<(), UploadError> {
+    /// Reads the rest of the statement from the client and writes it to the host, up to its last byte.
+    async fn write_rest(&mut self, connection: &mut ClientConnection<'_>) -> Result<(), UploadError> {
         let mut piece = Vec::new();
-        while *self.left > 0 {
-            match line.more().await {
+        while *self.remaining > 0 {
+            match connection.read_more().await {
                 Ok(ReadResult::Bytes) => {}
-                Ok(why) => {
-                    // It hears so; the connection ends in either case.
-                    let _ = line.over(why).await;
+                Ok(other) => {
+                    // The connection ends, whether or not the error can be written to the client.
+                    let _ = connection.end_session(other).await;
                     return Err(UploadError::BrokenOff);
                 }
                 Err(_) => return Err(UploadError::BrokenOff),
             }
             piece.clear();
-            *self.left -= line.inbox.move_to(&mut piece, *self.left);
+            *self.remaining -= connection.inbox.move_to(&mut piece, *self.remaining);
             self.write(&piece).await?;
         }
         Ok(())
@@ -526,71 +550,70 @@
     }
 }
 
-/// What came of a value that is passed on in pieces.
+/// How the streaming of a value to the client ended.
 pub enum StreamResult {
-    Whole,
-    /// Its host broke it off before the client had any of it.
-    Nothing,
-    /// Its host broke it off, so many bytes before its end.
-    BrokenOff {
-        missing: usize,
-    },
-    /// Its client takes nothing any more.
-    NotTaken,
+    /// The client has the value and the end of the command.
+    Complete,
+    /// The host broke off the value before any of it was written to the client.
+    NothingSent,
+    /// The host broke off the value, `missing` bytes before its end.
+    BrokenOff { missing: usize },
+    /// Writing to the client failed.
+    ClientFailed,
 }
 
-/// Passes on a value as fast as its client takes it.
-pub async fn pass_on_value(
-    line: &mut ClientConnection<'_>, hosts: &Hosts, mut long: Box<LongAnswer>,
+/// Streams a value to the client as fast as the client reads it.
+pub async fn stream_value(
+    connection: &mut ClientConnection<'_>, hosts: &Hosts, mut long: Box<LongAnswer>,
 ) -> StreamResult {
-    let before = line.out.len();
-    pg::put_long_row(&mut line.out, &long.column, long.value);
-    let mut begun = false;
+    let length_before = connection.out.len();
+    pg::put_long_row(&mut connection.out, &long.column, long.value);
+    let mut any_sent = false;
     loop {
-        match long.piece(&mut line.out).await {
+        match long.piece(&mut connection.out).await {
             Ok(0) => break,
             Ok(_) => {}
-            Err(_) if begun => return StreamResult::BrokenOff { missing: long.missing() },
+            Err(_) if any_sent => return StreamResult::BrokenOff { missing: long.missing() },
             Err(_) => {
-                line.out.truncate(before);
-                return StreamResult::Nothing;
+                connection.out.truncate(length_before);
+                return StreamResult::NothingSent;
             }
         }
-        begun = true;
-        if line.flush().await.is_err() {
-            return StreamResult::NotTaken;
+        any_sent = true;
+        if connection.flush().await.is_err() {
+            return StreamResult::ClientFailed;
         }
     }
     match hosts.finish(long).await {
         Some(tag) => {
-            pg::put_complete(&mut line.out, &tag);
-            StreamResult::Whole
+            pg::put_complete(&mut connection.out, &tag);
+            StreamResult::Complete
         }
         None => StreamResult::BrokenOff { missing: 0 },
     }
 }
 
-/// Fills a value that was broken off up to its length, so that the message ends and others can follow it. An error in place
-/// of the command's end tells the client that the value is none.
-pub async fn fill_value(line: &mut ClientConnection<'_>, mut missing: usize) -> io::Result<()> {
+/// Pads a value that its host broke off to its announced length, so that other messages can follow it. The caller sends an
+/// error in place of the command's end, which tells the client that the value is not valid.
+pub async fn pad_value(connection: &mut ClientConnection<'_>, mut missing: usize) -> io::Result<()> {
     while missing > 0 {
-        let piece = missing.min(FILLER_BYTES);
-        line.out.resize(line.out.len() + piece, b' ');
-        line.flush().await?;
+        let piece = missing.min(PADDING_BYTES);
+        connection.out.resize(connection.out.len() + piece, b' ');
+        connection.flush().await?;
         missing -= piece;
     }
     Ok(())
 }
 
-/// Passes on the answer to a plain statement as fast as its client takes it: what it tells of its commit. Nothing if the
-/// host breaks it off.
-pub async fn pass_on_plain(
-    line: &mut ClientConnection<'_>, hosts: &Hosts, mut answer: Box<PlainAnswer>,
+/// Streams the answer to a plain statement as fast as the client reads it. Returns the commit position that the answer
+/// reports, if any; the outer `None` means that the host broke off the answer, or that writing to the client failed.
+pub async fn stream_plain_answer(
+    connection: &mut ClientConnection<'_>, hosts: &Hosts, mut answer: Box<PlainAnswer>,
 ) -> Option<Option<Micros>> {
-    line.out.append(&mut answer.beginning);
-    line.flush().await.ok()?;
-    while answer.piece(&mut line.out).await.ok()? {
-        line.flush().await.ok()?;
+    connection.out.append(&mut answer.beginning);
+    connection.flush().await.ok()?;
+    while answer.piece(&mut connection.out).await.ok()? {
+        connection.flush().await.ok()?;
     }
     let position = answer.note.position;
     hosts.give_back_plain(*answer);
--- a/src/net/statements.rs
+++ b/src/net/statements.rs
@@ -1,6 +1,6 @@
-//! The desk for plain statements, among clients: it owns the `Desk` of the route crate, and turns what that says
-//! into classes by number and errors that a client is told. It must never decide a route itself, nor hold a
-//! borrow across an await.
+//! Routes plain statements, those without a leading comment. It owns the router of the `sillfold-route` crate, and
+//! translates its results into class numbers and client errors. It must never decide a route itself, nor hold a borrow
+//! across an await.
 
 use crate::Micros;
 use crate::operator::Statements as Conf;
@@ -13,26 +13,26 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The terms of a plain statement.
+/// How a plain statement is served: what a leading comment would tell of it.
 pub struct PlainRoute {
     pub class: u8,
     pub group: u32,
     pub deadline_ms: u64,
-    /// What an attempt is expected to take.
-    pub expected: Micros,
+    /// How long an attempt is expected to take.
+    pub expected_duration: Micros,
     /// Whether only the primary may run it.
     pub writes: bool,
     shape: Rc<Shape>,
 }
 
 impl PlainRoute {
-    /// A number for the statement's shape, to tell by eye.
+    /// A number that identifies the statement's shape in records.
     pub fn shape_number(&self) -> u64 {
         self.shape.number()
     }
 }
 
-/// A statement that is turned away: what its client is told, and what it says of transactions.
+/// A statement that is refused: the client's error, and the statement's transaction control, if it has any.
 #[derive(Default)]
 pub struct StatementRefusal {
     pub fields: ErrorFields,
@@ -45,7 +45,7 @@
     }
 }
 
-/// What operators are told.
+/// The figures that the operators' console shows.
 #[derive(Serialize)]
 pub struct Figures {
     shapes: usize,
@@ -55,56 +55,56 @@
     refused: u64,
 }
 
-/// How plain statements get their terms.
+/// Routes plain statements by the operator's rules.
 pub struct Statements {
-    desk: RefCell<Desk>,
-    /// The class of each rule, by number.
+    router: RefCell<Desk>,
+    /// The class number of each rule.
     classes: RefCell<Vec<u8>>,
     refused: Cell<u64>,
 }
 
 impl Statements {
-    /// What the operator's file sets, if it switches them on.
+    /// Creates the router of the operator's file; `None` if the file doesn't enable plain statements.
     pub fn from_config(conf: &Conf, dialect: &Dialect) -> Option<Rc<Statements>> {
         let statements = || Statements {
-            desk: RefCell::new(Desk::new(conf.options())),
-            classes: RefCell::new(numbers(conf, dialect)),
+            router: RefCell::new(Desk::new(conf.options())),
+            classes: RefCell::new(class_numbers(conf, dialect)),
             refused: Cell::default(),
         };
         conf.enabled.then(|| Rc::new(statements()))
     }
 
-    /// Other rules, from now on.
+    /// Replaces the rules.
     pub fn replace(&self, conf: &Conf, dialect: &Dialect) {
-        self.desk.borrow_mut().replace(conf.options());
-        *self.classes.borrow_mut() = numbers(conf, dialect);
+        self.router.borrow_mut().replace(conf.options());
+        *self.classes.borrow_mut() = class_numbers(conf, dialect);
     }
 
-    /// The terms of a statement; nothing if there is none in the text.
-    pub fn terms(
+    /// Routes a statement; `Ok(None)` if the text holds none.
+    pub fn route(
         &self, text: &str, user: &str, database: &str,
     ) -> Result<Option<PlainRoute>, StatementRefusal> {
         let refuse = |code: &str, message: String| {
             self.refused.set(self.refused.get() + 1);
             Err(StatementRefusal::from(ErrorFields { code: code.into(), message, ..Default::default() }))
         };
-        let mut desk = self.desk.borrow_mut();
-        let read = match desk.read(text) {
-            Ok(read) => read,
+        let mut router = self.router.borrow_mut();
+        let parsed = match router.read(text) {
+            Ok(parsed) => parsed,
             Err(Unreadable::Empty) => return Ok(None),
             Err(e @ (Unreadable::Nul | Unreadable::Encoding)) => {
                 return refuse(code::UNTRANSLATABLE, e.why().into());
             }
             Err(e @ Unreadable::Unended) => return refuse(code::SYNTAX_ERROR, e.why().into()),
         };
-        let route = match desk.route(&read, text, user, database) {
+        let route = match router.route(&parsed, text, user, database) {
             Ok(route) => route,
-            Err(Refusal::NotCarried(what) | Refusal::NoRoute(what)) => {
-                let turned = refuse(code::FEATURE_NOT_SUPPORTED, what);
-                return turned.map_err(|t| StatementRefusal { control: read.control(), ..t });
+            Err(Refusal::NotCarried(message) | Refusal::NoRoute(message)) => {
+                let refusal = refuse(code::FEATURE_NOT_SUPPORTED, message);
+                return refusal.map_err(|refusal| StatementRefusal { control: parsed.control(), ..refusal });
             }
         };
-        // Every rule has a class here: the file was checked against them.
+        // The check of the operator's file makes sure that each rule has a known class.
         let Some(&class) = self.classes.borrow().get(route.rule) else {
             return refuse(code::UNDEFINED_OBJECT, "the rule's class is not known here".into());
         };
@@ -112,26 +112,27 @@
             class,
             group: route.group,
             deadline_ms: route.deadline_ms,
-            expected: route.expected_us,
+            expected_duration: route.expected_us,
             writes: route.writes,
-            shape: read.shape,
+            shape: parsed.shape,
         }))
     }
 
-    /// What a text says of transactions.
+    /// The transaction control in a text, if there is any.
     pub fn control(&self, text: &str) -> Option<Control> {
-        self.desk.borrow_mut().control(text)
+        self.router.borrow_mut().control(text)
     }
 
-    /// A statement was served in this time.
-    pub fn learn(&self, terms: &PlainRoute, took: Duration) {
-        self.desk.borrow_mut().learn(&terms.shape, took.as_micros() as u64);
+    /// Learns from a served statement how long its shape takes.
+    pub fn learn(&self, route: &PlainRoute, duration: Duration) {
+        self.router.borrow_mut().learn(&route.shape, duration.as_micros() as u64);
     }
 
-    /// The figures of this moment.
+    /// The current figures.
     pub fn figures(&self) -> Figures {
-        let desk = self.desk.borrow();
-        let (shapes, asked) = (desk.shapes(), desk.shapes().asked());
+        let router = self.router.borrow();
+        let shapes = router.shapes();
+        let asked = router.shapes().asked();
         Figures {
             shapes: shapes.len(),
             shape_bytes: shapes.bytes(),
@@ -142,8 +143,8 @@
     }
 }
 
-/// The classes of the rules; one that is not known has a number that no class has.
-fn numbers(conf: &Conf, dialect: &Dialect) -> Vec<u8> {
+/// The class numbers of the rules. A rule of an unknown class gets a number that no class has.
+fn class_numbers(conf: &Conf, dialect: &Dialect) -> Vec<u8> {
     let number = |name: &String| dialect.classes.iter().position(|c| c == name);
     conf.rules
         .iter()
