--- a/src/net/client.rs
+++ b/src/net/client.rs
@@ -23,7 +23,7 @@
 use crate::mutants;
 use crate::pg::{self, ErrorFields, Frontend, Malformed, Startup, Statement, code};
 use futures_lite::future;
-use sillfold_route::{Block, Met, OwnWrites};
+use sillfold_route::{OwnWrites, TransactionState, TransactionStep};
 use std::cell::RefCell;
 use std::future::{Future, poll_fn};
 use std::io;
@@ -50,7 +50,7 @@
     hosts: Rc<Hosts>,
     pub admission: Rc<Admission>,
     /// How long an answer takes to a client.
-    return_delay: Micros,
+    response_margin: Micros,
     /// How plain statements are routed, if they are served.
     statements: RefCell<Option<Rc<Statements>>>,
     /// A connection that was accepted and waits for a slot. Kept here so that it survives when the future that accepts is
@@ -61,13 +61,13 @@
 
 impl Clients {
     pub fn new(
-        core: Rc<Core>, hosts: Rc<Hosts>, admission: Admission, return_delay: Micros, executor: Spawner,
+        core: Rc<Core>, hosts: Rc<Hosts>, admission: Admission, response_margin: Micros, executor: Spawner,
     ) -> Clients {
         Clients {
             core,
             hosts,
             admission: Rc::new(admission),
-            return_delay,
+            response_margin,
             statements: RefCell::default(),
             waiting_stream: RefCell::default(),
             executor,
@@ -233,7 +233,7 @@
     /// The writes of this session's plain statements, which its reads have to see.
     own_writes: OwnWrites,
     /// Whether the session is in a transaction block that was refused.
-    block: Block,
+    block: TransactionState,
     commit_and_duration: CommitAndDuration,
 }
 
@@ -243,13 +243,13 @@
 impl Clients {
     /// A handler for one request.
     fn request_handler<'l, 'a>(&'l self, client: ClientLink<'l, 'a>) -> RequestHandler<'l, 'a> {
-        let Clients { core, hosts, admission, return_delay, .. } = self;
+        let Clients { core, hosts, admission, response_margin, .. } = self;
         RequestHandler {
             client,
             core,
             hosts,
             admission,
-            return_delay: *return_delay,
+            response_margin: *response_margin,
             commit_and_duration: None,
         }
     }
@@ -266,7 +266,7 @@
             unanswered: false,
             user_and_database: None,
             own_writes: OwnWrites::default(),
-            block: Block::default(),
+            block: TransactionState::default(),
             commit_and_duration: None,
         }
     }
@@ -308,7 +308,7 @@
             if self.connection.overrun {
                 return self.connection.end_session(ReadResult::TooMuch).await;
             }
-            if !self.connection.inbox.is_empty() {
+            if !self.connection.read_buffer.is_empty() {
                 // Lets other tasks run between two of the commands of a client that sends hundreds at once.
                 future::yield_now().await;
             }
@@ -322,7 +322,7 @@
             return Ok(Some(deferred));
         }
         loop {
-            match pg::decode_frontend(&mut self.connection.inbox) {
+            match pg::decode_frontend(&mut self.connection.read_buffer) {
                 Ok(Some(message)) => return Ok(Some(NextItem::Message(message, self.received_at()))),
                 Ok(None) => match self.connection.flush_and_read().await? {
                     ReadResult::Bytes => {}
@@ -347,13 +347,13 @@
                 self.put_ready();
             }
             Frontend::Flush => {}
-            Frontend::Extended if *skipping => {}
-            Frontend::Extended => {
+            Frontend::ExtendedQuery if *skipping => {}
+            Frontend::ExtendedQuery => {
                 // As in PostgreSQL, messages are skipped up to the next Sync.
                 *skipping = true;
                 self.connection.put_error(code::FEATURE_NOT_SUPPORTED, "only simple queries are served here");
             }
-            Frontend::Unreadable(e) => {
+            Frontend::Invalid(e) => {
                 self.connection.put_error(code::UNTRANSLATABLE, &e.0);
                 self.put_ready();
             }
@@ -409,7 +409,7 @@
                 return Ok(true);
             }
             Err(StatementRefusal { fields, control }) => {
-                self.block.meets(control);
+                self.block.advance(control);
                 pg::put_error(&mut self.connection.out, &fields);
                 self.put_ready();
                 return Ok(true);
@@ -545,8 +545,8 @@
     /// Decodes the requests that were received behind the open one and adds them to the pipeline, up to its limits. Any
     /// other item is deferred, and reading stops there.
     fn read_pipelined(&mut self) {
-        while self.deferred.is_none() && !self.connection.inbox.is_empty() && self.may_pipeline_more() {
-            let message = match pg::decode_frontend(&mut self.connection.inbox) {
+        while self.deferred.is_none() && !self.connection.read_buffer.is_empty() && self.may_pipeline_more() {
+            let message = match pg::decode_frontend(&mut self.connection.read_buffer) {
                 Ok(Some(message)) => message,
                 Ok(None) => return,
                 Err(e) => {
@@ -582,7 +582,8 @@
     /// Whether a statement doesn't depend on earlier ones of its session. Plain statements do: they have to see the
     /// session's writes, and a transaction that was refused applies to those behind it.
     fn is_independent(&self, text: &str) -> bool {
-        self.block != Block::Refused && (self.clients.statements().is_none() || Statement::is_commented(text))
+        self.block != TransactionState::Refused
+            && (self.clients.statements().is_none() || Statement::has_request_comment(text))
     }
 
     /// Adds a request to the pipeline.
@@ -642,7 +643,7 @@
         self.connection.flush().await?;
         while remaining > 0 {
             match self.connection.read_more().await? {
-                ReadResult::Bytes => remaining -= self.connection.inbox.skip(remaining),
+                ReadResult::Bytes => remaining -= self.connection.read_buffer.discard(remaining),
                 other => return self.connection.end_session(other).await.map(|()| false),
             }
         }
@@ -671,8 +672,10 @@
         }
         let core = &self.clients.core;
         match &answer {
-            FinalAnswer::Refused { .. } => core.record_load(|r| r.unserved(scope.class, scope.group, true)),
-            FinalAnswer::Failed => core.record_load(|r| r.unserved(scope.class, scope.group, false)),
+            FinalAnswer::Refused { .. } => {
+                core.record_load(|r| r.request_unserved(scope.class, scope.group, true))
+            }
+            FinalAnswer::Failed => core.record_load(|r| r.request_unserved(scope.class, scope.group, false)),
             _ => {}
         }
         self.put_final_answer(scope.class, answer);
@@ -719,14 +722,14 @@
 
     /// Answers a statement inside a transaction block that was refused; false if the session isn't in one.
     fn answer_in_refused_block(&mut self, text: &str) -> bool {
-        let met = match self.clients.statements().filter(|_| self.block == Block::Refused) {
-            Some(statements) => self.block.meets(statements.control(text)),
-            None => Met::Passes,
+        let met = match self.clients.statements().filter(|_| self.block == TransactionState::Refused) {
+            Some(statements) => self.block.advance(statements.control(text)),
+            None => TransactionStep::Process,
         };
         match met {
-            Met::Passes => return false,
-            Met::Ended => pg::put_complete(&mut self.connection.out, "ROLLBACK"),
-            Met::Inside => {
+            TransactionStep::Process => return false,
+            TransactionStep::End => pg::put_command_complete(&mut self.connection.out, "ROLLBACK"),
+            TransactionStep::Refuse => {
                 let message = "the transaction was refused, and so is all in it, up to COMMIT or ROLLBACK";
                 self.connection.put_error(code::FAILED_TRANSACTION, message);
             }
@@ -737,7 +740,7 @@
 
     /// Tells the client that the session is ready for the next query.
     fn put_ready(&mut self) {
-        pg::put_ready(&mut self.connection.out, self.block == Block::Refused);
+        pg::put_ready(&mut self.connection.out, self.block == TransactionState::Refused);
     }
 
     /// Records the end of a plain statement: the duration for its shape, and the session's write.
@@ -745,16 +748,18 @@
         if let (Some(statements), Some((_, duration))) = (self.clients.statements(), self.commit_and_duration)
         {
             statements.learn(route, duration);
-            self.clients.core.record_load(|r| r.shape(route.shape_number(), duration.as_micros() as u64));
+            self.clients
+                .core
+                .record_load(|r| r.shape_served(route.shape_number(), duration.as_micros() as u64));
         }
         let now = self.clients.core.clock.now();
         match answer {
             _ if !route.writes => {}
             FinalAnswer::Served(_) | FinalAnswer::Plain(_) | FinalAnswer::Streamed => {
                 let commit_position = self.commit_and_duration.and_then(|t| t.0);
-                self.own_writes.answered(commit_position, now);
+                self.own_writes.record_answered(commit_position, now);
             }
-            FinalAnswer::Failed => self.own_writes.unknown(now),
+            FinalAnswer::Failed => self.own_writes.record_unknown(now),
             // The write did not run, or was rolled back.
             FinalAnswer::Refused { .. } | FinalAnswer::Rejected(_) => {}
         }
@@ -769,10 +774,10 @@
             |code: &str, message: String| ErrorFields { code: code.into(), message, ..Default::default() };
         let error = |code: &str, message: String| StatementRefusal::from(fields(code, message));
         let core = &self.clients.core;
-        let statements = self.clients.statements().filter(|_| !Statement::is_commented(&text));
+        let statements = self.clients.statements().filter(|_| !Statement::has_request_comment(&text));
         let (class, statement, plain) = match statements {
             Some(_) if remaining > 0 => {
-                let message = format!("a plain statement of over {} bytes", pg::MOST_BYTES);
+                let message = format!("a plain statement of over {} bytes", pg::MAX_MESSAGE_BYTES);
                 return Err(error(code::LIMIT_EXCEEDED, message));
             }
             Some(statements) => {
@@ -785,7 +790,7 @@
             None => {
                 let statement =
                     Statement::parse(text).map_err(|message| error(code::SYNTAX_ERROR, message))?;
-                let class = core.dialect.classes.iter().position(|c| *c == statement.class);
+                let class = core.program_settings.class_names.iter().position(|c| *c == statement.class);
                 let class = class.and_then(|index| u8::try_from(index).ok());
                 let no_class = || format!("no class {:?} here", statement.class);
                 let class = class.ok_or_else(|| error(code::UNDEFINED_OBJECT, no_class()))?;
@@ -811,14 +816,14 @@
         };
         let request = Request {
             class,
-            session: if plain.is_some() { 0 } else { fnv1a(statement.key()) },
+            session: if plain.is_some() { 0 } else { fnv1a(statement.session_key()) },
             group: statement.group,
-            give_up_at: give_up_at(&statement, received_at, self.clients.return_delay),
+            give_up_at: give_up_at(&statement, received_at, self.clients.response_margin),
             min_position: match plain {
-                Some(_) => self.own_writes.after(),
+                Some(_) => self.own_writes.required_position(),
                 None => statement.after_ms.map(Clock::from_unix_ms),
             },
-            client_retry: statement.again,
+            client_retry: statement.client_retry,
             tenant: statement.tenant.as_deref().and_then(|t| core.tenant(t)),
             // A write of a keyed class whose comment names no key must not be retried either.
             plain: plain.is_some() || !statement.keyed && core.is_keyed(class),
@@ -865,7 +870,7 @@
     /// Handles the startup messages, up to the welcome; false if the session ends instead.
     async fn startup(&mut self) -> io::Result<bool> {
         loop {
-            match pg::decode_startup(&mut self.connection.inbox) {
+            match pg::decode_startup(&mut self.connection.read_buffer) {
                 Ok(None) => match self.connection.flush_and_read().await? {
                     ReadResult::Bytes => {}
                     other => return self.connection.end_session(other).await.map(|()| false),
@@ -875,7 +880,7 @@
                 Ok(Some(Startup::Session { minor, options, user, database })) => {
                     self.user_and_database = self.clients.statements().map(|_| Box::new((user, database)));
                     if minor > 0 || !options.is_empty() {
-                        pg::put_negotiate(&mut self.connection.out, &options);
+                        pg::put_negotiate_protocol_version(&mut self.connection.out, &options);
                     }
                     pg::put_welcome(&mut self.connection.out);
                     return Ok(true);
--- a/src/net/client_connection.rs
+++ b/src/net/client_connection.rs
@@ -11,7 +11,7 @@
 use super::{by, read};
 use crate::invariants::CloseReason;
 use crate::mutants;
-use crate::pg::{self, ErrorFields, Inbox, code};
+use crate::pg::{self, ErrorFields, ReadBuffer, code};
 use async_channel::{Receiver, Sender};
 use futures_lite::future;
 use std::collections::VecDeque;
@@ -101,7 +101,7 @@
     close_reason: Option<CloseReason>,
     opened_at: Instant,
     /// Bytes that were received and not decoded yet.
-    pub inbox: Inbox,
+    pub read_buffer: ReadBuffer,
     /// The number of bytes received since the connection was opened.
     received_bytes: u64,
     /// The receive times of the bytes that were read behind an open request.
@@ -134,7 +134,7 @@
             stream,
             close_reason: None,
             opened_at: world::now(),
-            inbox: Inbox::default(),
+            read_buffer: ReadBuffer::default(),
             received_bytes: 0,
             receive_times: VecDeque::new(),
             request_bytes: 0,
@@ -157,7 +157,7 @@
 
     /// Whether the client has sent bytes that are not decoded yet.
     pub fn has_unread_input(&self) -> bool {
-        !self.inbox.is_empty() || !self.stream.quiet()
+        !self.read_buffer.is_empty() || !self.stream.quiet()
     }
 
     /// Why the connection ends: the client has ended it, if nothing else is known.
@@ -167,10 +167,10 @@
 
     /// Waits for more bytes of a message that has begun, unless there are some in the inbox.
     pub async fn read_more(&mut self) -> io::Result<ReadResult> {
-        if !self.inbox.is_empty() {
+        if !self.read_buffer.is_empty() {
             return Ok(ReadResult::Bytes);
         }
-        match by(world::now() + CONTINUE_TIMEOUT, read(&self.stream, &mut self.inbox)).await {
+        match by(world::now() + CONTINUE_TIMEOUT, read(&self.stream, &mut self.read_buffer)).await {
             Some(Ok(n @ 1..)) => {
                 self.received_bytes += n as u64;
                 self.last_received = world::now();
@@ -264,7 +264,7 @@
     pub async fn flush_and_read(&mut self) -> io::Result<ReadResult> {
         self.flush().await?;
         let now = world::now();
-        let idle = self.inbox.is_empty();
+        let idle = self.read_buffer.is_empty();
         if idle && !self.receive_times.is_empty() {
             self.receive_times = VecDeque::new();
         }
@@ -311,7 +311,7 @@
         let _idle_entry = (idle || !self.received_request)
             .then(|| admission.register_idle(self.received_request, self.eviction.0.clone()));
         // Reading takes precedence: a request that has been received already is still served.
-        let read = async { Some(read(&self.stream, &mut self.inbox).await) };
+        let read = async { Some(read(&self.stream, &mut self.read_buffer).await) };
         // A connection that was opened after the idle ones were closed stays open for its refusal, with the usual timeouts.
         let opened_late = self.admission.opened_after_idle_close(self.opened_at);
         let mut stopping = false;
@@ -361,13 +361,14 @@
 
     /// Updates this client's share of the memory limit. Returns whether there is memory for what it has sent.
     pub fn fits_memory(&mut self) -> bool {
-        self.memory_share.set((self.inbox.held() + self.request_bytes).saturating_sub(UNSHARED_BYTES));
+        self.memory_share
+            .set((self.read_buffer.capacity() + self.request_bytes).saturating_sub(UNSHARED_BYTES));
         self.memory_share.is_empty() || self.admission.has_memory()
     }
 
     /// When the last byte of the message that was decoded last was received.
     pub fn received_at(&mut self) -> Instant {
-        let end = self.received_bytes - self.inbox.len() as u64;
+        let end = self.received_bytes - self.read_buffer.len() as u64;
         while self.receive_times.front().is_some_and(|a| a.end_offset < end) {
             self.receive_times.pop_front();
         }
@@ -420,7 +421,7 @@
         if mutants::on("departures are not seen") {
             return future::pending().await;
         }
-        let too_much = self.inbox.len() > MAX_READ_AHEAD_BYTES || !self.fits_memory();
+        let too_much = self.read_buffer.len() > MAX_READ_AHEAD_BYTES || !self.fits_memory();
         if too_much && mode == ReadAheadMode::Bounded && !self.overrun {
             self.until_hung_up().await;
             return false;
@@ -429,7 +430,7 @@
         let read = match self.overrun {
             true => self.stream.read_with(|_| ()).await,
             false => {
-                let read = read(&self.stream, &mut self.inbox).await;
+                let read = read(&self.stream, &mut self.read_buffer).await;
                 if let Ok(count) = read {
                     self.note_received(count);
                 }
@@ -441,7 +442,7 @@
 
     /// Keeps the receive time of `count` bytes that were just read behind an open request.
     fn note_received(&mut self, count: usize) {
-        if self.receive_times.is_empty() && self.inbox.len() > count {
+        if self.receive_times.is_empty() && self.read_buffer.len() > count {
             self.receive_times
                 .push_back(ReceiveTime { end_offset: self.received_bytes, at: self.last_received });
         }
@@ -477,7 +478,7 @@
         if mutants::on("closes at once") || self.stream.shutdown().is_err() {
             return;
         }
-        self.inbox.clear();
+        self.read_buffer.clear();
         self.memory_share.set(0);
         let drained = async {
             while let Some(Ok(n)) = by(world::now() + LINGER_QUIET, self.stream.read_with(|_| ())).await
--- a/src/net/core.rs
+++ b/src/net/core.rs
@@ -10,7 +10,7 @@
 use super::world;
 use crate::invariants::RequestStart;
 use crate::mutants;
-use crate::settings::Dialect;
+use crate::settings::ProgramSettings;
 use crate::talk;
 use crate::{
     Access, Action, AttemptResult, Event, GroupId, HostEntry, HostId, HostReport, HostStatus, Idempotency,
@@ -20,8 +20,8 @@
 use futures_lite::future;
 use oorandom::Rand64;
 use serde::Serialize;
-use sillfold_capture::{Record, Recorder, Tried};
-use sillfold_headroom::{Class as HeadroomClass, Ended, Headroom, Left};
+use sillfold_capture::{Record, RecordedOutcome, Recorder};
+use sillfold_headroom::{AttemptOutcome, Class as HeadroomClass, GroupHeadroom, Headroom};
 use sillfold_talk::Item;
 use std::cell::{Cell, RefCell};
 use std::cmp::Reverse;
@@ -156,7 +156,7 @@
     events: EventFigures,
     /// The headroom of each group, where the proxy learns it.
     #[serde(skip_serializing_if = "Option::is_none")]
-    headroom: Option<BTreeMap<GroupId, Left>>,
+    headroom: Option<BTreeMap<GroupId, GroupHeadroom>>,
 }
 
 /// A request that has no final answer yet.
@@ -190,7 +190,7 @@
 /// Owns the decision module, and gives the rest of the proxy access to it.
 pub struct Core {
     pub clock: Clock,
-    pub dialect: Dialect,
+    pub program_settings: ProgramSettings,
     /// The retry delay that clients are advised of when the proxy refuses without asking the module; 0 where the settings
     /// allow no advice.
     pub retry_in: Micros,
@@ -226,7 +226,9 @@
 
 impl Core {
     /// Creates a core that knows no hosts yet. The receiver yields the tasks for `hosts`.
-    pub fn new(settings: Settings, dialect: Dialect, seed: u64) -> (Core, Receiver<HostTask>) {
+    pub fn new(
+        settings: Settings, program_settings: ProgramSettings, seed: u64,
+    ) -> (Core, Receiver<HostTask>) {
         let (host_tasks, task_receiver) = unbounded();
         let limits = &settings.limits;
         let retry_in = if limits.retry_after { limits.max_retry_after / 4 } else { 0 };
@@ -248,11 +250,11 @@
             by_shared_id: BTreeMap::new(),
             removed_at: BTreeMap::new(),
             groups: BTreeSet::new(),
-            class_counts: vec![ClassCounts::default(); dialect.classes.len()],
+            class_counts: vec![ClassCounts::default(); program_settings.class_names.len()],
         };
         let core = Core {
             clock: Clock::start(),
-            dialect,
+            program_settings,
             retry_in,
             inner: RefCell::new(inner),
             events: Rc::default(),
@@ -300,15 +302,21 @@
     /// The current figures. Classes without requests are included.
     pub fn figures(&self) -> Figures {
         let inner = self.inner.borrow();
-        let (hosts_listed, hosts_down) = inner.router.hosts();
+        let (hosts_listed, hosts_down) = inner.router.host_counts();
         Figures {
-            calls: self.dialect.classes.iter().cloned().zip(inner.class_counts.iter().cloned()).collect(),
+            calls: self
+                .program_settings
+                .class_names
+                .iter()
+                .cloned()
+                .zip(inner.class_counts.iter().cloned())
+                .collect(),
             backend_calls: inner.class_counts.iter().map(|c| c.backend_calls).sum(),
             inflight: inner.open.values().filter(|o| !o.incomplete).count(),
             hosts_listed,
             hosts_down,
             events: self.events.figures(),
-            headroom: self.headroom.borrow().as_ref().map(Headroom::left),
+            headroom: self.headroom.borrow().as_ref().map(Headroom::by_group),
         }
     }
 
@@ -321,11 +329,11 @@
     /// Whether the hosts' headroom admits a request; always true where the proxy doesn't shed load.
     pub fn admits(&self, request: &Request) -> bool {
         // Refused requests count as load as well.
-        self.record_load(|r| r.arrived(request.class, request.group, request.expected_duration));
+        self.record_load(|r| r.request_arrived(request.class, request.group, request.expected_duration));
         let mut headroom = self.headroom.borrow_mut();
         let Some(headroom) = headroom.as_mut() else { return true };
         let draw = self.draws.borrow_mut().rand_float();
-        headroom.arrived(request.class, request.group, draw, self.clock.now()) || !self.sheds_load.get()
+        headroom.admit(request.class, request.group, draw, self.clock.now()) || !self.sheds_load.get()
     }
 
     /// Sets the recorder of the load capture; `None` ends the capture.
@@ -335,7 +343,7 @@
 
     /// Takes what was recorded in the interval that ends now; `None` without a recorder.
     pub fn take_record(&self, at_ms: u64, for_ms: u64) -> Option<Record> {
-        self.recorder.borrow_mut().as_mut().map(|r| r.take(at_ms, for_ms))
+        self.recorder.borrow_mut().as_mut().map(|r| r.take_record(at_ms, for_ms))
     }
 
     /// Calls `record` with the recorder, if there is one.
@@ -362,7 +370,11 @@
 
     /// The index of a tenant in the settings.
     pub fn tenant(&self, name: &str) -> Option<u16> {
-        self.dialect.tenants.iter().position(|t| t == name).and_then(|index| u16::try_from(index).ok())
+        self.program_settings
+            .tenant_names
+            .iter()
+            .position(|t| t == name)
+            .and_then(|index| u16::try_from(index).ok())
     }
 
     /// Whether any list has named this group.
@@ -384,18 +396,18 @@
     /// listed yet is kept until a list names the host.
     pub fn override_host(&self, name: &str, out: bool, since: Micros) {
         let host = self.inner.borrow_mut().host_id(name);
-        self.feed(Event::HostOverride { host, out, since });
+        self.feed(Event::HostOverride { host, left_out: out, since });
     }
 
     /// Whether operators leave a database host out.
     pub fn is_left_out(&self, name: &str) -> bool {
         let inner = self.inner.borrow();
-        inner.ids.get(name).is_some_and(|id| inner.router.out_since(*id).is_some())
+        inner.ids.get(name).is_some_and(|id| inner.router.left_out_since(*id).is_some())
     }
 
     /// When operators left the database host out, if they do.
     pub fn left_out_since(&self, host: HostId) -> Option<Micros> {
-        self.inner.borrow().router.out_since(host)
+        self.inner.borrow().router.left_out_since(host)
     }
 
     /// Opens a request, and returns the handle by which its handler follows the module's directives. The time of an
@@ -442,7 +454,7 @@
         let updates = {
             let inner = self.inner.borrow();
             let own_id = |shared_id| inner.by_shared_id.get(&shared_id).copied().flatten();
-            items.iter().filter_map(|item| talk::news(*item, own_id)).collect()
+            items.iter().filter_map(|item| talk::from_item(*item, own_id)).collect()
         };
         self.feed(Event::Peer { from, news: updates });
     }
@@ -494,8 +506,8 @@
             self.inner.borrow_mut().groups.insert(listed.group);
             entries.push(HostEntry {
                 host,
-                zone: index_of(&self.dialect.zones, &listed.zone),
-                kind: index_of(&self.dialect.kinds, &listed.kind),
+                zone: index_of(&self.program_settings.zone_names, &listed.zone),
+                kind: index_of(&self.program_settings.host_type_names, &listed.kind),
                 group: listed.group,
                 state: match listed.status {
                     Status::Serving => HostStatus::Ready,
@@ -530,7 +542,7 @@
         let Inner { removed_at, names, ids, router, by_shared_id, .. } = &mut *inner;
         let forgotten: Vec<HostId> = removed_at
             .iter()
-            .filter(|(id, at)| **at + self.name_retention < now && router.out_since(**id).is_none())
+            .filter(|(id, at)| **at + self.name_retention < now && router.left_out_since(**id).is_none())
             .map(|(id, _)| *id)
             .collect();
         for id in &forgotten {
@@ -595,8 +607,10 @@
                 Action::Broadcast(updates) => {
                     if let Some(peer_outbox) = self.peer_outbox.borrow().as_ref() {
                         let shared_id = |id| inner.names.get(&id).map(|name| shared_host_id(name));
-                        let items =
-                            updates.into_iter().filter_map(|update| talk::item(update, shared_id)).collect();
+                        let items = updates
+                            .into_iter()
+                            .filter_map(|update| talk::to_item(update, shared_id))
+                            .collect();
                         // A full or closed queue loses this update; newer ones follow.
                         let _ = peer_outbox.try_send(items);
                     }
@@ -710,7 +724,7 @@
 
     /// The conditions under which the latest attempt may start. Asked just before its first byte is written.
     pub fn start_conditions(&self, now: Micros) -> RequestStart {
-        self.core.inner.borrow_mut().router.starts(now, self.id)
+        self.core.inner.borrow_mut().router.start_conditions(now, self.id)
     }
 
     /// The outcome of an attempt that was sent at `sent_at`, where the module finds its answer too old for the request.
@@ -735,21 +749,21 @@
         self.answered.set(finished);
         let (class, group) = self.class_and_group;
         let tried = match end.outcome {
-            Outcome::Ok => Tried::Served(end.latency.as_micros() as u64),
-            Outcome::Unsuitable => Tried::Missed,
-            _ => Tried::Else,
+            Outcome::Ok => RecordedOutcome::Served(end.latency.as_micros() as u64),
+            Outcome::Unsuitable => RecordedOutcome::Unsuitable,
+            _ => RecordedOutcome::Other,
         };
-        self.core.record_load(|r| r.tried(class, group, tried));
+        self.core.record_load(|r| r.attempt_ended(class, group, tried));
         if let Some(headroom) = self.core.headroom.borrow_mut().as_mut() {
             let ended = match end.outcome {
-                Outcome::Ok => Ended::Served(end.latency.as_micros() as u64),
-                Outcome::Overloaded | Outcome::Timeout => Ended::Full,
-                _ => Ended::Else,
+                Outcome::Ok => AttemptOutcome::Served(end.latency.as_micros() as u64),
+                Outcome::Overloaded | Outcome::Timeout => AttemptOutcome::Overloaded,
+                _ => AttemptOutcome::Other,
             };
             let now = self.core.clock.now();
-            headroom.tried(class, group, end.host, ended, now);
+            headroom.attempt_ended(class, group, end.host, ended, now);
             if let (Some(Role::Replica), Some(at)) = (end.note.role, end.note.position) {
-                headroom.behind(group, now.saturating_sub(at), now);
+                headroom.replica_lag(group, now.saturating_sub(at), now);
             }
         }
         self.core.feed(Event::Outcome(AttemptResult {
--- a/src/net/proxy.rs
+++ b/src/net/proxy.rs
@@ -57,23 +57,25 @@
         let console_listener = console_listener.map_err(|e| format!("console: cannot listen there: {e}"))?;
         let drain_grace = config.settings.safety.drain_grace;
         let longest_deadline = config.settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
-        let (core, host_tasks) = Core::new(config.settings.clone(), config.dialect.clone(), config.seed);
+        let (core, host_tasks) =
+            Core::new(config.settings.clone(), config.program_settings.clone(), config.seed);
         let core = Rc::new(core);
         let (user, database) = (&file.hosts.user, &file.hosts.database);
-        let hosts = Hosts::new(core.clone(), config.most_host_connections, drain_grace, user, database);
+        let hosts = Hosts::new(core.clone(), config.max_host_connections, drain_grace, user, database);
         let hosts = Rc::new(hosts);
-        let max_clients = config.most_clients;
-        let max_client_bytes = config.most_client_bytes;
+        let max_clients = config.max_clients;
+        let max_client_bytes = config.max_client_bytes;
         let admission = Admission::new(core.clone(), max_clients, max_client_bytes, executor.clone());
-        let clients = Clients::new(core.clone(), hosts.clone(), admission, config.way_back, executor.clone());
+        let clients =
+            Clients::new(core.clone(), hosts.clone(), admission, config.response_margin, executor.clone());
         let clients = Rc::new(clients);
-        clients.set_statements(Statements::from_config(&file.statements, &config.dialect));
+        clients.set_statements(Statements::from_config(&file.statements, &config.program_settings));
 
-        if let Some(known) = &config.known {
+        if let Some(known) = &config.known_list {
             hosts.listed(&core.apply_listing(known, true), known);
         }
         let upgrade =
-            Upgrade::new(config.tmp.clone(), core.clone(), clients.admission.clone(), hosts.clone());
+            Upgrade::new(config.state_dir.clone(), core.clone(), clients.admission.clone(), hosts.clone());
         let upgrade = Rc::new(upgrade);
         let peers = config.talk.clone().map(|talk| Rc::new(Peers::new(core.clone(), talk)));
         peers.iter().for_each(|peers| executor.spawn(peers.clone().run()));
@@ -83,7 +85,7 @@
             executor.spawn(console.run(console_listener, executor.clone()));
         }
         upgrade.meet(executor);
-        let known_index = config.known.take().map(|k| k.index);
+        let known_index = config.known_list.take().map(|k| k.index);
         executor.spawn(hosts.clone().run_chores(host_tasks, executor.clone()));
         executor.spawn({
             let hosts = hosts.clone();
--- a/src/net/request.rs
+++ b/src/net/request.rs
@@ -58,7 +58,7 @@
         match self {
             PendingAnswer::Complete(FinalAnswer::Served(row)) => row.value.as_ref().map_or(0, Vec::len),
             PendingAnswer::Complete(FinalAnswer::Plain(bytes)) => bytes.len(),
-            PendingAnswer::Complete(FinalAnswer::Rejected(fields)) => fields.whole.len(),
+            PendingAnswer::Complete(FinalAnswer::Rejected(fields)) => fields.raw.len(),
             PendingAnswer::Complete(
                 FinalAnswer::Streamed | FinalAnswer::Refused { .. } | FinalAnswer::Failed,
             ) => 0,
@@ -172,9 +172,9 @@
 
 /// When the client of a statement, whose last byte was received at `received_at`, stops waiting. The time that the answer
 /// takes to the client is subtracted, since the answer has to arrive by then; at most half of the patience is.
-pub fn give_up_at(statement: &Statement, received_at: Micros, return_delay: Micros) -> Micros {
-    let patience = statement.patience_ms.min(MAX_PATIENCE_MS) * 1_000;
-    received_at + patience.saturating_sub(return_delay).max(patience / 2)
+pub fn give_up_at(statement: &Statement, received_at: Micros, response_margin: Micros) -> Micros {
+    let patience = statement.deadline_ms.min(MAX_PATIENCE_MS) * 1_000;
+    received_at + patience.saturating_sub(response_margin).max(patience / 2)
 }
 
 /// Serves one request.
@@ -184,7 +184,7 @@
     pub hosts: &'l Rc<Hosts>,
     pub admission: &'l Rc<Admission>,
     /// How long an answer takes to the client.
-    pub return_delay: Micros,
+    pub response_margin: Micros,
     /// The commit position that the last answer reported, and how long the attempt took; of plain statements only.
     pub commit_and_duration: Option<(Option<Micros>, Duration)>,
 }
@@ -257,7 +257,7 @@
             ClientLink::Uploading { .. } => None,
         };
         let start_conditions = |now| Asking {
-            client_left: watch.is_some_and(ClientWatch::is_disconnected),
+            client_disconnected: watch.is_some_and(ClientWatch::is_disconnected),
             request: handle.start_conditions(now),
         };
         let mut received_directive = None;
@@ -314,7 +314,7 @@
             }
             if let AttemptEvent::Uploaded(Ok(opened)) = event {
                 // The last byte has been received, so the client's time begins.
-                let give_up_at = give_up_at(statement, core.clock.now(), self.return_delay);
+                let give_up_at = give_up_at(statement, core.clock.now(), self.response_margin);
                 on_written();
                 handle.complete(give_up_at);
                 let answer = pin!(hosts.answer(opened, give_up_at, &partial_report));
@@ -467,8 +467,10 @@
         let (hosts, admission) = (self.hosts, self.admission);
         let upload = async {
             let client = &self.client;
-            let start_conditions =
-                |now| Asking { client_left: client.is_disconnected(), request: handle.start_conditions(now) };
+            let start_conditions = |now| Asking {
+                client_disconnected: client.is_disconnected(),
+                request: handle.start_conditions(now),
+            };
             let opened = hosts.open(attempt.host, &statement.id, attempt.deadline, start_conditions).await;
             let (opened, start) = opened.map_err(UploadError::NoConnection)?;
             match &mut self.client {
@@ -538,7 +540,7 @@
                 Err(_) => return Err(UploadError::BrokenOff),
             }
             piece.clear();
-            *self.remaining -= connection.inbox.move_to(&mut piece, *self.remaining);
+            *self.remaining -= connection.read_buffer.move_to(&mut piece, *self.remaining);
             self.write(&piece).await?;
         }
         Ok(())
@@ -586,7 +588,7 @@
     }
     match hosts.finish(long).await {
         Some(tag) => {
-            pg::put_complete(&mut connection.out, &tag);
+            pg::put_command_complete(&mut connection.out, &tag);
             StreamResult::Complete
         }
         None => StreamResult::BrokenOff { missing: 0 },
--- a/src/net/statements.rs
+++ b/src/net/statements.rs
@@ -5,10 +5,10 @@
 use crate::Micros;
 use crate::operator::Statements as Conf;
 use crate::pg::{ErrorFields, code};
-use crate::settings::Dialect;
+use crate::settings::ProgramSettings;
 use serde::Serialize;
-use sillfold_route::sql::{Control, Unreadable};
-use sillfold_route::{Desk, Refusal, Shape};
+use sillfold_route::sql::{ReadError, TransactionControl};
+use sillfold_route::{RouteError, Shape, StatementRouter};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
@@ -28,7 +28,7 @@
 impl PlainRoute {
     /// A number that identifies the statement's shape in records.
     pub fn shape_number(&self) -> u64 {
-        self.shape.number()
+        self.shape.fingerprint()
     }
 }
 
@@ -36,7 +36,7 @@
 #[derive(Default)]
 pub struct StatementRefusal {
     pub fields: ErrorFields,
-    pub control: Option<Control>,
+    pub control: Option<TransactionControl>,
 }
 
 impl From<ErrorFields> for StatementRefusal {
@@ -57,7 +57,7 @@
 
 /// Routes plain statements by the operator's rules.
 pub struct Statements {
-    router: RefCell<Desk>,
+    router: RefCell<StatementRouter>,
     /// The class number of each rule.
     classes: RefCell<Vec<u8>>,
     refused: Cell<u64>,
@@ -65,19 +65,19 @@
 
 impl Statements {
     /// Creates the router of the operator's file; `None` if the file doesn't enable plain statements.
-    pub fn from_config(conf: &Conf, dialect: &Dialect) -> Option<Rc<Statements>> {
+    pub fn from_config(conf: &Conf, program_settings: &ProgramSettings) -> Option<Rc<Statements>> {
         let statements = || Statements {
-            router: RefCell::new(Desk::new(conf.options())),
-            classes: RefCell::new(class_numbers(conf, dialect)),
+            router: RefCell::new(StatementRouter::new(conf.options())),
+            classes: RefCell::new(class_numbers(conf, program_settings)),
             refused: Cell::default(),
         };
         conf.enabled.then(|| Rc::new(statements()))
     }
 
     /// Replaces the rules.
-    pub fn replace(&self, conf: &Conf, dialect: &Dialect) {
-        self.router.borrow_mut().replace(conf.options());
-        *self.classes.borrow_mut() = class_numbers(conf, dialect);
+    pub fn replace(&self, conf: &Conf, program_settings: &ProgramSettings) {
+        self.router.borrow_mut().replace_options(conf.options());
+        *self.classes.borrow_mut() = class_numbers(conf, program_settings);
     }
 
     /// Routes a statement; `Ok(None)` if the text holds none.
@@ -91,21 +91,24 @@
         let mut router = self.router.borrow_mut();
         let parsed = match router.read(text) {
             Ok(parsed) => parsed,
-            Err(Unreadable::Empty) => return Ok(None),
-            Err(e @ (Unreadable::Nul | Unreadable::Encoding)) => {
-                return refuse(code::UNTRANSLATABLE, e.why().into());
+            Err(ReadError::Empty) => return Ok(None),
+            Err(e @ (ReadError::Nul | ReadError::Encoding)) => {
+                return refuse(code::UNTRANSLATABLE, e.message().into());
             }
-            Err(e @ Unreadable::Unended) => return refuse(code::SYNTAX_ERROR, e.why().into()),
+            Err(e @ ReadError::Unterminated) => return refuse(code::SYNTAX_ERROR, e.message().into()),
         };
         let route = match router.route(&parsed, text, user, database) {
             Ok(route) => route,
-            Err(Refusal::NotCarried(message) | Refusal::NoRoute(message)) => {
+            Err(RouteError::NotSupported(message) | RouteError::NoRoute(message)) => {
                 let refusal = refuse(code::FEATURE_NOT_SUPPORTED, message);
-                return refusal.map_err(|refusal| StatementRefusal { control: parsed.control(), ..refusal });
+                return refusal.map_err(|refusal| StatementRefusal {
+                    control: parsed.transaction_control(),
+                    ..refusal
+                });
             }
         };
         // The check of the operator's file makes sure that each rule has a known class.
-        let Some(&class) = self.classes.borrow().get(route.rule) else {
+        let Some(&class) = self.classes.borrow().get(route.rule_index) else {
             return refuse(code::UNDEFINED_OBJECT, "the rule's class is not known here".into());
         };
         Ok(Some(PlainRoute {
@@ -119,20 +122,20 @@
     }
 
     /// The transaction control in a text, if there is any.
-    pub fn control(&self, text: &str) -> Option<Control> {
-        self.router.borrow_mut().control(text)
+    pub fn control(&self, text: &str) -> Option<TransactionControl> {
+        self.router.borrow_mut().transaction_control(text)
     }
 
     /// Learns from a served statement how long its shape takes.
     pub fn learn(&self, route: &PlainRoute, duration: Duration) {
-        self.router.borrow_mut().learn(&route.shape, duration.as_micros() as u64);
+        self.router.borrow_mut().record_duration(&route.shape, duration.as_micros() as u64);
     }
 
     /// The current figures.
     pub fn figures(&self) -> Figures {
         let router = self.router.borrow();
-        let shapes = router.shapes();
-        let asked = router.shapes().asked();
+        let shapes = router.shape_cache();
+        let asked = router.shape_cache().stats();
         Figures {
             shapes: shapes.len(),
             shape_bytes: shapes.bytes(),
@@ -144,8 +147,8 @@
 }
 
 /// The class numbers of the rules. A rule of an unknown class gets a number that no class has.
-fn class_numbers(conf: &Conf, dialect: &Dialect) -> Vec<u8> {
-    let number = |name: &String| dialect.classes.iter().position(|c| c == name);
+fn class_numbers(conf: &Conf, program_settings: &ProgramSettings) -> Vec<u8> {
+    let number = |name: &String| program_settings.class_names.iter().position(|c| c == name);
     conf.rules
         .iter()
         .map(|r| number(&r.class).and_then(|i| u8::try_from(i).ok()).unwrap_or(u8::MAX))
