--- a/src/net/core.rs
+++ b/src/net/core.rs
@@ -456,7 +456,7 @@
             let own_id = |shared_id| inner.by_shared_id.get(&shared_id).copied().flatten();
             items.iter().filter_map(|item| talk::from_item(*item, own_id)).collect()
         };
-        self.feed(Event::Peer { from, updates: news: updates });
+        self.feed(Event::Peer { from, updates });
     }
 
     /// Sets whether another process serves the same clients. Reads of this process's sessions must see the writes that
