--- a/src/bin/sillfold-benchlink/main.rs
+++ b/src/bin/sillfold-benchlink/main.rs
@@ -134,7 +134,7 @@
     for _ in 0..n {
         let host = cursor.u32("entry.host")?;
         let zone = cursor.u8("entry.failureDomain")?;
-        let kind = cursor.u8("entry.type")?;
+        let machine_type = cursor.u8("entry.type")?;
         let group = u32::from(cursor.u16("entry.group")?);
         let state = match cursor.u8("entry.stageState")? {
             0 => HostStatus::Draining,
@@ -145,7 +145,7 @@
         let weight = f64::from(cursor.f32("entry.nominal")?);
         let primary = cursor.f32("entry.leader")? == 1.0;
         let started = cursor.u64("entry.launchedUs")?;
-        entries.push(HostEntry { host, zone, kind, group, state, weight, primary, started });
+        entries.push(HostEntry { host, zone, machine_type, group, state, weight, primary, started });
     }
     Ok(entries.into())
 }
@@ -157,7 +157,7 @@
 ) -> Result<Event> {
     Ok(match code {
         2 => {
-            let kind = match cursor.u8("DISCOVERY.form")? {
+            let update = match cursor.u8("DISCOVERY.form")? {
                 0 => ListUpdate::Delta,
                 1 => ListUpdate::Full,
                 2 => ListUpdate::Cached,
@@ -166,12 +166,12 @@
             };
             cursor.u32("DISCOVERY.epoch")?;
             let id = cursor.u16("DISCOVERY.setId")?;
-            let entries = match (kind, tables.get(&id)) {
+            let entries = match (update, tables.get(&id)) {
                 (ListUpdate::Failed, _) => Arc::from([]),
                 (_, Some(table)) => table.clone(),
                 (_, None) => return Err(WireError(format!("DISCOVERY.setId: no table {id}"))),
             };
-            Event::List { kind, entries }
+            Event::List { update, entries }
         }
         3 => {
             let id = cursor.u32("WORK_ITEM.ticket")?;
@@ -230,7 +230,7 @@
             let news = message.map_or(Vec::new(), |m| {
                 m.items.into_iter().filter_map(|i| talk::from_item(i, Some)).collect()
             });
-            Event::Peer { from, news }
+            Event::Peer { from, updates: news }
         }
         other => return Err(WireError(format!("unknown record code {other}"))),
     })
--- a/tests/sizes.rs
+++ b/tests/sizes.rs
@@ -51,9 +51,9 @@
         list_mode: ListMode::Pushed,
         list_role: ListRole::Delayed,
         lag_check: LagCheck::Unchecked,
-        tokens: SessionTokens::TrackedByProxy,
+        session_tokens: SessionTokens::TrackedByProxy,
         cross_zone_costs: false,
-        positions: true,
+        answers_carry_positions: true,
         limits: Limits {
             cancel: true,
             probes: false,
@@ -90,7 +90,7 @@
     fn start(proxies: u32, hosts: u32, members: u32) -> Model {
         let mut model = Model { router: Router::new(settings(proxies), 1), now: START_US, last_request: 0 };
         let entries = (0..hosts).map(|host| entry(host, members, HostStatus::Ready)).collect();
-        model.handle(Event::List { kind: ListUpdate::Full, entries });
+        model.handle(Event::List { update: ListUpdate::Full, entries });
         model
     }
 
@@ -137,7 +137,7 @@
     HostEntry {
         host,
         zone: 0,
-        kind: 0,
+        machine_type: 0,
         group: host / members,
         state,
         weight: 1.0,
@@ -157,7 +157,7 @@
             let members = group * MEMBERS..((group + 1) * MEMBERS).min(hosts);
             let state = |member| if member == host { HostStatus::Ready } else { HostStatus::Draining };
             let entries = members.map(|member| entry(member, MEMBERS, state(member))).collect();
-            model.handle(Event::List { kind: ListUpdate::Delta, entries });
+            model.handle(Event::List { update: ListUpdate::Delta, entries });
             assert_eq!(model.route_read(group), Some(host), "{proxies} proxies, {hosts} hosts");
         }
     }
@@ -173,7 +173,7 @@
             let host = model.route_read(0).expect("a host is ready");
             assert!(routed.insert(host), "{host} drains");
             let entries = [entry(host, hosts, HostStatus::Draining)].into();
-            model.handle(Event::List { kind: ListUpdate::Delta, entries });
+            model.handle(Event::List { update: ListUpdate::Delta, entries });
         }
         assert_eq!(model.route_read(0), None);
     }
