--- a/src/bin/sillfold-benchlink/main.rs
+++ b/src/bin/sillfold-benchlink/main.rs
@@ -227,10 +227,10 @@
             let n = usize::from(cursor.u16("HEARD.bytes length")?);
             // A datagram that cannot be decoded has no updates.
             let message = Message::read(cursor.take(n, "HEARD.bytes")?);
-            let news = message.map_or(Vec::new(), |m| {
+            let updates = message.map_or(Vec::new(), |m| {
                 m.items.into_iter().filter_map(|i| talk::from_item(i, Some)).collect()
             });
-            Event::Peer { from, updates: news }
+            Event::Peer { from, updates }
         }
         other => return Err(WireError(format!("unknown record code {other}"))),
     })
