--- a/src/logic.rs
+++ b/src/logic.rs
@@ -216,7 +216,7 @@
         // The in-flight averages get no updates in an idle spell, so they start again from the present
         // counts.
         if self.now > self.schedule.tick + TICK_US {
-            self.hosts.iter_mut().for_each(|s| s.in_flight_average = f64::from(s.in_flight) + 1.0);
+            self.hosts.iter_mut().for_each(|host| host.in_flight_average = f64::from(host.in_flight) + 1.0);
         }
         if self.schedule.tick == 0 && self.settings.list_mode == ListMode::OnRequest {
             self.schedule.subscribe_at = Some(self.now + self.rng.rand_range(0..200_000));
@@ -234,10 +234,16 @@
                 }
                 Event::ClientGone(id) => self.close(*id),
                 Event::Streaming(id, attempt) => {
-                    self.requests.entry(*id).and_modify(|r| r.streaming = Some(usize::from(*attempt)));
+                    self.requests
+                        .entry(*id)
+                        .and_modify(|request| request.streaming = Some(usize::from(*attempt)));
                 }
                 Event::Probed { host, ok, report } => {
-                    self.host_index.get(host).copied().into_iter().for_each(|i| self.note_response(i, *ok));
+                    self.host_index
+                        .get(host)
+                        .copied()
+                        .into_iter()
+                        .for_each(|index| self.note_response(index, *ok));
                     self.apply_report(*host, if *ok { *report } else { HostReport::default() }, false);
                 }
                 Event::PartialAnswer { host, note } => self.apply_report(*host, *note, true),
--- a/src/logic/membership.rs
+++ b/src/logic/membership.rs
@@ -5,51 +5,51 @@
 impl Router {
     /// Whether a host may be tried like any other: it is not ejected, and its zone is not lost or the host
     /// started after the loss.
-    pub(super) fn is_healthy(&self, i: usize) -> bool {
-        let s = &self.hosts[i];
-        s.is_healthy(self.now) && !self.observed.zones.is_lost(s.zone, s.listed_start, self.now)
+    pub(super) fn is_healthy(&self, index: usize) -> bool {
+        let host = &self.hosts[index];
+        host.is_healthy(self.now) && !self.observed.zones.is_lost(host.zone, host.listed_start, self.now)
     }
 
     /// Whether the list and the operators allow this router to send to a host. `primary_work`: the attempt
     /// goes to the host as the primary of its group.
-    pub(super) fn may_receive(&self, i: usize, primary_work: bool) -> bool {
-        let s = &self.hosts[i];
+    pub(super) fn may_receive(&self, index: usize, primary_work: bool) -> bool {
+        let host = &self.hosts[index];
         // Until a successor is known the old primary may still get writes, for half of the grace.
         let in_grace =
             |since: Micros| primary_work && self.now - since < self.settings.safety.drain_grace / 2;
-        match s.listed {
-            _ if self.left_out_since(s.id).is_some_and(|since| !in_grace(since.min(self.now))) => false,
+        match host.listed {
+            _ if self.left_out_since(host.id).is_some_and(|since| !in_grace(since.min(self.now))) => false,
             HostStatus::Ready => true,
-            HostStatus::Draining => in_grace(s.unavailable_since),
-            HostStatus::Removed => self.settings.safety.only_draining_binds && !s.seen_draining,
+            HostStatus::Draining => in_grace(host.unavailable_since),
+            HostStatus::Removed => self.settings.safety.only_draining_binds && !host.seen_draining,
         }
     }
 
     /// The number of hosts on the list, and of those among them that get nothing, or one attempt at a time to
     /// see whether they answer.
     pub fn host_counts(&self) -> (usize, usize) {
-        count_hosts(&self.hosts, |s| self.left_out_since(s.id).is_some())
+        count_hosts(&self.hosts, |host| self.left_out_since(host.id).is_some())
     }
 
     /// Since when operators leave a host out, if they do.
-    pub fn left_out_since(&self, host: HostId) -> Option<Micros> {
-        self.left_out.get(&host).copied()
+    pub fn left_out_since(&self, host_id: HostId) -> Option<Micros> {
+        self.left_out.get(&host_id).copied()
     }
 
     /// Takes in a manual override. The rule on drains applies from the first order to leave the host out
     /// until it is used again; from then on the host is cold.
-    pub(super) fn apply_override(&mut self, host: HostId, left_out: bool, since: Micros) {
+    pub(super) fn apply_override(&mut self, host_id: HostId, left_out: bool, since: Micros) {
         // Another process may have recorded the override by a clock that is ahead.
         let since = since.min(self.now);
         if left_out {
-            self.left_out.entry(host).or_insert(since);
-            self.actions.push(Action::CloseIdle(host));
+            self.left_out.entry(host_id).or_insert(since);
+            self.actions.push(Action::CloseIdle(host_id));
             return;
         }
-        let left_out_since = self.left_out.remove(&host);
-        let Some(s) = self.host_index.get(&host).map(|&i| &mut self.hosts[i]) else { return };
+        let left_out_since = self.left_out.remove(&host_id);
+        let Some(host) = self.host_index.get(&host_id).map(|&index| &mut self.hosts[index]) else { return };
         let warm_before = self.now.saturating_sub(self.settings.safety.cold_duration);
-        s.readmit(left_out_since, since, INITIAL_CONCURRENCY_LIMIT, warm_before);
+        host.readmit(left_out_since, since, INITIAL_CONCURRENCY_LIMIT, warm_before);
     }
 
     /// Takes in an update of the list.
@@ -74,14 +74,14 @@
             without_drain,
             removed_before,
         );
-        for i in 0..self.hosts.len() {
-            if update != ListUpdate::Delta && entries.iter().all(|e| e.host != self.hosts[i].id) {
-                self.apply_status(i, HostStatus::Removed);
+        for index in 0..self.hosts.len() {
+            if update != ListUpdate::Delta && entries.iter().all(|entry| entry.host != self.hosts[index].id) {
+                self.apply_status(index, HostStatus::Removed);
             }
         }
-        for e in entries {
-            let is_unknown = !self.host_index.contains_key(&e.host);
-            if is_unknown && e.state == HostStatus::Removed {
+        for entry in entries {
+            let is_unknown = !self.host_index.contains_key(&entry.host);
+            if is_unknown && entry.state == HostStatus::Removed {
                 continue;
             }
             if is_unknown {
@@ -90,35 +90,35 @@
                     &mut self.hosts,
                     &mut self.host_index,
                     &mut self.groups,
-                    e,
+                    entry,
                     (INITIAL_CONCURRENCY_LIMIT, first_listed_at),
                 );
             }
-            let i = self.host_index[&e.host];
+            let index = self.host_index[&entry.host];
             let is_new = is_unknown && self.observed.listed_once;
             let is_change = update == ListUpdate::Delta;
             let cold_duration = self.settings.safety.cold_duration;
-            self.hosts[i].record_start(e.started, self.now, cold_duration, is_new, is_change);
-            self.apply_status(i, e.state);
-            let Some(g) = self.groups.get_mut(&self.hosts[i].group) else { continue };
-            if e.primary && self.settings.list_role != ListRole::Absent {
-                g.listed_primary = Some(i);
+            self.hosts[index].record_start(entry.started, self.now, cold_duration, is_new, is_change);
+            self.apply_status(index, entry.state);
+            let Some(group) = self.groups.get_mut(&self.hosts[index].group) else { continue };
+            if entry.primary && self.settings.list_role != ListRole::Absent {
+                group.listed_primary = Some(index);
                 // Only the first list sets the primary itself.
-                g.primary = g.primary.or(Some(i).filter(|_| !self.observed.listed_once));
+                group.primary = group.primary.or(Some(index).filter(|_| !self.observed.listed_once));
             }
         }
         self.observed.listed_once = true;
     }
 
     /// Sets a host's status on the list. A primary that was removed is no primary any more.
-    pub(super) fn apply_status(&mut self, i: usize, status: HostStatus) {
-        if !self.hosts[i].set_status(status, self.now) {
+    pub(super) fn apply_status(&mut self, index: usize, status: HostStatus) {
+        if !self.hosts[index].set_status(status, self.now) {
             return;
         }
         // Where only draining binds, a list without the primary changes nothing: the hosts' answers outrank
         // it.
-        let is_gone = status == HostStatus::Removed && !self.may_receive(i, true);
-        let Some(g) = self.groups.get_mut(&self.hosts[i].group) else { return };
-        g.primary = g.primary.filter(|&p| !is_gone || p != i);
+        let is_gone = status == HostStatus::Removed && !self.may_receive(index, true);
+        let Some(group) = self.groups.get_mut(&self.hosts[index].group) else { return };
+        group.primary = group.primary.filter(|&p| !is_gone || p != index);
     }
 }
--- a/src/logic/slow_start.rs
+++ b/src/logic/slow_start.rs
@@ -13,33 +13,40 @@
     /// overload it. So all proxies together send it no more than that; further attempts go elsewhere.
     ///
     /// `primary_work`: the attempt goes to the host as the primary of its group.
-    pub(super) fn slow_start_admits(&self, i: usize, r: &Request, primary_work: bool) -> bool {
-        let Some(share) = self.hosts[i].cold_share(self.now, &self.settings.safety) else { return true };
+    pub(super) fn slow_start_admits(&self, index: usize, request: &Request, primary_work: bool) -> bool {
+        let Some(share) = self.hosts[index].cold_share(self.now, &self.settings.safety) else { return true };
         let safe_multiple = self.settings.safety.overload_multiple / 2.0;
-        let Some(g) = self.groups.get(&self.hosts[i].group) else { return false };
+        let Some(group) = self.groups.get(&self.hosts[index].group) else { return false };
         if primary_work {
             // The requests that all proxies held during an election are admitted gradually.
-            let since_found = self.now.saturating_sub(g.primary_found_at) as f64;
+            let since_found = self.now.saturating_sub(group.primary_found_at) as f64;
             let ramp = since_found / (self.settings.safety.overload_duration.max(1) as f64 * 2.0);
-            return r.draw < share * safe_multiple.max(1.0) * ramp.min(1.0);
+            return request.draw < share * safe_multiple.max(1.0) * ramp.min(1.0);
         }
         // Members that left within `cold_duration` still have a slot, unless new members replace them: a lone
         // cold host must not take the whole group's work.
-        let was_member = |s: &&HostState| {
+        let was_member = |host: &&HostState| {
             let left_lately =
-                s.unavailable_since.saturating_add(self.settings.safety.cold_duration) > self.now;
-            s.first_listed_at.saturating_add(self.settings.safety.cold_duration) <= self.now
-                && (s.listed == HostStatus::Ready || left_lately)
+                host.unavailable_since.saturating_add(self.settings.safety.cold_duration) > self.now;
+            host.first_listed_at.saturating_add(self.settings.safety.cold_duration) <= self.now
+                && (host.listed == HostStatus::Ready || left_lately)
         };
-        let earlier_members = g.members.iter().map(|&m| &self.hosts[m]).filter(was_member).count();
-        let ready: Vec<usize> =
-            g.members.iter().copied().filter(|&m| self.hosts[m].listed == HostStatus::Ready).collect();
+        let earlier_members =
+            group.members.iter().map(|&member| &self.hosts[member]).filter(was_member).count();
+        let ready: Vec<usize> = group
+            .members
+            .iter()
+            .copied()
+            .filter(|&member| self.hosts[member].listed == HostStatus::Ready)
+            .collect();
         let slots = ready.len().max(earlier_members) as f64;
-        let slot = ready.iter().position(|&m| m == i).unwrap_or(0) as f64;
+        let slot = ready.iter().position(|&member| member == index).unwrap_or(0) as f64;
         // Slots are counted from the highest draw down, since a new primary takes the low draws.
-        let place_in_slot = (1.0 - r.draw) * slots - slot;
-        let capacity = |&m: &usize| self.hosts[m].cold_share(self.now, &self.settings.safety).unwrap_or(1.0);
-        let capacity: f64 = ready.iter().filter(|&&m| self.may_receive(m, false)).map(capacity).sum();
+        let place_in_slot = (1.0 - request.draw) * slots - slot;
+        let capacity =
+            |&member: &usize| self.hosts[member].cold_share(self.now, &self.settings.safety).unwrap_or(1.0);
+        let capacity: f64 =
+            ready.iter().filter(|&&member| self.may_receive(member, false)).map(capacity).sum();
         let load = slots / capacity.max(share);
         let max_load = self.settings.safety.overload_multiple * COLD_MAX_OVERLOAD_SHARE_MANY_PROXIES;
         let width = moving_average(
@@ -47,6 +54,6 @@
             (load * COLD_SLOT_SHARE_MANY_PROXIES).min(max_load),
             1.0 - self.unobserved_share(),
         );
-        r.attempts.is_empty() && (0.0..share * width).contains(&place_in_slot)
+        request.attempts.is_empty() && (0.0..share * width).contains(&place_in_slot)
     }
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -163,7 +163,7 @@
             self.samples.pop_front();
         }
         let Some(&(latest_at, latest)) = self.samples.back() else { return };
-        let sorted = sorted(self.samples.iter().map(|s| s.1));
+        let sorted = sorted(self.samples.iter().map(|sample| sample.1));
         let expired_ages = now.saturating_sub(latest_at + max_age) as f64 / max_age as f64;
         let adjusted = tail_adjusted(&sorted, latest, tail_ratio);
         let faded = usual + (adjusted - usual) * (-expired_ages * EXCESS_HALVINGS).exp2();
@@ -250,8 +250,9 @@
 
 /// Counts the hosts on the list, and those of them that drain, are ejected or are left out by operators.
 pub(crate) fn count_hosts(hosts: &[HostState], is_left_out: impl Fn(&HostState) -> bool) -> (usize, usize) {
-    let listed = || hosts.iter().filter(|s| s.listed != HostStatus::Removed);
-    let unavailable = |s: &&HostState| s.listed == HostStatus::Draining || s.ejections > 0 || is_left_out(s);
+    let listed = || hosts.iter().filter(|host| host.listed != HostStatus::Removed);
+    let unavailable =
+        |host: &&HostState| host.listed == HostStatus::Draining || host.ejections > 0 || is_left_out(host);
     (listed().count(), listed().filter(unavailable).count())
 }
 
@@ -366,11 +367,14 @@
 /// dispersion of the groups around that share: the mean of (failures - expected)^2 / expected, which is near
 /// 1 if the groups differ by chance alone.
 pub(crate) fn failure_spread(counts: Vec<(f64, f64)>, prior: f64) -> (f64, f64) {
-    let sum = counts.iter().fold((0.0, 0.0), |s, c| (s.0 + c.0, s.1 + c.1));
+    let sum = counts.iter().fold((0.0, 0.0), |sum, count| (sum.0 + count.0, sum.1 + count.1));
     let usual = sum.0 / (sum.1 + prior);
-    let seen: Vec<_> = counts.into_iter().filter(|c| c.1 > 0.0).collect();
+    let seen: Vec<_> = counts.into_iter().filter(|count| count.1 > 0.0).collect();
     // Most groups have so few reads that the expected failures come near 0; the bound avoids a division by 0.
-    let squares = seen.iter().map(|c| (c.0 - c.1 * usual).powi(2) / (c.1 * usual).max(0.01)).sum::<f64>();
+    let squares = seen
+        .iter()
+        .map(|count| (count.0 - count.1 * usual).powi(2) / (count.1 * usual).max(0.01))
+        .sum::<f64>();
     (usual, squares / seen.len().max(1) as f64)
 }
 
@@ -419,12 +423,16 @@
     /// Counts one more request of a tenant. Returns whether the request exceeds this proxy's part of the
     /// quota, of which `QUOTA_BURST_SECONDS` may come at once. A request without a known tenant never does.
     pub fn exceeds_quota(&mut self, tenant: Option<u16>, now: Micros) -> bool {
-        let Some(t) = tenant.map(usize::from).filter(|&t| t < self.tenants.len()) else { return false };
-        let own_rate = self.tenants[t].rate(now);
+        let Some(tenant_index) =
+            tenant.map(usize::from).filter(|&tenant_index| tenant_index < self.tenants.len())
+        else {
+            return false;
+        };
+        let own_rate = self.tenants[tenant_index].rate(now);
         let recent = self.peers.values().filter(|peer| peer.0 + TENANT_RATE_EXPIRY_US > now);
         let (reporting, peer_rate) =
-            recent.fold((0, 0.0), |sum, peer| (sum.0 + 1, sum.1 + peer.1.get(t).unwrap_or(&0.0)));
-        let state = &mut self.tenants[t];
+            recent.fold((0, 0.0), |sum, peer| (sum.0 + 1, sum.1 + peer.1.get(tenant_index).unwrap_or(&0.0)));
+        let state = &mut self.tenants[tenant_index];
         let part =
             if reporting > 0 { own_rate / (own_rate + peer_rate).max(1e-9) } else { 1.0 / self.proxy_count };
         let own_quota = state.quota * part;
@@ -446,17 +454,17 @@
         self.announced_at = now;
         (0..)
             .zip(&self.tenants)
-            .map(|(tenant, t)| PeerUpdate::TenantRate { tenant, per_s: t.rate(now) })
+            .map(|(tenant, quota)| PeerUpdate::TenantRate { tenant, per_s: quota.rate(now) })
             .collect()
     }
 
     /// Records a tenant's rate at a peer. Ignores rates that are no number or negative, and unknown tenants.
     pub fn record_peer_rate(&mut self, from: u16, tenant: u16, per_s: f64, now: Micros) {
-        let (t, n) = (usize::from(tenant), self.tenants.len());
-        if t < n && per_s.is_finite() && per_s >= 0.0 {
-            let peer = self.peers.entry(from).or_insert_with(|| (now, vec![0.0; n]));
+        let (tenant_index, tenant_count) = (usize::from(tenant), self.tenants.len());
+        if tenant_index < tenant_count && per_s.is_finite() && per_s >= 0.0 {
+            let peer = self.peers.entry(from).or_insert_with(|| (now, vec![0.0; tenant_count]));
             peer.0 = now;
-            peer.1[t] = per_s;
+            peer.1[tenant_index] = per_s;
         }
     }
 }
@@ -679,9 +687,11 @@
         settings.classes[self.class].worth * if self.over_quota { settings.over_quota_worth } else { 1.0 }
     }
     /// Until when an answer is worth enough to wait for.
-    pub fn useful_until(&self, c: &Class) -> Micros {
-        if c.latency_target_stretch <= 0.0 && (c.late_worth <= 0.0 || (self.held && c.late_worth < 0.5)) {
-            self.give_up_at.min(self.arrived.saturating_add(c.latency_target))
+    pub fn useful_until(&self, class: &Class) -> Micros {
+        if class.latency_target_stretch <= 0.0
+            && (class.late_worth <= 0.0 || (self.held && class.late_worth < 0.5))
+        {
+            self.give_up_at.min(self.arrived.saturating_add(class.latency_target))
         } else {
             self.give_up_at
         }
@@ -689,9 +699,9 @@
     /// Until when an attempt may be sent. A held request may be sent for half of its client's time only.
     /// Guards against a client that waits in vain for most of its time: from half of it on, a retry elsewhere
     /// serves the client better.
-    pub fn sendable_until(&self, c: &Class) -> Micros {
+    pub fn sendable_until(&self, class: &Class) -> Micros {
         let half = self.arrived + self.give_up_at.saturating_sub(self.arrived) / 2;
-        self.useful_until(c).min(if self.held { half } else { self.give_up_at })
+        self.useful_until(class).min(if self.held { half } else { self.give_up_at })
     }
 }
 
@@ -705,14 +715,14 @@
     max_len: usize,
 ) -> Vec<PeerUpdate> {
     let mut updates = quotas.rates_to_announce(now);
-    let is_new = |i: &usize| hosts[*i].position > Some(hosts[*i].announced_position);
+    let is_new = |index: &usize| hosts[*index].position > Some(hosts[*index].announced_position);
     let mut unannounced: Vec<usize> = (0..hosts.len()).filter(is_new).collect();
-    unannounced.sort_by_key(|&i| hosts[i].announced_position);
-    for i in unannounced.into_iter().take(max_len.saturating_sub(updates.len())) {
-        let s = &mut hosts[i];
-        s.announced_position = s.position.unwrap_or(0);
-        let primary = groups.get(&s.group).is_some_and(|g| g.primary == Some(i));
-        updates.push(PeerUpdate::HostPosition { host: s.id, position: s.announced_position, primary });
+    unannounced.sort_by_key(|&index| hosts[index].announced_position);
+    for index in unannounced.into_iter().take(max_len.saturating_sub(updates.len())) {
+        let host = &mut hosts[index];
+        host.announced_position = host.position.unwrap_or(0);
+        let primary = groups.get(&host.group).is_some_and(|group| group.primary == Some(index));
+        updates.push(PeerUpdate::HostPosition { host: host.id, position: host.announced_position, primary });
     }
     updates
 }
@@ -725,41 +735,42 @@
 /// present primary is dropped only if it has left an attempt unanswered since its last answer: a report alone
 /// replaces no primary.
 pub(crate) fn apply_peer_position(
-    hosts: &mut [HostState], groups: &mut BTreeMap<GroupId, Group>, i: usize,
+    hosts: &mut [HostState], groups: &mut BTreeMap<GroupId, Group>, index: usize,
     (reported, primary): (Micros, bool), now: Micros, max_age: Micros,
 ) {
     if reported > now {
         // A position ahead of the clock is not valid.
         return;
     }
-    let s = &mut hosts[i];
-    if s.position.max(Some(s.announced_position)) < Some(reported) {
-        s.lag = s.lag.clamp((now - reported).saturating_sub(max_age), now - reported);
-        (s.position_received_at, s.position_unknown) = (now, false);
+    let host = &mut hosts[index];
+    if host.position.max(Some(host.announced_position)) < Some(reported) {
+        host.lag = host.lag.clamp((now - reported).saturating_sub(max_age), now - reported);
+        (host.position_received_at, host.position_unknown) = (now, false);
     }
-    s.announced_position = s.announced_position.max(reported);
-    s.position = if mutants::on("peers are believed") { s.position.max(Some(reported)) } else { s.position };
-    if let Some(g) = groups.get_mut(&s.group)
+    host.announced_position = host.announced_position.max(reported);
+    host.position =
+        if mutants::on("peers are believed") { host.position.max(Some(reported)) } else { host.position };
+    if let Some(group) = groups.get_mut(&host.group)
         && primary
-        && reported > g.primary_at
-        && g.primary != Some(i)
+        && reported > group.primary_at
+        && group.primary != Some(index)
     {
-        g.listed_primary = Some(i);
-        g.primary = g.primary.filter(|&p| hosts[p].unanswered_at == 0);
+        group.listed_primary = Some(index);
+        group.primary = group.primary.filter(|&p| hosts[p].unanswered_at == 0);
     }
 }
 
 /// Applies a peer's message. Its positions are at most `max_age` old.
 pub(crate) fn apply_peer_updates(
-    hosts: &mut [HostState], groups: &mut BTreeMap<GroupId, Group>, index: &BTreeMap<HostId, usize>,
+    hosts: &mut [HostState], groups: &mut BTreeMap<GroupId, Group>, host_index: &BTreeMap<HostId, usize>,
     quotas: &mut TenantQuotas, (from, updates): (u16, &[PeerUpdate]), now: Micros, max_age: Micros,
 ) {
     for update in updates {
         match *update {
             PeerUpdate::TenantRate { tenant, per_s } => quotas.record_peer_rate(from, tenant, per_s, now),
             PeerUpdate::HostPosition { host, position, primary } => {
-                let Some(&i) = index.get(&host) else { continue };
-                apply_peer_position(hosts, groups, i, (position, primary), now, max_age);
+                let Some(&index) = host_index.get(&host) else { continue };
+                apply_peer_position(hosts, groups, index, (position, primary), now, max_age);
             }
         }
     }
@@ -772,11 +783,11 @@
     hosts: &mut [HostState], requests: &mut BTreeMap<RequestId, Request>, id: RequestId, give_up_at: Micros,
     now: Micros,
 ) {
-    let Some(r) = requests.get_mut(&id).filter(|r| r.is_incomplete) else { return };
-    (r.is_incomplete, r.arrived, r.give_up_at) = (false, now, give_up_at);
-    for a in r.attempts.iter_mut().filter(|a| a.outcome.is_none()) {
-        a.sent = now;
-        hosts[a.host].in_flight += 1;
+    let Some(request) = requests.get_mut(&id).filter(|request| request.is_incomplete) else { return };
+    (request.is_incomplete, request.arrived, request.give_up_at) = (false, now, give_up_at);
+    for attempt in request.attempts.iter_mut().filter(|attempt| attempt.outcome.is_none()) {
+        attempt.sent = now;
+        hosts[attempt.host].in_flight += 1;
     }
 }
 
@@ -786,14 +797,15 @@
     hosts: &mut [HostState], requests: &BTreeMap<RequestId, Request>, scales: &[f64], now: Micros,
     old_weight: f64,
 ) {
-    for s in hosts.iter_mut() {
-        s.oldest_pending = 0.0;
-        s.update_in_flight_average(old_weight);
-    }
-    for r in requests.values().filter(|r| !r.is_incomplete) {
-        for a in r.attempts.iter().filter(|a| a.outcome.is_none()) {
-            let s = &mut hosts[a.host];
-            s.oldest_pending = s.oldest_pending.max((now - a.sent) as f64 * scales[r.class]);
+    for host in hosts.iter_mut() {
+        host.oldest_pending = 0.0;
+        host.update_in_flight_average(old_weight);
+    }
+    for request in requests.values().filter(|request| !request.is_incomplete) {
+        for attempt in request.attempts.iter().filter(|attempt| attempt.outcome.is_none()) {
+            let host = &mut hosts[attempt.host];
+            host.oldest_pending =
+                host.oldest_pending.max((now - attempt.sent) as f64 * scales[request.class]);
         }
     }
 }
@@ -801,37 +813,41 @@
 /// Forgets hosts that were removed before `before` and have no attempt of a kept request; new hosts take
 /// their entries. A host that left the list without draining is forgotten only if `without_drain` is set.
 pub(crate) fn forget_removed_hosts(
-    hosts: &mut [HostState], index: &mut BTreeMap<HostId, usize>, groups: &mut BTreeMap<GroupId, Group>,
+    hosts: &mut [HostState], host_index: &mut BTreeMap<HostId, usize>, groups: &mut BTreeMap<GroupId, Group>,
     requests: &BTreeMap<RequestId, Request>, without_drain: bool, before: Micros,
 ) {
-    for (i, s) in hosts.iter_mut().enumerate() {
-        let is_removed = s.listed == HostStatus::Removed
-            && (without_drain || s.seen_draining)
-            && s.unavailable_since < before;
-        if s.vacant || !is_removed || requests.values().any(|r| r.attempts.iter().any(|a| a.host == i)) {
+    for (index, host) in hosts.iter_mut().enumerate() {
+        let is_removed = host.listed == HostStatus::Removed
+            && (without_drain || host.seen_draining)
+            && host.unavailable_since < before;
+        if host.vacant
+            || !is_removed
+            || requests.values().any(|request| request.attempts.iter().any(|a| a.host == index))
+        {
             continue;
         }
-        index.remove(&s.id);
-        if let Some(g) = groups.get_mut(&s.group) {
-            g.members.retain(|&m| m != i);
-            g.primary = g.primary.filter(|&m| m != i);
-            g.listed_primary = g.listed_primary.filter(|&m| m != i);
+        host_index.remove(&host.id);
+        if let Some(group) = groups.get_mut(&host.group) {
+            group.members.retain(|&member| member != index);
+            group.primary = group.primary.filter(|&member| member != index);
+            group.listed_primary = group.listed_primary.filter(|&member| member != index);
         }
-        *s = HostState { vacant: true, listed: HostStatus::Removed, ..HostState::default() };
+        *host = HostState { vacant: true, listed: HostStatus::Removed, ..HostState::default() };
     }
 }
 
 /// Adds a host that the list names for the first time, or again after it was forgotten.
 pub(crate) fn add_host(
-    hosts: &mut Vec<HostState>, index: &mut BTreeMap<HostId, usize>, groups: &mut BTreeMap<GroupId, Group>,
-    e: &HostEntry, (concurrency_limit, first_listed_at): (f64, Micros),
+    hosts: &mut Vec<HostState>, host_index: &mut BTreeMap<HostId, usize>,
+    groups: &mut BTreeMap<GroupId, Group>, entry: &HostEntry,
+    (concurrency_limit, first_listed_at): (f64, Micros),
 ) {
-    let i = hosts.iter().position(|s| s.vacant).unwrap_or(hosts.len());
-    if i == hosts.len() {
+    let index = hosts.iter().position(|host| host.vacant).unwrap_or(hosts.len());
+    if index == hosts.len() {
         hosts.push(HostState::default());
     }
-    let (id, group, zone) = (e.host, e.group, e.zone);
-    hosts[i] = HostState {
+    let (id, group, zone) = (entry.host, entry.group, entry.zone);
+    hosts[index] = HostState {
         id,
         group,
         zone,
@@ -840,10 +856,10 @@
         concurrency_limit,
         ..HostState::default()
     };
-    index.insert(e.host, i);
-    let members = &mut groups.entry(e.group).or_default().members;
-    members.push(i);
-    members.sort_by_key(|&m| hosts[m].id);
+    host_index.insert(entry.host, index);
+    let members = &mut groups.entry(entry.group).or_default().members;
+    members.push(index);
+    members.sort_by_key(|&member| hosts[member].id);
 }
 
 #[cfg(test)]
