--- a/src/net/admission.rs
+++ b/src/net/admission.rs
@@ -19,7 +19,7 @@
 /// A connection that is idle for this long between requests is closed. Guards against clients that send one request and
 /// keep the connection.
 pub const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// The idle timeout while more than 1/8 of all slots are idle.
+/// The idle timeout while more than 1/8 of all slots are idle, and of a connection without any request so far.
 pub const IDLE_TIMEOUT_CROWDED: Duration = Duration::from_secs(2);
 /// The idle timeout while more than 2/8 of all slots are idle.
 pub const IDLE_TIMEOUT_OVERCROWDED: Duration = Duration::from_millis(300);
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -1,5 +1,6 @@
-//! Crossings: a request, an answer, a signal or a close that comes at the very moment of another. Each is forced, by
-//! peers that hold back until told or by a program that is frozen while both happen. `docs/crossings.md` is the table.
+//! Races between two events: a request, an answer, a signal or a close that comes at the very moment of another. The tests
+//! force each race, with peers that hold back until the test lets them go on, or with a program that is frozen while both
+//! events happen. `docs/crossings.md` lists the races.
 
 mod support;
 
@@ -11,20 +12,21 @@
 use std::time::{Duration, Instant};
 use support::*;
 
-fn served(value: &'static str) -> Host {
+fn host_serving(value: &'static str) -> Host {
     Host::start(move |_, _| Reply::Row(value))
 }
 
-/// A host that answers each query with what it is told to then.
-fn told() -> (Host, Sender<Reply>) {
-    let (tell, told) = channel::<Reply>();
-    let told = Mutex::new(told);
-    let answer =
-        move |_: usize, _: &str| told.lock().expect("lock").recv_timeout(PATIENCE).unwrap_or(Reply::Silence);
-    (Host::start(answer), tell)
+/// A host that answers each query with the next reply that the test sends.
+fn host_replying_on_demand() -> (Host, Sender<Reply>) {
+    let (reply_sender, replies) = channel::<Reply>();
+    let replies = Mutex::new(replies);
+    let script = move |_: usize, _: &str| {
+        replies.lock().expect("lock").recv_timeout(PATIENCE).unwrap_or(Reply::Silence)
+    };
+    (Host::start(script), reply_sender)
 }
 
-fn linger(ms: u32) -> impl Fn(String) -> String {
+fn with_linger_ms(ms: u32) -> impl Fn(String) -> String {
     move |config| config.replacen('{', &format!("{{\"linger_ms\":{ms},"), 1)
 }
 
@@ -34,29 +36,32 @@
     )
 }
 
-/// The stop's time ends long before the client's patience does.
+/// The stop's time ends long before the clients' deadlines. One write was sent to its host, another has no connection yet,
+/// and a third client sends only a part of its request.
 #[test]
-fn a_stop_answers_what_is_still_open_in_words_and_what_came_behind_it() {
+fn a_stop_answers_open_and_pipelined_requests_with_errors() {
     let host = Host::start(|_, _| Reply::Silence);
     let mute = Host::mute();
-    let mut proxy = Proxy::start_with(&[&host], 1024, linger(100));
-    let mut never = Proxy::start_with(&[&mute], 1024, |c| {
-        linger(100)(c).replace("\"dialTimeoutUs\":1500000", "\"dialTimeoutUs\":19000000")
+    let mut proxy = Proxy::start_with(&[&host], 1024, with_linger_ms(100));
+    let mut proxy_without_connection = Proxy::start_with(&[&mute], 1024, |c| {
+        with_linger_ms(100)(c).replace("\"dialTimeoutUs\":1500000", "\"dialTimeoutUs\":19000000")
     });
-    let (mut sent, mut unsent, mut half) = (proxy.client(), never.client(), proxy.client());
-    let behind: Vec<u8> = ["2", "3"].iter().flat_map(|id| query(&read(id, "history", 20_000))).collect();
-    sent.send(&[query(&write("1", 20_000)), behind].concat());
+    let mut sent = proxy.client();
+    let mut unsent = proxy_without_connection.client();
+    let mut partial = proxy.client();
+    let pipelined: Vec<u8> = ["2", "3"].iter().flat_map(|id| query(&read(id, "history", 20_000))).collect();
+    sent.send(&[query(&write("1", 20_000)), pipelined].concat());
     host.query();
     unsent.send(&query(&write("4", 20_000)));
     assert_eq!(mute.next(), Seen::Opened);
     proxy.signal("TERM");
-    never.signal("TERM");
+    proxy_without_connection.signal("TERM");
     proxy.logged("stops");
-    half.send(&query(&read("5", "history", 9_000))[..30]);
-    // It may have run.
+    partial.send(&query(&read("5", "history", 9_000))[..30]);
+    // The write may have run.
     let answer = sent.answer();
     assert_eq!((answer.code.as_str(), answer.end), ("40003", End::Ready), "{}", answer.message);
-    // They have not.
+    // The pipelined reads have not run.
     for _ in 0..2 {
         let answer = sent.answer();
         assert_eq!((answer.code.as_str(), answer.end), ("53300", End::Ready));
@@ -64,16 +69,17 @@
     assert_eq!(sent.answer().end, End::Closed);
     let answer = unsent.answer();
     assert_eq!((answer.code.as_str(), answer.end), ("53300", End::Ready));
-    assert_eq!(half.answer().code, "08P01");
-    assert!(proxy.wait().success() && never.wait().success());
+    assert_eq!(partial.answer().code, "08P01");
+    assert!(proxy.wait().success() && proxy_without_connection.wait().success());
     assert_eq!(host.next(), Seen::Closed);
 }
 
-/// A request on a resting connection that is being shut: the client sees the end, and no reset.
+/// The client sends a request on an idle connection that the proxy is closing. It sees the end of the connection, and no
+/// reset.
 #[test]
-fn a_request_that_crosses_the_end_of_a_resting_connection_is_not_begun_and_resets_nothing() {
-    let host = served("v");
-    let mut proxy = Proxy::start_with(&[&host], 1024, linger(1));
+fn a_request_that_crosses_the_close_of_an_idle_connection_is_not_started_and_not_reset() {
+    let host = host_serving("v");
+    let mut proxy = Proxy::start_with(&[&host], 1024, with_linger_ms(1));
     let mut client = proxy.client();
     assert_eq!(client.ask(&read("1", "history", 9000)).value.as_deref(), Some("v"));
     proxy.signal("TERM");
@@ -87,11 +93,12 @@
     assert_eq!(host.next(), Seen::Closed);
 }
 
-/// All of it is there at once when the program goes on: what was written before the shutdown is answered.
+/// The signals and the requests are there at once when the frozen program goes on. Requests that were written before the
+/// shutdown are answered.
 #[test]
-fn a_request_that_comes_with_the_signal_is_answered_whichever_is_seen_first() {
-    let host = served("v");
-    let mut proxy = Proxy::start_with(&[&host], 1024, linger(1));
+fn a_request_that_comes_with_sigterm_is_answered() {
+    let host = host_serving("v");
+    let mut proxy = Proxy::start_with(&[&host], 1024, with_linger_ms(1));
     let (mut old, mut new) = (proxy.client(), Client::connect(proxy.address));
     proxy.freeze();
     proxy.signal("TERM");
@@ -107,10 +114,10 @@
     assert!(proxy.wait().success());
 }
 
-/// Asks these at once, the first as id 1; its answer and the client's departure come at the same moment. The next client's
-/// request has to be the next that the host sees.
-fn leaves_as_the_answer_comes(texts: &[String], reply: Reply) {
-    let (host, tell) = told();
+/// Sends these requests at once, the first with id 1. Its answer and the client's disconnect come at the same moment. The
+/// next request that the host receives has to be that of another client.
+fn client_disconnects_with_the_answer(texts: &[String], reply: Reply) {
+    let (host, reply_sender) = host_replying_on_demand();
     let proxy = Proxy::start(&[&host], 1024);
     let mut client = proxy.client();
     let all: Vec<u8> = texts.iter().flat_map(|text| query(text)).collect();
@@ -118,31 +125,31 @@
     assert!(host.query().contains("id=1,"));
     proxy.freeze();
     drop(client);
-    tell.send(reply).expect("the host waits");
+    reply_sender.send(reply).expect("the host waits");
     host.replied();
     proxy.thaw();
-    tell.send(Reply::Row("v")).expect("the host waits");
+    reply_sender.send(Reply::Row("v")).expect("the host waits");
     assert_eq!(proxy.client().ask(&read("9", "history", 9000)).value.as_deref(), Some("v"));
     assert!(host.query().contains("id=9,"));
 }
 
-/// An error that would be followed by another attempt.
+/// The answer is an error, after which the proxy would start another attempt.
 #[test]
-fn no_further_attempt_begins_for_a_client_that_left_as_the_answer_came() {
-    leaves_as_the_answer_comes(&[read("1", "history", 20_000)], Reply::Error("XX000"));
+fn no_retry_starts_for_a_client_that_disconnects_with_the_answer() {
+    client_disconnects_with_the_answer(&[read("1", "history", 20_000)], Reply::Error("XX000"));
 }
 
-/// A read waits for the write before it, and must not begin because that has its answer.
+/// A pipelined read waits for the write before it, and must not start when the write has its answer.
 #[test]
-fn no_request_behind_another_begins_for_a_client_that_left() {
-    leaves_as_the_answer_comes(&[write("1", 20_000), read("2", "history", 20_000)], Reply::Row("v"));
+fn no_pipelined_request_starts_for_a_client_that_disconnects_with_the_answer() {
+    client_disconnects_with_the_answer(&[write("1", 20_000), read("2", "history", 20_000)], Reply::Row("v"));
 }
 
-/// A session at a host comes up while its client leaves: both are seen at once, longer after the departure than an attempt
-/// may begin.
+/// A session at a host comes up while the client disconnects. The proxy sees both at once, later after the disconnect than
+/// an attempt may start.
 #[test]
-fn no_attempt_begins_as_its_connection_comes_up_for_a_client_that_left() {
-    let host = served("v");
+fn no_attempt_starts_on_a_new_connection_for_a_disconnected_client() {
+    let host = host_serving("v");
     host.hold_sessions();
     let proxy = Proxy::start(&[&host], 1024);
     let mut client = proxy.client();
@@ -157,41 +164,42 @@
     assert!(host.query().contains("id=9,"));
 }
 
-/// It has sent more than is read ahead, so its end is behind bytes that nobody reads.
+/// The client has sent more than the read-ahead limit, so its end of the connection is behind bytes that are discarded.
 #[test]
-fn a_departure_behind_more_than_is_read_ahead_withdraws_the_attempt() {
+fn a_disconnect_behind_more_than_the_read_ahead_limit_withdraws_the_attempt() {
     let host = Host::start(|_, _| Reply::Silence);
     let proxy = Proxy::start(&[&host], 1024);
     let mut client = proxy.client();
     client.send(&query(&read("1", "history", 20_000)));
     host.query();
     client.send(&query("SELECT 1").repeat((3 << 20) / 14));
-    let left = Instant::now();
+    let disconnected = Instant::now();
     drop(client);
     assert_eq!(host.next(), Seen::Closed);
-    assert!(left.elapsed() < PATIENCE / 2, "the attempt ended with its time, not with its client");
+    assert!(disconnected.elapsed() < PATIENCE / 2, "the attempt ended at its deadline, not with its client");
     assert!(proxy.memory_kb() < 40_000, "{} KB", proxy.memory_kb());
 }
 
-/// What is read ahead is bounded, and the request that was open has its answer before the client hears so.
+/// The read-ahead is limited. The open request is answered before the client gets the error.
 #[test]
-fn a_client_that_sends_too_much_ahead_hears_so_behind_its_answer() {
-    let (host, tell) = told();
+fn a_client_beyond_the_read_ahead_limit_gets_an_error_behind_its_answer() {
+    let (host, reply_sender) = host_replying_on_demand();
     let proxy = Proxy::start(&[&host], 1024);
     let mut client = proxy.client();
     client.send(&query(&read("1", "history", 20_000)));
     assert!(host.query().contains("id=1,"));
-    // More than both machines' buffers hold: most of it has been read when this returns.
+    // More than the socket buffers hold: the proxy has read most of it when this returns.
     client.send(&query("SELECT 1").repeat((16 << 20) / 14));
-    tell.send(Reply::Row("v")).expect("the host waits");
+    reply_sender.send(Reply::Row("v")).expect("the host waits");
     assert_eq!(client.answer().value.as_deref(), Some("v"));
     let answer = client.answer();
     assert_eq!((answer.code.as_str(), answer.end), ("53200", End::Closed));
 }
 
-/// 96 descriptors: 39 for clients. All of them ask before the list is there, and leave.
+/// With 96 descriptors there are 39 slots for clients. All these clients send a query before there is a list, and
+/// disconnect.
 #[test]
-fn clients_that_leave_before_the_proxy_is_ready_give_their_places_back() {
+fn clients_that_disconnect_before_the_proxy_is_ready_free_their_slots() {
     let proxy = Proxy::start(&[], 96);
     let waiting: Vec<Client> = (0..39)
         .map(|_| {
@@ -209,13 +217,13 @@
     assert_eq!(proxy.client().ask(&read("1", "history", 9000)).code, "57P03");
 }
 
-/// Told while it cannot serve yet, or before it has looked at anything: it ends, in order.
+/// SIGTERM comes while the proxy can't serve yet, and then once more.
 #[test]
-fn a_stop_before_the_list_is_there_and_one_that_comes_twice_end_in_order() {
-    let mut proxy = Proxy::start_with(&[], 1024, linger(1));
+fn a_stop_without_a_list_and_a_second_sigterm_end_in_order() {
+    let mut proxy = Proxy::start_with(&[], 1024, with_linger_ms(1));
     let mut client = proxy.client();
     client.send(&query(""));
-    // Another is answered after it: the empty query waits by now.
+    // A later request of another client is answered, so the empty query waits by now.
     assert_eq!(proxy.client().ask(&read("1", "history", 9000)).code, "57P03");
     proxy.signal("TERM");
     proxy.logged("stops");
@@ -226,14 +234,14 @@
     assert!(proxy.wait().success());
 }
 
-/// The host ends a connection at rest, with half of a line, in the moment in which a request is written to it.
+/// The host ends an idle connection, with a part of a message, at the moment in which a request would be written to it.
 #[test]
-fn a_host_that_shuts_a_resting_connection_with_half_a_line_costs_no_attempt() {
-    let (host, tell) = told();
-    let one = |config: String| config.replace("\"mostTries\":10", "\"mostTries\":1");
-    let proxy = Proxy::start_with(&[&host], 1024, one);
+fn an_idle_host_connection_that_ends_with_a_partial_message_costs_no_attempt() {
+    let (host, reply_sender) = host_replying_on_demand();
+    let one_attempt = |config: String| config.replace("\"mostTries\":10", "\"mostTries\":1");
+    let proxy = Proxy::start_with(&[&host], 1024, one_attempt);
     let mut client = proxy.client();
-    tell.send(Reply::Row("v")).expect("the host waits");
+    reply_sender.send(Reply::Row("v")).expect("the host waits");
     assert_eq!(client.ask(&read("1", "history", 9000)).value.as_deref(), Some("v"));
     host.query();
     proxy.freeze();
@@ -241,31 +249,31 @@
     host.end_connections(b"E\0\0\0");
     assert_eq!(host.next(), Seen::Closed);
     proxy.thaw();
-    tell.send(Reply::Row("w")).expect("the host waits");
+    reply_sender.send(Reply::Row("w")).expect("the host waits");
     let answer = client.answer();
     assert_eq!(answer.value.as_deref(), Some("w"), "{answer:?}");
     assert_eq!(host.next(), Seen::Opened);
 }
 
-/// It writes on and on and reads nothing; whoever is beside it is served.
+/// Each client writes 200 KB, reads nothing and disconnects. Other clients are served.
 #[test]
-fn a_client_that_sends_much_and_goes_harms_nobody() {
-    let host = served("v");
+fn a_client_that_sends_much_and_disconnects_does_not_affect_others() {
+    let host = host_serving("v");
     let proxy = Proxy::start(&[&host], 1024);
     for _ in 0..20 {
         let mut client = proxy.client();
-        let much = query("SELECT 1").repeat(200 * 1024 / 14);
-        // It may be told to go in the middle of this.
-        let sent = client.stream.write_all(&much);
+        let many_queries = query("SELECT 1").repeat(200 * 1024 / 14);
+        // The proxy may close the connection in the middle of this.
+        let sent = client.stream.write_all(&many_queries);
         assert!(sent.is_ok() || sent.is_err_and(|e| e.kind() != ErrorKind::WouldBlock));
     }
     assert_eq!(proxy.client().ask(&read("1", "history", 9000)).value.as_deref(), Some("v"));
     assert!(proxy.memory_kb() < 40_000, "{} KB", proxy.memory_kb());
 }
 
-/// The first attempt may have run; the connection for the next comes up when the key may be forgotten.
+/// The first attempt may have run. The connection for the next one comes up when hosts may have forgotten the key.
 #[test]
-fn a_keyed_write_does_not_go_again_over_a_connection_that_came_up_after_its_window() {
+fn a_keyed_write_is_not_retried_after_its_deduplication_window() {
     let host = Host::late(std::time::Duration::from_millis(900));
     let window = |config: String| config.replace("\"dedupWindowUs\":9000000", "\"dedupWindowUs\":700000");
     let proxy = Proxy::start_with(&[&host], 1024, window);
@@ -274,15 +282,15 @@
     assert!(host.query().contains("id=1,"));
     assert_eq!(host.next(), Seen::Closed);
     assert_eq!(host.next(), Seen::Opened);
-    // The late connection is there for whoever comes next, or closed; no query came over it before.
-    let next = proxy.client().ask(&write("2", 9_000));
-    assert_eq!(next.value.as_deref(), Some("v"));
+    // The late connection serves the next client or is closed; no query was written to it before.
+    let next_answer = proxy.client().ask(&write("2", 9_000));
+    assert_eq!(next_answer.value.as_deref(), Some("v"));
     assert!(host.query().contains("id=2,"));
 }
 
-/// The configuration is a pipe: the program stands in the middle of its start until the test writes to it.
+/// The configuration is a pipe, which holds the program in the middle of its start until the test writes to it.
 #[test]
-fn signals_before_the_configuration_is_read_end_nothing_outright() {
+fn signals_before_the_configuration_is_read_are_handled_in_order() {
     let agent = Agent::start();
     let pipe = std::env::temp_dir().join(format!("sillfold-{}-early", std::process::id()));
     assert!(Command::new("mkfifo").arg(&pipe).status().expect("mkfifo").success());
@@ -302,11 +310,11 @@
         // Returns once the program reads.
         let mut writer = std::fs::OpenOptions::new().write(true).open(&pipe).expect("the program reads");
         let id = child.id();
-        let tell = |signal: &str| {
+        let send_signal = |signal: &str| {
             let kill = format!("kill -{signal} {id}");
             assert!(Command::new("sh").args(["-c", &kill]).status().expect("kill").success());
         };
-        tell(signal);
+        send_signal(signal);
         writer.write_all(config("127.0.0.1:0").as_bytes()).expect("the program reads");
         drop(writer);
         let mut lines = BufReader::new(child.stderr.take().expect("piped"));
@@ -315,10 +323,10 @@
             while !log.contains("serves on") {
                 assert!(lines.read_line(&mut log).expect("text") > 0, "after {signal}: {log}");
             }
-            // It was heard: the configuration is read again.
+            // The program handles SIGHUP by reading the configuration again.
             let again = std::fs::OpenOptions::new().write(true).open(&pipe);
             again.expect("the program reads").write_all(config("127.0.0.1:0").as_bytes()).expect("it reads");
-            tell("TERM");
+            send_signal("TERM");
         }
         lines.read_to_string(&mut log).expect("text");
         let status = child.wait().expect("it ends");
@@ -328,7 +336,7 @@
     std::fs::remove_file(&pipe).expect("removed");
 }
 
-/// An answer without the role and the end that follow its command's.
+/// An answer up to the end of its command, without the role and the end of the answer that follow.
 fn row_alone() -> Vec<u8> {
     let mut whole = row("v");
     let rest = [message(b'S', b"server_role\0writer\0"), message(b'Z', b"I")].concat();
@@ -337,7 +345,7 @@
     whole
 }
 
-/// The same without the command's end: nobody can tell that it is whole.
+/// The same without the end of the command, so that the answer isn't complete.
 fn unfinished_row() -> Vec<u8> {
     let mut unfinished = row_alone();
     let complete = message(b'C', b"SELECT 1\0");
@@ -346,12 +354,13 @@
     unfinished
 }
 
-/// A primary that says it is none, in an answer that does not end. Behind its command's end the answer is whole.
+/// A host that is listed as primary reports that it is a replica, in an answer that does not end. An answer whose command
+/// has ended is complete all the same.
 #[test]
-fn what_an_answer_tells_of_its_host_counts_though_the_answer_does_not_end_in_time() {
+fn the_role_in_an_answer_counts_though_the_answer_does_not_end_in_time() {
     for (beginning, code, value) in [(unfinished_row(), "53300", None), (row_alone(), "", Some("v"))] {
-        let told = [beginning, message(b'S', b"server_role\0reader\0")].concat();
-        let host = Host::start(move |_, _| Reply::Bytes(told.clone()));
+        let partial_answer = [beginning, message(b'S', b"server_role\0reader\0")].concat();
+        let host = Host::start(move |_, _| Reply::Bytes(partial_answer.clone()));
         let proxy = Proxy::start(&[&host], 1024);
         let answer = proxy.client().ask(&read("1", "browse", 700));
         assert_eq!((answer.code.as_str(), answer.value.as_deref()), (code, value));
@@ -359,10 +368,10 @@
     }
 }
 
-/// The same, where the client leaves as the answer comes.
+/// The same, where the client disconnects with the answer.
 #[test]
-fn what_an_answer_tells_of_its_host_counts_though_its_client_left_at_that_moment() {
-    let (host, tell) = told();
+fn the_role_in_an_answer_counts_though_its_client_disconnects_with_it() {
+    let (host, reply_sender) = host_replying_on_demand();
     let proxy = Proxy::start(&[&host], 1024);
     let mut client = proxy.client();
     client.send(&query(&read("1", "history", 20_000)));
@@ -370,39 +379,39 @@
     proxy.freeze();
     drop(client);
     let text = [row_alone(), message(b'S', b"server_role\0reader\0"), message(b'Z', b"I")].concat();
-    tell.send(Reply::Bytes(text)).expect("the host waits");
+    reply_sender.send(Reply::Bytes(text)).expect("the host waits");
     host.replied();
     proxy.thaw();
     proxy.logged("is no longer primary");
 }
 
-/// All places are taken by clients that have said nothing yet, and one that asks waits for a place as the stop comes: it is
-/// not dropped over what it has written.
+/// All slots are taken by clients that have sent nothing yet, and a client with a request waits for a slot when the stop
+/// comes. Its connection must not be reset with its request unread.
 #[test]
-fn a_connection_that_waits_for_a_place_as_the_stop_comes_is_not_reset() {
-    let host = served("v");
-    // 39 places for clients.
-    let mut proxy = Proxy::start_with(&[&host], 96, linger(300));
+fn a_connection_that_waits_for_a_slot_at_a_stop_is_not_reset() {
+    let host = host_serving("v");
+    // 39 slots for clients.
+    let mut proxy = Proxy::start_with(&[&host], 96, with_linger_ms(300));
     let silent: Vec<Client> = (0..39).map(|_| Client::connect(proxy.address)).collect();
     let mut asking = Client::connect(proxy.address);
     asking.send(&[startup(), query(&read("1", "history", 9000))].concat());
     proxy.has_accepted_all();
     proxy.signal("TERM");
-    let mut came = Vec::new();
-    let ended = asking.stream.read_to_end(&mut came);
-    assert!(ended.is_ok(), "{ended:?} behind {} bytes", came.len());
-    assert!(!came.is_empty(), "neither an answer nor a refusal");
+    let mut received = Vec::new();
+    let ended = asking.stream.read_to_end(&mut received);
+    assert!(ended.is_ok(), "{ended:?} behind {} bytes", received.len());
+    assert!(!received.is_empty(), "neither an answer nor a refusal");
     drop(silent);
     assert!(proxy.wait().success());
 }
 
-/// A host takes the beginning of a statement and then reads nothing for a while: what the statement tells of the time that is
-/// left was true when its first byte went, and is 0.3 s too much when its last one does. "id … at …" as `patience_exceeded`
-/// in the log, and the same in the figures.
+/// A host reads the beginning of a statement and then nothing for a while. The remaining patience in the statement is right
+/// when its first byte is written, and 0.3 s too long when its last one is. Without the check, the log and the figures
+/// report `patience_exceeded`.
 #[test]
 fn a_statement_whose_write_stalls_tells_its_host_no_more_time_than_its_client_has() {
     let stuck = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
-    // Small segments and a small window: the machine takes little of a statement at once.
+    // With small segments and a small window, the sockets buffer little of a statement.
     stuck.set_recv_buffer_size(4_096).expect("set");
     stuck.set_tcp_mss(536).expect("set");
     stuck.bind(&SocketAddr::new(address(), 0).into()).expect("bound");
@@ -411,7 +420,7 @@
     let mut stuck = Host::start(|_, _| Reply::Row("v"));
     stuck.address = listener.local_addr().expect("bound");
     let (read_on, may_read) = std::sync::mpsc::channel::<()>();
-    let (tell, whole) = std::sync::mpsc::channel();
+    let (completeness, is_complete) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
         let mut small = Vec::new();
         for mut stream in listener.incoming().flatten() {
@@ -423,7 +432,7 @@
             let mut rest = Vec::new();
             let _ = stream.set_read_timeout(Some(Duration::from_millis(500)));
             let _ = stream.read_to_end(&mut rest);
-            let _ = tell.send(rest.ends_with(b"'\0"));
+            let _ = completeness.send(rest.ends_with(b"'\0"));
         }
     });
     let proxy = Proxy::with_console(&[&stuck], 1024);
@@ -433,12 +442,13 @@
     proxy.has_open(1);
     clock_passes(unix_ms() + 300);
     read_on.send(()).expect("the host waits");
-    assert!(!whole.recv_timeout(PATIENCE).expect("the host reads"), "the host has all of it, 0.3 s late");
+    let complete = is_complete.recv_timeout(PATIENCE).expect("the host reads");
+    assert!(!complete, "the host has the complete statement, 0.3 s late");
     assert_eq!(proxy.figures()["invariants"]["patience_exceeded"], 0);
     assert_eq!(client.answer().end, End::Ready);
 }
 
-/// Opens a session and returns the length that the head of its first statement tells; nothing where it ends before.
+/// Opens a session and returns the length in the head of its first statement; `None` if the connection ends before.
 fn statement_length(stream: &mut TcpStream) -> Option<usize> {
     let mut length = [0; 4];
     stream.read_exact(&mut length).ok()?;
--- a/tests/plain.rs
+++ b/tests/plain.rs
@@ -1,5 +1,5 @@
-//! Plain statements through the program, among the lab's stand-ins: a story for each promise that is made of
-//! them, and for each failure they may meet.
+//! Tests of plain statements, those without a leading comment, through the program with the lab's stand-ins: one for each
+//! guarantee, and for each failure that they may meet.
 
 use sillfold_lab::{
     Agent, Answer, Client, Entry, Fault, Group, Host, Options, Proxy, Seen, address, settings,
@@ -13,7 +13,7 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_sillfold");
 
-/// All reads are `browse`, all writes `ingest`, in group 3.
+/// Reads of the table `anywhere` have the class `history`, other reads `browse`, and writes `ingest`; all go to group 3.
 const OPERATOR: &str = r#"{
   // Comments, and commas at the end, are JSON5.
   statements: {
@@ -26,7 +26,7 @@
   },
 }"#;
 
-/// A group of one primary and two replicas, and a proxy before it.
+/// A group of one primary and two replicas, behind a proxy.
 struct Fleet {
     group: Arc<Group>,
     hosts: Vec<Host>,
@@ -44,7 +44,7 @@
     fleet_with(operator, lag_ms, Duration::ZERO)
 }
 
-/// The same, whose primary takes so long for a statement.
+/// The same, with a primary that takes this long for a statement.
 fn fleet_with(operator: &str, lag_ms: u64, takes: Duration) -> Fleet {
     let group = Group::new();
     let primary = Options { name: "s-1".into(), primary: true, takes, ..Options::default() };
@@ -65,18 +65,18 @@
     fn ask(&self, text: &str) -> Answer {
         self.client().ask(text).expect("an answer")
     }
-    /// Asks until a replica has answered once: its position is known from then on.
+    /// Sends reads until both replicas have answered, so that their positions are known.
     fn warm(&self) {
         let mut client = self.client();
-        let since = Instant::now();
+        let started = Instant::now();
         loop {
             client.ask("SELECT 'warm'").expect("an answer");
-            let replicas = self.hosts[1..].iter().all(|h| !h.queries().is_empty());
-            if replicas {
+            let all_answered = self.hosts[1..].iter().all(|h| !h.queries().is_empty());
+            if all_answered {
                 self.hosts[0].queries();
                 return;
             }
-            assert!(since.elapsed() < PATIENCE, "no replica is ever asked");
+            assert!(started.elapsed() < PATIENCE, "no replica is ever asked");
         }
     }
     fn replica_queries(&self) -> usize {
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn answers_pass_whole_with_any_columns_rows_and_results_and_errors_with_all_their_fields() {
+fn answers_and_errors_are_forwarded_completely() {
     let fleet = fleet(OPERATOR, 20);
     let mut client = fleet.client();
     let answer = client.ask("INSERT INTO entries (ref, payload) VALUES ('7f', 'it''s')").expect("an answer");
@@ -97,38 +97,38 @@
     let row = |n: &str| vec![Some(n.to_string()), None, Some("x".to_string())];
     assert_eq!(answer.results, [[row("1"), row("2"), row("3")]]);
     assert_eq!(client.ask("SELECT payload FROM entries WHERE ref = 'none'").expect("one").results, [[[]; 0]]);
-    // Several statements: all results, from the primary.
+    // A text of several statements goes to the primary, and all results are forwarded.
     let several =
         "SELECT 'a'; INSERT INTO entries (ref, payload) VALUES ('8f', 'b') RETURNING payload; SELECT 2";
     let answer = client.ask(several).expect("an answer");
     assert_eq!(answer.tags, ["SELECT 1", "INSERT 0 1", "SELECT 1"]);
     assert_eq!(answer.results.len(), 3);
     assert!(fleet.hosts[0].queries().iter().any(|q| q == several));
-    // A host's error is the statement's answer, all of it, and is tried once.
+    // A host's error is forwarded with all its fields, and the statement isn't retried.
     fleet.hosts[0].fail(Fault::Error("23505"));
     let answer = client.ask("INSERT INTO entries (ref) VALUES ('9f')").expect("an answer");
     assert_eq!((answer.code(), answer.field('H')), ("23505", "a hint of the stand-in's"));
     assert_eq!(fleet.group.writes_of("9f"), 0);
-    // Empty ones are answered as PostgreSQL does, and the session goes on.
+    // Empty statements are answered as PostgreSQL does, and the session goes on.
     for text in ["", " ; ", "-- nothing", "/* no */ ;"] {
         assert!(client.ask(text).expect("an answer").empty, "{text:?}");
     }
     assert_eq!(client.ask("SELECT 1").expect("an answer").value(), Some("ok"));
-    // A comment that is no request's is a comment.
+    // A comment that isn't that of a request is ignored.
     assert_eq!(client.ask("/* app=school,route=x */ SELECT 1").expect("one").value(), Some("ok"));
-    // A request's is one, right or wrong.
-    let asked = "/* id=1,c=history,d=9000,cluster=3 */ SELECT payload FROM entries WHERE ref = '7f'";
-    assert_eq!(client.ask(asked).expect("an answer").value(), Some("it's"));
+    // A leading comment of a request makes the statement a request, whether the comment is valid or not.
+    let request = "/* id=1,c=history,d=9000,cluster=3 */ SELECT payload FROM entries WHERE ref = '7f'";
+    assert_eq!(client.ask(request).expect("an answer").value(), Some("it's"));
     assert_eq!(client.ask("/* id=1,c=history,cluster=3 */ SELECT 1").expect("one").code(), "42601");
 }
 
 #[test]
-fn statements_that_cannot_be_served_are_refused_with_the_reason_and_nothing_goes_out() {
+fn unsupported_statements_are_refused_with_a_reason_and_not_sent() {
     let operator = OPERATOR.replace("enabled: true,", "enabled: true, several: 'refuse',");
     let fleet =
         fleet(&operator.replace("effects: ['write'],", "effects: ['write'], tables: ['entries'],"), 0);
     let mut client = fleet.client();
-    for (text, code, why) in [
+    for (text, code, reason) in [
         ("BEGIN", "0A000", "no transaction is kept here"),
         ("SET search_path = x", "0A000", "no state of a session"),
         ("SELECT pg_advisory_lock(1)", "0A000", "no state of a session"),
@@ -140,7 +140,7 @@
     ] {
         let answer = client.ask(text).expect("an answer");
         assert_eq!(answer.code(), code, "{text}");
-        assert!(answer.field('M').contains(why), "{text}: {}", answer.field('M'));
+        assert!(answer.field('M').contains(reason), "{text}: {}", answer.field('M'));
         if answer.failed {
             client.ask("ROLLBACK").expect("an answer");
         }
@@ -155,27 +155,32 @@
 }
 
 #[test]
-fn what_follows_a_refused_begin_is_refused_too_up_to_its_end_and_nothing_of_it_runs() {
+fn statements_in_a_refused_transaction_are_refused_up_to_its_end() {
     let fleet = fleet(OPERATOR, 0);
     let mut client = fleet.client();
     let answer = client.ask("BEGIN").expect("an answer");
     assert_eq!((answer.code(), answer.failed), ("0A000", true));
-    let asked = "/* id=1,c=history,d=9000,cluster=3 */ SELECT payload FROM entries WHERE ref = 'x'";
-    for inside in
-        ["INSERT INTO entries (ref) VALUES ('half')", "SELECT 1", "SAVEPOINT s", "BEGIN", "SELECT 'a", asked]
-    {
+    let request = "/* id=1,c=history,d=9000,cluster=3 */ SELECT payload FROM entries WHERE ref = 'x'";
+    for inside in [
+        "INSERT INTO entries (ref) VALUES ('half')",
+        "SELECT 1",
+        "SAVEPOINT s",
+        "BEGIN",
+        "SELECT 'a",
+        request,
+    ] {
         let answer = client.ask(inside).expect("an answer");
         assert_eq!((answer.code(), answer.failed), ("25P02", true), "{inside}");
     }
     let long = format!("INSERT INTO entries (ref) VALUES ('{}')", "x".repeat(200_000));
     assert_eq!(client.ask(&long).expect("an answer").code(), "25P02");
-    // As PostgreSQL ends a transaction that has failed.
+    // COMMIT ends the transaction with ROLLBACK, as in PostgreSQL after an error.
     let answer = client.ask("COMMIT").expect("an answer");
     assert_eq!((answer.tags.as_slice(), answer.failed), (&["ROLLBACK".to_string()][..], false));
     assert_eq!(client.ask("SELECT 1").expect("an answer").value(), Some("ok"));
     let whole = client.ask("BEGIN; INSERT INTO entries (ref) VALUES ('half'); COMMIT").expect("an answer");
     assert_eq!((whole.code(), whole.failed), ("0A000", false));
-    // Another session knows nothing of it.
+    // Another session isn't affected.
     client.ask("BEGIN").expect("an answer");
     assert_eq!(fleet.ask("SELECT 1").value(), Some("ok"));
     assert_eq!(fleet.group.writes_of("half"), 0);
@@ -184,7 +189,7 @@
 }
 
 #[test]
-fn without_the_operators_file_a_plain_statement_is_refused_as_ever() {
+fn a_plain_statement_is_refused_without_the_operators_file() {
     let group = Group::new();
     let one = host(&group, "s-1", true, 0);
     let agent = Agent::start(address(), vec![Entry::of(&one, 3)]).expect("an agent");
@@ -196,9 +201,9 @@
 }
 
 #[test]
-fn no_write_of_the_corpus_ever_reaches_a_replica() {
-    // A primary that is as fast as its replicas draws reads by chance: so few were left, now and then, that the
-    // count at the end failed.
+fn no_write_of_the_corpus_reaches_a_replica() {
+    // The primary is slower than its replicas. With equal speeds, the primary got so many reads by chance that the count of
+    // reads at replicas was sometimes too low.
     let fleet = fleet_with(OPERATOR, 10, Duration::from_millis(3));
     fleet.warm();
     let corpus = include_str!("../crates/sql/tests/corpus.txt");
@@ -207,7 +212,7 @@
         let mut parts = line.splitn(3, " | ");
         let (effect, _, text) = (parts.next().unwrap_or(""), parts.next(), parts.next().unwrap_or(""));
         let text = text.replace('⏎', "\n");
-        // A session of its own has written nothing that its reads must see: what is held a read may go anywhere.
+        // Each statement has a new session, which has no writes that a read must see, so reads may go to any host.
         let mut client = fleet.client();
         let answer = client.ask(&text).expect("an answer to every statement");
         if matches!(effect, "session" | "invalid") {
@@ -225,12 +230,12 @@
             writes += usize::from(effect == "write");
         }
     }
-    // Shows that there was something to go wrong.
+    // Makes sure that the corpus holds enough reads and writes to show a fault.
     assert!(reads > 20 && writes > 100, "{reads} at replicas, {writes} writes");
 }
 
 #[test]
-fn a_write_without_a_key_is_never_sent_again_once_it_may_have_run() {
+fn a_write_without_a_key_is_not_retried_once_it_may_have_run() {
     let fleet = fleet(OPERATOR, 0);
     let mut client = fleet.client();
     for (n, (fault, ran)) in [
@@ -250,25 +255,25 @@
         assert_eq!(fleet.group.writes_of(&format!("k{n}")), ran, "{fault:?}");
         assert_eq!(fleet.hosts[0].queries(), [text], "{fault:?}");
     }
-    // What never ran goes out again: the session was full, and the next try is served.
+    // A write that did not run is retried: the host rejects the first attempt as full, and serves the second.
     fleet.hosts[0].fail(Fault::Error("53300"));
     let answer = client.ask("INSERT INTO entries (ref, payload) VALUES ('full', 'x')").expect("an answer");
     assert_eq!((answer.code(), fleet.group.writes_of("full")), ("", 1));
-    // The budget for repeats grows with what is asked.
+    // The budget for retries grows with the number of requests.
     (0..20).for_each(|_| drop(client.ask("SELECT 1").expect("an answer")));
     fleet.hosts[0].queries();
-    // A keyed one of the commented kind is repeated, as ever: the group would drop the second.
+    // A request with a key in its leading comment is retried, since the group would drop a second run.
     fleet.hosts[0].fail(Fault::Reset);
     let keyed = "/* id=1,c=ingest,d=9000,k=5c,cluster=3 */ INSERT INTO entries (ref, payload) \
                  VALUES ('c', 'x') RETURNING payload";
     assert_eq!(client.ask(keyed).expect("an answer").code(), "");
-    // And one whose comment names no key is not.
+    // A request without a key in its comment is not.
     fleet.hosts[0].fail(Fault::Reset);
     assert_eq!(client.ask(&keyed.replace("id=1", "id=2").replace("k=5c,", "")).expect("one").code(), "40003");
 }
 
 #[test]
-fn a_read_whose_answer_breaks_off_is_asked_for_elsewhere_and_answered_once() {
+fn a_read_whose_answer_breaks_off_is_retried_and_answered_once() {
     let fleet = fleet(OPERATOR, 0);
     fleet.warm();
     let mut client = fleet.client();
@@ -278,11 +283,11 @@
         for host in &fleet.hosts {
             host.fail(fault.clone());
         }
-        // The fourth try is the first without a fault.
+        // The fourth attempt is the first one without a fault.
         let answer = client.ask("SELECT n FROM generate_series(1, 4)").expect("an answer");
         assert_eq!((answer.code(), answer.results.len()), ("", 1), "{fault:?}: {answer:?}");
         assert_eq!(answer.results[0].len(), 4, "{fault:?}");
-        // What is left of the faults meets others.
+        // Other reads use up the remaining faults.
         while fleet.hosts.iter().any(|h| h.queries().is_empty()) {
             client.ask("SELECT 'next'").expect("an answer");
         }
@@ -290,7 +295,7 @@
 }
 
 #[test]
-fn a_read_that_a_replica_cannot_run_goes_on_to_the_primary() {
+fn a_read_that_a_replica_cannot_run_is_retried_at_the_primary() {
     let fleet = fleet(OPERATOR, 0);
     fleet.warm();
     fleet.hosts[1..].iter().for_each(|h| (0..3).for_each(|_| h.fail(Fault::Error("25006"))));
@@ -299,13 +304,14 @@
 }
 
 #[test]
-fn a_session_reads_its_own_writes_wherever_its_reads_go() {
-    // Replicas are 300 ms behind, well inside the 800 ms that the class allows.
+fn a_session_reads_its_own_writes_at_every_host() {
+    // The replicas' lag of 300 ms is well within the 800 ms that the class allows.
     let fleet = fleet(OPERATOR, 300);
     fleet.warm();
     let (mut writer, mut reader) = (fleet.client(), fleet.client());
     let read = "SELECT payload FROM entries WHERE ref = 'own'";
-    let (mut own_at_replicas, mut others_stale) = (0, 0);
+    let mut own_at_replicas = 0;
+    let mut others_stale = 0;
     for round in 0..8 {
         let payload = format!("p{round}");
         let write = format!("INSERT INTO entries (ref, payload) VALUES ('own', '{payload}')");
@@ -322,19 +328,23 @@
             fleet.replica_queries();
         }
     }
-    // Others may be answered by replicas meanwhile, and once these have the write, so are the writer's reads.
+    // Replicas may answer the reads of other sessions meanwhile, and the writer's reads once they have the write.
     assert!(others_stale > 0 && own_at_replicas > 0, "{others_stale}, {own_at_replicas}");
 }
 
 #[test]
-fn a_write_whose_commit_is_not_told_counts_as_of_its_answer() {
+fn a_write_without_a_reported_commit_position_counts_as_committed_at_its_answer() {
     let group = Group::new();
-    let silent = |name: &str, primary, lag_ms| {
+    let host_without_positions = |name: &str, primary, lag_ms| {
         let lag = Duration::from_millis(lag_ms);
         let options = Options { name: name.into(), primary, lag, tells_commit: false, ..Options::default() };
         Host::start(address(), &group, options).expect("a host")
     };
-    let hosts = vec![silent("s-1", true, 0), silent("s-2", false, 250), silent("s-3", false, 250)];
+    let hosts = vec![
+        host_without_positions("s-1", true, 0),
+        host_without_positions("s-2", false, 250),
+        host_without_positions("s-3", false, 250),
+    ];
     let agent = Agent::start(address(), hosts.iter().map(|h| Entry::of(h, 3)).collect()).expect("an agent");
     let proxy =
         Proxy::start_anywhere(&[PROGRAM], agent.address, &settings(), Some(OPERATOR)).expect("serves");
@@ -353,17 +363,17 @@
 }
 
 #[test]
-fn many_rows_pass_a_slow_reader_in_bounded_memory_and_the_host_is_not_held_for_slow() {
+fn rows_for_slow_readers_take_bounded_memory_and_do_not_delay_others() {
     let fleet = fleet(OPERATOR, 0);
     fleet.warm();
     let (before, _) = fleet.proxy.memory_kb().expect("its status");
-    // 80 MB of rows, four at a time, and none of them read yet.
+    // Four clients ask for 80 MB of rows each, and read none of them yet.
     let text = "SELECT n, repeat('x', 1000) FROM generate_series(1, 80000)";
     let mut slow: Vec<Client> = (0..4).map(|_| fleet.client()).collect();
     slow.iter_mut().for_each(|c| c.send(text).expect("sent"));
     let mut quick = fleet.client();
     for client in &mut slow {
-        // What has come so far; then the quick one has its turn.
+        // Each slow client reads the beginning, then the quick client is served.
         client.read_bytes(100_000).expect("the beginning");
         assert_eq!(quick.ask("SELECT 1").expect("an answer").value(), Some("ok"));
     }
@@ -379,7 +389,7 @@
     }
     let (_, most) = fleet.proxy.memory_kb().expect("its status");
     assert!(most < before + 16_000, "{before} KB before, {most} KB at most");
-    // One that reads all gets all, and the session goes on.
+    // A client that reads all rows gets all of them, and its session goes on.
     let mut whole = fleet.client();
     let answer = whole.ask(text).expect("an answer");
     assert_eq!(
@@ -392,7 +402,7 @@
 }
 
 #[test]
-fn a_long_answer_that_its_host_breaks_off_ends_the_clients_connection_and_is_not_made_up() {
+fn a_long_answer_that_its_host_breaks_off_ends_the_clients_connection() {
     let fleet = fleet(OPERATOR, 0);
     fleet.warm();
     fleet.hosts.iter().for_each(|h| h.fail(Fault::Partly(300_000)));
@@ -402,20 +412,22 @@
 }
 
 #[test]
-fn a_connection_whose_session_has_changed_serves_nobody_else() {
+fn a_host_connection_with_a_changed_session_is_not_reused() {
     let group = Group::new();
     let one = host(&group, "s-1", true, 0);
     let agent = Agent::start(address(), vec![Entry::of(&one, 3)]).expect("an agent");
-    // Without probes there is one connection only.
-    let mut alone = settings();
-    alone["ceilings"]["mayProbe"] = false.into();
-    let proxy = Proxy::start_anywhere(&[PROGRAM], agent.address, &alone, Some(OPERATOR)).expect("serves");
+    // Without probes there is only one connection.
+    let mut without_probes = settings();
+    without_probes["ceilings"]["mayProbe"] = false.into();
+    let proxy =
+        Proxy::start_anywhere(&[PROGRAM], agent.address, &without_probes, Some(OPERATOR)).expect("serves");
     let mut client = Client::connect(proxy.address, "web", "orders").expect("a session");
     let message =
         |kind: u8, body: &[u8]| [&[kind], &(body.len() as u32 + 4).to_be_bytes()[..], body].concat();
-    let done = message(b'C', b"SELECT 0\0");
-    let moved = message(b'S', b"search_path\0x\0");
-    let usual = message(b'S', b"server_role\0writer\0");
+    let complete = message(b'C', b"SELECT 0\0");
+    let changed_setting = message(b'S', b"search_path\0x\0");
+    let role = message(b'S', b"server_role\0writer\0");
+    // How many sessions were opened up to the query that ends a round.
     let opened = |one: &Host| {
         let mut count = 0;
         while let Some(seen) = one.next(PATIENCE) {
@@ -426,23 +438,23 @@
         }
         panic!("the last query never came");
     };
-    for (bytes, again) in [
-        ([done.clone(), usual.clone(), message(b'Z', b"I")].concat(), 0),
-        ([done.clone(), usual.clone(), message(b'Z', b"T")].concat(), 1),
-        ([done.clone(), moved, message(b'Z', b"I")].concat(), 1),
-        ([done, usual, message(b'Z', b"I"), b"more".to_vec()].concat(), 1),
+    for (bytes, reopened) in [
+        ([complete.clone(), role.clone(), message(b'Z', b"I")].concat(), 0),
+        ([complete.clone(), role.clone(), message(b'Z', b"T")].concat(), 1),
+        ([complete.clone(), changed_setting, message(b'Z', b"I")].concat(), 1),
+        ([complete, role, message(b'Z', b"I"), b"more".to_vec()].concat(), 1),
     ] {
         client.ask("SELECT 'last'").expect("an answer");
         opened(&one);
         one.fail(Fault::Bytes(bytes));
         assert_eq!(client.ask("SELECT 'odd'").expect("an answer").tags, ["SELECT 0"]);
         assert_eq!(client.ask("SELECT 'last'").expect("an answer").value(), Some("ok"));
-        assert_eq!(opened(&one), again);
+        assert_eq!(opened(&one), reopened);
     }
 }
 
 #[test]
-fn a_key_gives_the_group_and_two_groups_share_no_reference() {
+fn rules_choose_the_group_by_key_and_by_table() {
     let operator = r#"{hosts: {user: 'proxy', database: 'archive'}, statements: {enabled: true, rules: [
         {name: 'r', effects: ['read'], tables: ['entries'], users: ['web'], class: 'history', deadline_ms: 8000,
          group: {by_key: {column: 'ref', among: [3, 4]}}},
@@ -463,13 +475,16 @@
         let read = format!("SELECT payload FROM entries WHERE ref = 'r{i}' AND true");
         assert_eq!(client.ask(&read).expect("an answer").value(), Some(format!("p{i}").as_str()));
     }
-    // No client's name is that of the session at the host.
+    // Sessions at hosts have the user and database of the operator's file, not those of a client.
     for host in &hosts {
         assert_eq!(host.next(PATIENCE), Some(Seen::Opened("proxy".into(), "archive".into())));
     }
-    let held: Vec<usize> =
+    let writes_per_group: Vec<usize> =
         groups.iter().map(|g| (0..40).map(|i| g.writes_of(&format!("r{i}"))).sum()).collect();
-    assert!(held.iter().sum::<usize>() == 40 && held.iter().all(|&n| n > 5), "{held:?}");
+    assert!(
+        writes_per_group.iter().sum::<usize>() == 40 && writes_per_group.iter().all(|&n| n > 5),
+        "{writes_per_group:?}"
+    );
     for text in ["SELECT 1 FROM entries", "DELETE FROM entries WHERE ref IN ('a', 'b')"] {
         assert_eq!(client.ask(text).expect("an answer").code(), "0A000", "{text}");
     }
@@ -477,15 +492,15 @@
     assert_eq!(client.ask("SELECT 1 FROM logs").expect("an answer").value(), Some("ok"));
     assert_eq!(client.ask("SELECT 1 FROM app.x").expect("an answer").value(), Some("ok"));
     assert_eq!([hosts[0].queries().len(), hosts[1].queries().len()], [1, 1]);
-    // Another user gets another rule.
+    // Another rule applies to another user.
     let mut other = Client::connect(proxy.address, "school", "orders").expect("a session");
     let refused = other.ask("SELECT payload FROM entries WHERE ref = 'r1'").expect("an answer");
     assert!(refused.field('M').contains("table entries has no group"), "{}", refused.field('M'));
 }
 
 #[test]
-fn a_file_that_will_not_do_ends_the_start_and_changes_nothing_on_reload() {
-    // At the start: exit code 2, and the key with its place.
+fn an_invalid_operators_file_fails_the_start_and_is_ignored_on_reload() {
+    // At the start, the program ends with exit code 2 and names the key and its place.
     let broken = OPERATOR.replace(
         "deadline_ms: 8000, group: {constant: 3}},\n    ]",
         "deadline_ms: 0, group: {constant: 3}},\n    ]",
@@ -495,11 +510,11 @@
     let agent = Agent::start(address(), vec![Entry::of(&one, 3)]).expect("an agent");
     let failed = Proxy::start_anywhere(&[PROGRAM], agent.address, &settings(), Some(&broken));
     assert!(failed.is_err());
-    // On reload: the old one stays whole, then a good one is taken.
+    // On reload, the proxy keeps the old file, and then applies a valid one.
     let fleet = fleet(OPERATOR, 0);
     let file = fleet.proxy.operator_file();
     let mut client = fleet.client();
-    for (text, why) in [
+    for (text, reason) in [
         (broken.as_str(), "statements.rules[2].deadline_ms"),
         ("{statements: {enabled: tru", "1:14: statements.enabled: EOF parsing bool"),
         ("{statements: {enabled: true, rules: 7}}", "statements.rules: expected opening bracket"),
@@ -509,7 +524,7 @@
         std::fs::write(&file, text).expect("written");
         fleet.proxy.signal("HUP").expect("signalled");
         let line = fleet.proxy.logged("the operator's file stays as it was").expect("logged");
-        assert!(line.contains(why), "{line}");
+        assert!(line.contains(reason), "{line}");
         assert_eq!(client.ask("SELECT 1").expect("an answer").value(), Some("ok"));
     }
     std::fs::write(
@@ -529,7 +544,7 @@
 }
 
 #[test]
-fn the_log_is_json_where_that_is_wanted() {
+fn the_log_is_json_with_the_option() {
     let one = host(&Group::new(), "s-1", true, 0);
     let agent = Agent::start(address(), vec![Entry::of(&one, 3)]).expect("an agent");
     let words = [PROGRAM, "serve", "--log", "json"];
@@ -542,7 +557,7 @@
 }
 
 #[test]
-fn load_is_recorded_where_the_operators_file_names_a_file_and_the_planner_reads_it() {
+fn load_is_recorded_in_the_operators_capture_file_and_rotated() {
     let directory = std::env::temp_dir().join(format!("sillfold-capture-{}", std::process::id()));
     std::fs::create_dir_all(&directory).expect("a directory");
     let file = directory.join("load");
@@ -556,34 +571,34 @@
         assert!(fault.is_none() || path == file, "{fault:?}");
         capture
     };
-    let since = Instant::now();
-    // Until files have been put aside for their length: the first to go is what another process left.
-    let aside = |n: u32| directory.join(format!("load.{n}"));
-    while !aside(2).exists() || std::fs::read(aside(2)).is_ok_and(|b| b.starts_with(b"another")) {
-        assert!(since.elapsed() < PATIENCE, "no file is put aside");
+    let started = Instant::now();
+    // Sends load until files have been rotated for their length. The first one rotated is that of another process.
+    let rotated = |n: u32| directory.join(format!("load.{n}"));
+    while !rotated(2).exists() || std::fs::read(rotated(2)).is_ok_and(|b| b.starts_with(b"another")) {
+        assert!(started.elapsed() < PATIENCE, "no file is rotated");
         client.ask("SELECT payload FROM entries WHERE ref = 'x'").expect("an answer");
         client.ask("INSERT INTO entries (ref) VALUES ('x')").expect("an answer");
     }
-    let captures = [read(&aside(2)), read(&aside(1))];
-    assert!(std::fs::metadata(aside(1)).expect("a file").len() <= 16 * 1024);
+    let captures = [read(&rotated(2)), read(&rotated(1))];
+    assert!(std::fs::metadata(rotated(1)).expect("a file").len() <= 16 * 1024);
     let sum = captures[0].summary();
     let (reads, writes) = (&sum.classes["browse"], &sum.classes["ingest"]);
     assert!(reads.arrived > 10 && reads.arrived.abs_diff(writes.arrived) <= 1, "{sum:?}");
     assert!(reads.samples > 10 && reads.mean_us > 16.0 && sum.groups[&3] == reads.arrived + writes.arrived);
     assert!(sum.shapes.len() == 2 && sum.seconds > 0.5, "{sum:?}");
-    // Nothing is counted twice, and no time is left out between two files.
+    // The records of two files follow each other without an overlap or a gap.
     let ends: Vec<u64> = captures[0].records.iter().map(|r| r.at_ms + r.for_ms).collect();
     let next: Vec<u64> =
         captures[0].records[1..].iter().chain(&captures[1].records[..1]).map(|r| r.at_ms).collect();
     assert_eq!(ends, next);
-    // A directory that is gone costs records and nothing else.
+    // If the directory is removed, records are lost, and statements are still served.
     std::fs::remove_dir_all(&directory).expect("removed");
     fleet.proxy.logged("records are lost until it can be written again").expect("logged");
     assert_eq!(client.ask("SELECT 1").expect("an answer").value(), Some("ok"));
 }
 
 #[test]
-fn headroom_is_shown_at_the_console_where_it_is_switched_on_and_turns_nothing_away_that_fits() {
+fn headroom_is_shown_at_the_console_and_admits_all_requests_that_fit() {
     let fleet = fleet(&OPERATOR.replacen('{', "{headroom: {enabled: true, shed: true},", 1), 0);
     let mut client = fleet.client();
     let figures = || {
@@ -595,7 +610,7 @@
         let body = text.split("\r\n\r\n").nth(1).expect("a body").to_string();
         serde_json::from_str::<serde_json::Value>(&body).expect("JSON")
     };
-    let since = Instant::now();
+    let started = Instant::now();
     loop {
         for text in ["SELECT 1", "INSERT INTO entries (ref) VALUES ('x')"] {
             assert_eq!(client.ask(text).expect("an answer").code(), "");
@@ -608,6 +623,6 @@
             );
             break;
         }
-        assert!(since.elapsed() < PATIENCE, "{left}");
+        assert!(started.elapsed() < PATIENCE, "{left}");
     }
 }
--- a/tests/proxy.rs
+++ b/tests/proxy.rs
@@ -1,4 +1,5 @@
-//! The program among scripted peers: a story for each failure that was met or is guarded against.
+//! Tests of the program with scripted hosts, clients and discovery: one for each failure that has occurred or is guarded
+//! against.
 
 mod support;
 
@@ -6,13 +7,13 @@
 use std::time::Instant;
 use support::*;
 
-fn served(value: &'static str) -> Host {
+fn host_serving(value: &'static str) -> Host {
     Host::start(move |_, _| Reply::Row(value))
 }
 
 #[test]
-fn a_request_behind_the_startup_message_is_passed_on_unchanged_but_for_its_patience() {
-    let host = served("v\u{1}1");
+fn a_request_is_forwarded_unchanged_except_for_its_patience() {
+    let host = host_serving("v\u{1}1");
     let proxy = Proxy::start(&[&host], 1024);
     let mut client = Client::connect(proxy.address);
     let text = "/* id=9b1f03aa,c=ingest,d=7000,k=5c0f6e1a,cluster=3 */ INSERT INTO entries (ref, payload) \
@@ -21,20 +22,20 @@
     assert_eq!(client.answer().end, End::Ready);
     let answer = client.answer();
     assert_eq!((answer.value.as_deref(), answer.end), (Some("v\u{1}1"), End::Ready));
-    let passed = host.query();
-    let (before, rest) = passed.split_once(",d=").expect("a patience");
+    let forwarded = host.query();
+    let (before, rest) = forwarded.split_once(",d=").expect("a patience");
     let (patience, after) = rest.split_once(',').expect("more");
     assert_eq!(format!("{before},d=7000,{after}"), text);
     assert!((1..7000).contains(&patience.parse().expect("a number")), "{patience}");
 }
 
 #[test]
-fn one_connection_serves_request_after_request_and_a_dead_one_is_not_written_to() {
+fn a_host_connection_is_reused_and_a_closed_one_is_not_written_to() {
     // The second answer is followed by the end of the connection.
     let host = Host::start(|n, _| if n == 1 { Reply::Close(row("v")) } else { Reply::Row("v") });
-    // With one attempt a request, none can make good for one that was written to a dead connection.
-    let one = |config: String| config.replace("\"mostTries\":10", "\"mostTries\":1");
-    let proxy = Proxy::start_with(&[&host], 1024, one);
+    // With one attempt per request, a request that was written to a closed connection could not be retried.
+    let one_attempt = |config: String| config.replace("\"mostTries\":10", "\"mostTries\":1");
+    let proxy = Proxy::start_with(&[&host], 1024, one_attempt);
     let mut client = proxy.client();
     for id in ["1", "2"] {
         assert_eq!(client.ask(&read(id, "history", 9000)).value.as_deref(), Some("v"));
@@ -47,9 +48,10 @@
 }
 
 #[test]
-fn nonsense_from_a_host_fails_the_attempt_closes_its_connection_and_another_attempt_serves() {
-    let nonsense = message(b'T', b"\0\x05");
-    let host = Host::start(move |n, _| if n == 0 { Reply::Bytes(nonsense.clone()) } else { Reply::Row("v") });
+fn a_malformed_answer_closes_its_connection_and_a_retry_serves() {
+    let malformed = message(b'T', b"\0\x05");
+    let host =
+        Host::start(move |n, _| if n == 0 { Reply::Bytes(malformed.clone()) } else { Reply::Row("v") });
     let proxy = Proxy::start(&[&host], 1024);
     let answer = proxy.client().ask(&read("1", "history", 9000));
     assert_eq!(answer.value.as_deref(), Some("v"), "{answer:?}");
@@ -57,14 +59,14 @@
 }
 
 #[test]
-fn spoilt_answers_end_their_attempt_at_once_and_what_comes_behind_a_good_one_serves_nobody() {
+fn invalid_answers_end_their_attempt_and_bytes_behind_an_answer_are_not_used() {
     let long_row = [b"D".as_slice(), &100_000u32.to_be_bytes(), b"\0\x01\0\0\0\x01v"].concat();
     let huge_row = [b"D".as_slice(), &3_000_000_000u32.to_be_bytes(), b"\0\x01", &[b'v'; 4096]].concat();
     let endless = [b"C".as_slice(), &100_000u32.to_be_bytes(), b"SELECT"].concat();
     let good = row("good");
     let until_ready = good[..good.len() - 6].to_vec();
-    // Per request the bytes of its first attempt; the second gets a plain row.
-    let firsts = vec![
+    // The answer to the first attempt of each request; the second attempt gets a valid row.
+    let first_answers = vec![
         ("1", long_row),
         ("2", huge_row),
         ("3", endless),
@@ -72,11 +74,11 @@
         ("5", [good, b"noise".to_vec()].concat()),
         ("6", [until_ready, b"noise".to_vec()].concat()),
     ];
-    let tried = std::sync::Mutex::new(std::collections::HashSet::new());
-    let script = firsts.clone();
+    let attempted = std::sync::Mutex::new(std::collections::HashSet::new());
+    let script = first_answers.clone();
     let host = Host::start(move |_, text| {
         let first = script.iter().find(|(id, _)| text.contains(&format!("id={id},")));
-        match first.filter(|(id, _)| tried.lock().expect("lock").insert(*id)) {
+        match first.filter(|(id, _)| attempted.lock().expect("lock").insert(*id)) {
             Some((_, bytes)) => Reply::Bytes(bytes.clone()),
             None if text == "SHOW usage" => Reply::Row("x0=\u{fffd}9,x1,util=nan"),
             None => Reply::Row("v"),
@@ -85,17 +87,17 @@
     let probes = |config: String| config.replace("\"cancel\":true", "\"cancel\":true,\"mayProbe\":true");
     let proxy = Proxy::start_with(&[&host], 1024, probes);
     let mut client = proxy.client();
-    for (id, _) in &firsts {
-        let served = client.ask(&read(id, "history", 9000));
+    for (id, _) in &first_answers {
+        let answer = client.ask(&read(id, "history", 9000));
         let expected = if *id < "4" { "v" } else { "good" };
-        assert_eq!(served.value.as_deref(), Some(expected), "{id}: {served:?}");
+        assert_eq!(answer.value.as_deref(), Some(expected), "{id}: {answer:?}");
         let next = client.ask(&read(&format!("{id}b"), "history", 9000));
         assert_eq!(next.value.as_deref(), Some("v"), "after {id}: {next:?}");
     }
 }
 
 #[test]
-fn a_statement_that_the_host_cannot_use_is_tried_once_and_its_client_hears_why() {
+fn a_statement_that_the_host_rejects_is_not_retried_and_its_client_gets_the_error() {
     let host = Host::start(|n, _| if n == 0 { Reply::Error("42601") } else { Reply::Row("v") });
     let proxy = Proxy::start(&[&host], 1024);
     let mut client = proxy.client();
@@ -104,7 +106,7 @@
 }
 
 #[test]
-fn hosts_that_are_replaced_without_end_are_forgotten() {
+fn the_memory_of_replaced_hosts_is_freed() {
     let proxy = Proxy::start_with(&[], 1024, |config| config.replace("\"coldUs\":15000000", "\"coldUs\":1"));
     proxy.agent.asked();
     let entry = |i: usize, status: &str| {
@@ -125,13 +127,13 @@
         assert!(proxy.agent.asked().contains(&format!("index={index} ")));
         proxy.memory_kb()
     };
-    // 40,000 hosts more would take 3 MB in any one of the three places that know them.
+    // Three parts of the proxy store hosts. 40,000 more hosts would take 3 MB in any one of them.
     let (early, late) = (memory_after(0..20), memory_after(20..100));
     assert!(late < early + 2_000, "{early} KB, then {late} KB");
 }
 
 #[test]
-fn a_read_that_was_turned_away_or_failed_goes_out_again_on_the_same_connection() {
+fn a_read_that_was_rejected_or_failed_is_retried_on_the_same_connection() {
     let host =
         Host::start(|n, _| ["72000", "53300", "XX000"].get(n).map_or(Reply::Row("v"), |c| Reply::Error(c)));
     let proxy = Proxy::start(&[&host], 1024);
@@ -143,52 +145,52 @@
 }
 
 #[test]
-fn a_read_is_refused_at_once_when_its_time_is_up_and_the_attempt_is_closed_before_the_answer() {
+fn a_read_is_refused_and_its_attempt_closed_when_its_time_is_over() {
     let host = Host::start(|_, _| Reply::Silence);
     let proxy = Proxy::start(&[&host], 1024);
     let mut client = proxy.client();
-    let asked = Instant::now();
-    // Worth nothing after its aim, though its client would wait for 60 s.
+    let sent = Instant::now();
+    // The class has no worth after its latency target, though the client would wait for 60 s.
     let answer = client.ask(&read("1", "browse", 60_000));
     assert_eq!((answer.code.as_str(), answer.end), ("53300", End::Ready));
     assert!(answer.detail.is_some_and(|d| d.parse::<u64>().is_ok_and(|ms| ms > 0)));
-    assert!(asked.elapsed() < PATIENCE);
+    assert!(sent.elapsed() < PATIENCE);
     assert_eq!(host.next(), Seen::Opened);
     assert!(matches!(host.next(), Seen::Query(_)));
     assert_eq!(host.next(), Seen::Closed);
 }
 
 #[test]
-fn a_write_that_may_have_run_is_repeated_inside_its_window_with_its_key() {
+fn a_write_that_may_have_run_is_retried_with_its_key_inside_its_window() {
     let host = Host::start(|n, _| if n == 0 { Reply::Close(vec![]) } else { Reply::Row("v") });
     let proxy = Proxy::start(&[&host], 1024);
     let text = "/* id=1,c=ingest,d=9000,k=5c0f,cluster=3 */ INSERT INTO entries VALUES ('7f', '1')";
     assert_eq!(proxy.client().ask(text).value.as_deref(), Some("v"));
-    for passed in [host.query(), host.query()] {
-        assert!(passed.contains("id=1,") && passed.contains("k=5c0f,"), "{passed}");
+    for attempt in [host.query(), host.query()] {
+        assert!(attempt.contains("id=1,") && attempt.contains("k=5c0f,"), "{attempt}");
     }
 }
 
 #[test]
-fn a_write_whose_connection_never_came_up_is_refused_and_not_failed_since_it_never_ran() {
+fn a_write_without_a_connection_is_refused_since_it_did_not_run() {
     let host = Host::mute();
     let proxy = Proxy::start(&[&host], 1024);
-    // Its time ends before that of the dial.
+    // The request's deadline is before the dial's timeout.
     let text = "/* id=1,c=ingest,d=1000,k=5c0f,cluster=3 */ INSERT INTO entries VALUES ('7f', '1')";
     let answer = proxy.client().ask(text);
     assert_eq!((host.next(), answer.code.as_str()), (Seen::Opened, "53300"));
 }
 
-/// Guards against a host out of reach that is dialled again and again, since no read waits for half of the dial's
-/// time-out: of 40 reads only the first one or two may be lost to it.
+/// Guards against an unreachable host that is dialled again and again, because no read waits for half of the dial timeout.
+/// Of 40 reads, only the first one or two may fail on it.
 #[test]
-fn a_dial_that_short_reads_cut_off_tells_that_its_host_is_out_of_reach() {
-    let (first, mute, good) = (served("v"), Host::mute(), served("v"));
+fn a_dial_that_ends_with_a_short_read_marks_its_host_as_unreachable() {
+    let (first, mute, good) = (host_serving("v"), Host::mute(), host_serving("v"));
     let proxy = Proxy::start(&[&first, &mute, &good], 1024);
     let mut client = proxy.client();
     let answers = (0..40).map(|n| client.ask(&read(&format!("{n}"), "browse", 700)).value);
-    let lost = answers.filter(Option::is_none).count();
-    assert!(lost <= 2, "{lost} of 40");
+    let unserved = answers.filter(Option::is_none).count();
+    assert!(unserved <= 2, "{unserved} of 40");
 }
 
 #[test]
@@ -198,18 +200,18 @@
     let mut client = proxy.client();
     client.send(&query(&read("1", "history", 20_000)));
     host.query();
-    let left = Instant::now();
+    let disconnected = Instant::now();
     drop(client);
     assert_eq!(host.next(), Seen::Closed);
-    assert!(left.elapsed() < PATIENCE / 2, "the attempt ended with its time, not with its client");
+    assert!(disconnected.elapsed() < PATIENCE / 2, "the attempt ended at its deadline, not with its client");
 }
 
 #[test]
-fn what_is_no_request_gets_an_error_that_says_why() {
-    let host = served("v");
+fn invalid_requests_get_an_error_that_names_the_reason() {
+    let host = host_serving("v");
     let proxy = Proxy::start(&[&host], 1024);
     let mut client = Client::connect(proxy.address);
-    // TLS and GSSAPI are declined, and the session goes on in plain.
+    // TLS and GSSAPI are declined, and the session goes on unencrypted.
     for code in [80_877_103u32, 80_877_104] {
         client.send(&[8u32.to_be_bytes(), code.to_be_bytes()].concat());
         let mut declined = [0];
@@ -218,7 +220,7 @@
     }
     client.send(&startup());
     assert_eq!(client.answer().end, End::Ready);
-    for (text, code, says) in [
+    for (text, code, reason) in [
         ("SELECT 1", "42601", "comment"),
         ("/* id=1,c=browse,d=soon,cluster=3 */ SELECT 1", "42601", "soon"),
         ("/* id=1,c=order,d=90,cluster=3 */ SELECT 1", "42704", "order"),
@@ -226,15 +228,15 @@
     ] {
         let answer = client.ask(text);
         assert_eq!((answer.code.as_str(), answer.end), (code, End::Ready), "{text}");
-        assert!(answer.message.contains(says), "{}", answer.message);
+        assert!(answer.message.contains(reason), "{}", answer.message);
     }
-    // One error for all up to the Sync.
+    // There is one error for all messages up to the Sync.
     client.send(
         &[message(b'P', b"\0SELECT 1\0\0\0"), message(b'E', b"\0\0\0\0\0"), message(b'S', b"")].concat(),
     );
     assert_eq!(client.answer().code, "0A000");
     assert_eq!(client.ask(&read("2", "history", 9000)).value.as_deref(), Some("v"));
-    // Too long to be a message, and of no known type: the end of the connection.
+    // A message that is too long and one of an unknown type end the connection.
     for bytes in [&b"Q\x7f\xff\xff\xff"[..], b"GET / HTTP/1.1\r\n\r\n"] {
         let mut client = proxy.client();
         client.send(bytes);
@@ -243,24 +245,24 @@
     }
 }
 
-/// 96 descriptors: 39 for clients.
-const PLACES: usize = 39;
+/// The slots for clients with 96 descriptors.
+const CLIENT_SLOTS: usize = 39;
 
 #[test]
-fn past_the_descriptors_a_client_is_refused_at_once_and_a_place_given_back_serves_again() {
+fn a_client_beyond_the_limit_is_refused_at_once_and_a_freed_slot_is_reused() {
     let host = Host::start(|_, _| Reply::Silence);
     let proxy = Proxy::start(&[&host], 96);
     proxy.agent.line(&list(42, true, &[(&host, "SERVING")]));
-    let mut clients: Vec<Client> = (0..PLACES).map(|_| proxy.client()).collect();
+    let mut clients: Vec<Client> = (0..CLIENT_SLOTS).map(|_| proxy.client()).collect();
     for (i, client) in clients.iter_mut().enumerate() {
-        // Whoever has spoken just now, or asks for something, keeps its place.
+        // A client that sent a message just now, or has an open request, keeps its slot.
         assert!(client.ask("").empty);
         client.send(&query(&read(&format!("b{i}"), "ingest", 20_000)));
     }
-    // It need not say anything to hear so.
+    // The refusal comes without any message of the client.
     let answer = Client::connect(proxy.address).answer();
     assert_eq!((answer.code.as_str(), answer.end), ("53300", End::Closed));
-    // This one is told before the next one is accepted: it ends a connection and sees it end.
+    // The proxy handles this disconnect before it accepts the next client: the client sees the connection end.
     let last = clients.pop().expect("some");
     last.stream.shutdown(std::net::Shutdown::Write).expect("open");
     assert_eq!(Client { stream: last.stream }.answer().end, End::Closed);
@@ -268,19 +270,19 @@
 }
 
 #[test]
-fn clients_that_say_nothing_or_ask_once_and_stay_give_their_places_to_others() {
-    let host = served("v");
+fn idle_clients_are_evicted_for_clients_with_requests() {
+    let host = host_serving("v");
     let proxy = Proxy::start(&[&host], 96);
-    // Discovery has spoken: nothing waits for it.
+    // Discovery has sent a list, so nothing waits for it.
     proxy.agent.line(&list(42, true, &[(&host, "SERVING")]));
-    // One never opens a session, the others do and say a word that is no request.
+    // One client never opens a session. The others do, and send only an empty query and an invalid statement.
     let silent = |i: usize| {
         let opens = i > 0;
         let mut client = if opens { proxy.client() } else { Client::connect(proxy.address) };
         assert!(!opens || (client.ask("").empty && client.ask("*").code == "42601"));
         client
     };
-    let silent: Vec<Client> = (0..PLACES).map(silent).collect();
+    let silent: Vec<Client> = (0..CLIENT_SLOTS).map(silent).collect();
     let mut asking = [proxy.client(), proxy.client()];
     for (client, id) in asking.iter_mut().zip(["1", "1b"]) {
         assert_eq!(client.ask(&read(id, "history", 9000)).value.as_deref(), Some("v"));
@@ -290,28 +292,30 @@
     }
     let ask_once = |id: usize| {
         let mut client = Client::connect(proxy.address);
-        // One that is refused may be closed before it has written this.
+        // A refused connection may be closed before the client has written this.
         let _ =
             client.stream.write_all(&[startup(), query(&read(&format!("{id}"), "history", 9000))].concat());
         (client.answer().end == End::Ready).then(|| (client.answer().value, client))
     };
-    let (mut stay, asked) = (Vec::new(), Instant::now());
-    // Whoever is refused meanwhile tries again, since others may rest for 2 s.
+    let mut served = Vec::new();
+    let started = Instant::now();
+    // Clients that are refused meanwhile try again, since others may stay idle for 2 s.
     for id in 2.. {
-        stay.extend(ask_once(id));
-        assert!(asked.elapsed() < PATIENCE, "{} served", stay.len());
-        if stay.len() > PLACES {
+        served.extend(ask_once(id));
+        assert!(started.elapsed() < PATIENCE, "{} served", served.len());
+        if served.len() > CLIENT_SLOTS {
             break;
         }
     }
-    assert!(stay.iter().all(|(value, _)| value.as_deref() == Some("v")));
+    assert!(served.iter().all(|(value, _)| value.as_deref() == Some("v")));
 }
 
 #[test]
-fn a_crowd_that_may_open_few_connections_asks_once_on_each_and_stays_is_served_on() {
-    let host = served("v");
+fn many_clients_that_keep_idle_connections_are_served_without_long_waits() {
+    let host = host_serving("v");
     let proxy = Proxy::start(&[&host], 96);
-    let (mut open, begun) = (std::collections::VecDeque::new(), Instant::now());
+    let mut open = std::collections::VecDeque::new();
+    let started = Instant::now();
     for id in 0..100 {
         if open.len() == 12 {
             let mut oldest: Client = open.pop_front().expect("some");
@@ -321,20 +325,20 @@
         assert_eq!(client.ask(&read(&format!("{id}"), "history", 9000)).value.as_deref(), Some("v"));
         open.push_back(client);
     }
-    // At 2 s of rest each this would take over 14 s.
-    assert!(begun.elapsed().as_secs() < 12, "{:?}", begun.elapsed());
+    // If each connection stayed idle for 2 s, this would take over 14 s.
+    assert!(started.elapsed().as_secs() < 12, "{:?}", started.elapsed());
 }
 
 #[test]
-fn what_is_begun_and_not_ended_gets_an_error_as_does_a_client_that_goes_on_with_60_mb() {
-    let host = served("v");
+fn a_partial_message_and_one_of_60_mb_get_an_error() {
+    let host = host_serving("v");
     let proxy = Proxy::start(&[&host], 1024);
-    let half = &query(&read("1", "history", 9000))[..40];
+    let partial = &query(&read("1", "history", 9000))[..40];
     let (mut new, mut old) = (Client::connect(proxy.address), proxy.client());
     assert_eq!(old.ask(&read("2", "history", 9000)).value.as_deref(), Some("v"));
-    new.send(&[&startup(), half].concat());
+    new.send(&[&startup(), partial].concat());
     assert_eq!(new.answer().end, End::Ready);
-    old.send(half);
+    old.send(partial);
     for mut client in [new, old] {
         let answer = client.answer();
         assert_eq!((answer.code.as_str(), answer.end), ("08P01", End::Closed));
@@ -348,7 +352,7 @@
 }
 
 #[test]
-fn commands_that_come_together_are_answered_one_by_one_and_no_id_is_open_twice() {
+fn commands_sent_together_are_answered_in_order_and_an_open_id_is_rejected() {
     let (answer_now, may_answer) = std::sync::mpsc::channel::<()>();
     let may_answer = std::sync::Mutex::new(may_answer);
     let host = Host::start(move |_, _| {
@@ -357,10 +361,10 @@
     });
     let proxy = Proxy::start(&[&host], 1024);
     let (mut first, mut other) = (proxy.client(), proxy.client());
-    let odd = message(b'Q', b"/* \xff\xfe */ SELECT 1\0");
+    let invalid_encoding = message(b'Q', b"/* \xff\xfe */ SELECT 1\0");
     let many = query("SELECT 1").repeat(500);
-    first.send(&[odd, many, query(&read("1", "history", 9000))].concat());
-    // All that before the request is answered while the request itself is out.
+    first.send(&[invalid_encoding, many, query(&read("1", "history", 9000))].concat());
+    // The commands before the request are answered while the request is in flight.
     assert_eq!(first.answer().code, "22021");
     assert!((0..500).all(|_| first.answer().code == "42601"));
     assert_eq!(host.next(), Seen::Opened);
@@ -368,40 +372,40 @@
     assert_eq!((answer.code.as_str(), answer.end), ("42710", End::Ready));
     answer_now.send(()).expect("the host waits");
     assert_eq!(first.answer().value.as_deref(), Some("v"));
-    // An id that ended just now is no other's either.
+    // The id of a request that was answered just now is still in use.
     assert_eq!(other.ask(&read("1", "history", 9000)).code, "42710");
 }
 
 #[test]
-fn a_watch_that_ends_is_reopened_where_it_was_and_bad_news_leaves_the_list() {
-    let (old, new) = (served("old"), served("new"));
+fn a_watch_that_ends_is_reopened_and_an_invalid_update_is_ignored() {
+    let (old, new) = (host_serving("old"), host_serving("new"));
     let proxy = Proxy::start(&[&old], 1024);
     assert!(proxy.agent.asked().contains("stream=1&index=41 "));
     proxy.agent.line(r#"{"index":99,"snapshot":true,"endpoints":[{"name":"x","address":"nowhere"}]}"#);
-    // What it said is asked for again, where the list stands.
+    // The proxy asks again from the index of its list.
     assert!(proxy.agent.asked().contains("stream=1&index=41 "));
     proxy.agent.line(&list(43, false, &[(&old, "SERVING")]));
     proxy.agent.end_watch();
     assert!(proxy.agent.asked().contains("stream=1&index=43 "));
     let mut client = proxy.client();
     assert_eq!(client.ask(&read("1", "history", 9000)).value.as_deref(), Some("old"));
-    // A whole list without the old host: it is gone, and its idle connection is closed.
+    // A full list doesn't name the old host, whose idle connection is closed.
     proxy.agent.line(&list(44, true, &[(&new, "SERVING")]));
     while old.next() != Seen::Closed {}
     assert_eq!(client.ask(&read("2", "history", 9000)).value.as_deref(), Some("new"));
 }
 
 #[test]
-fn a_host_that_drains_gets_nothing_new() {
-    let (primary, replica) = (served("primary"), served("replica"));
+fn a_draining_host_gets_no_new_requests() {
+    let (primary, replica) = (host_serving("primary"), host_serving("replica"));
     let proxy = Proxy::start(&[&primary, &replica], 1024);
     let mut client = proxy.client();
-    // Reads go to replicas, as long as there are any.
+    // Reads go to replicas as long as there are any.
     assert_eq!(client.ask(&read("1", "browse", 9000)).value.as_deref(), Some("replica"));
     proxy.agent.asked();
     proxy.agent.line(&list(44, true, &[(&primary, "SERVING"), (&replica, "DRAINING")]));
     proxy.agent.end_watch();
-    // Reopened at that version: the news has been taken in.
+    // The watch is reopened at that index, so the list has been applied.
     assert!(proxy.agent.asked().contains("index=44 "));
     for id in ["2", "3", "4", "5"] {
         assert_eq!(client.ask(&read(id, "browse", 9000)).value.as_deref(), Some("primary"));
@@ -409,8 +413,8 @@
 }
 
 #[test]
-fn a_probe_reads_the_report_and_what_it_tells_of_the_role_counts() {
-    // Listed as the primary, it says itself that it is none (x1=0), at a position in Unix seconds.
+fn the_role_in_a_probe_report_counts() {
+    // The host is listed as the primary. It reports that it is a replica (x1=0), with a position in Unix seconds.
     let host = Host::start(|_, _| Reply::Row("x0=1700000000.250,x1=0.000,util=0.61,queue=0"));
     let probes = |config: String| config.replace("\"cancel\":true", "\"cancel\":true,\"mayProbe\":true");
     let proxy = Proxy::start_with(&[&host], 1024, probes);
@@ -420,14 +424,14 @@
 
 #[test]
 fn an_empty_query_is_answered_only_once_requests_can_be_served() {
-    let host = served("v");
-    // No list is known: nothing can be served before discovery speaks.
+    let host = host_serving("v");
+    // Without a known list, no request can be served before discovery answers.
     let proxy = Proxy::start(&[], 1024);
     let mut client = proxy.client();
     let answer = client.ask(&read("1", "history", 9000));
     assert_eq!((answer.code.as_str(), answer.detail.as_deref()), ("57P03", Some("250")));
     client.send(&[query(""), query(&read("2", "history", 9000))].concat());
-    // Another client is answered meanwhile: the empty query waits, and what follows it.
+    // Another client is answered meanwhile. The empty query waits, and so does the request behind it.
     assert_eq!(proxy.client().ask(&read("3", "history", 9000)).code, "57P03");
     proxy.agent.asked();
     proxy.agent.line(&list(42, true, &[(&host, "SERVING")]));
@@ -435,45 +439,46 @@
     assert_eq!(client.answer().value.as_deref(), Some("v"));
 }
 
-/// After a release a hundred proxies start at once: each serves from the list it had, whatever discovery says.
+/// After a release, a hundred proxies start at once. Each serves from its cached list without waiting for discovery.
 #[test]
-fn one_of_many_proxies_serves_from_the_list_it_had_before_discovery_speaks() {
-    let host = served("v");
+fn one_of_many_proxies_serves_from_its_cached_list_at_once() {
+    let host = host_serving("v");
     let proxy =
         Proxy::start_with(&[&host], 1024, |c| c.replace("\"balancers\":1,", "\"balancers\":4000000000,"));
-    let began = std::time::Instant::now();
+    let started = std::time::Instant::now();
     let mut client = proxy.client();
     client.send(&query(""));
     assert!(client.answer().empty);
-    // Fewer wait a second for discovery.
-    assert!(began.elapsed() < std::time::Duration::from_millis(900));
+    // A proxy among few waits a second for discovery.
+    assert!(started.elapsed() < std::time::Duration::from_millis(900));
     assert_eq!(client.ask(&read("1", "history", 9000)).value.as_deref(), Some("v"));
     assert!(proxy.agent.asked().contains("stream=1&index=41 "));
 }
 
-/// Whole lists for those that want only news would keep an overbooked discovery so.
+/// An overloaded discovery refuses the watch. If proxies then asked for full lists, it would stay overloaded.
 #[test]
-fn a_watch_that_is_turned_away_is_asked_for_again_and_no_whole_list() {
-    let host = served("v");
+fn a_refused_watch_is_retried_without_asking_for_a_full_list() {
+    let host = host_serving("v");
     let proxy = Proxy::start(&[&host], 1024);
-    let next = Agent::overbooked(2);
-    proxy.reload(&proxy.agent.address.to_string(), &next.address.to_string());
+    let next_agent = Agent::overbooked(2);
+    proxy.reload(&proxy.agent.address.to_string(), &next_agent.address.to_string());
     for _ in 0..3 {
-        assert!(next.asked().contains("stream=1&index=41 "));
+        assert!(next_agent.asked().contains("stream=1&index=41 "));
     }
 }
 
-/// Thousands of lines, then a line cut off, then one whose version goes back: the proxy serves on, and goes on
-/// from the version that it was told last.
+/// Discovery sends a list with thousands of entries, then a truncated one, then one with an older index. The proxy goes on
+/// serving, and reopens the watch at the index of the last valid list.
 #[test]
-fn a_list_of_thousands_of_lines_and_one_that_goes_back_are_taken_as_they_come() {
-    let host = served("v");
+fn long_truncated_and_older_lists_are_handled() {
+    let host = host_serving("v");
     let proxy = Proxy::start(&[&host], 1024);
     proxy.agent.asked();
     let many: Vec<(&Host, &str)> = (0..4_000).map(|_| (&host, "SERVING")).collect();
     let name = format!("s-{}", host.address.port());
-    let line: Vec<String> = list(42, true, &many).split(&name).map(str::to_string).collect();
-    let line: String = line.iter().enumerate().map(|(n, part)| format!("{part}s-{n}")).collect();
+    // Each entry gets a name of its own.
+    let parts: Vec<String> = list(42, true, &many).split(&name).map(str::to_string).collect();
+    let line: String = parts.iter().enumerate().map(|(n, part)| format!("{part}s-{n}")).collect();
     let line = line.trim_end_matches("s-4000").to_string();
     proxy.agent.line(&line);
     proxy.agent.line(&line[..line.len() / 2]);
@@ -487,7 +492,7 @@
 }
 
 #[test]
-fn sigterm_answers_what_was_taken_serves_newcomers_for_a_while_and_exits_with_0() {
+fn sigterm_answers_open_requests_serves_new_clients_for_a_while_and_exits_with_0() {
     let (answer_now, may_answer) = std::sync::mpsc::channel::<()>();
     let may_answer = std::sync::Mutex::new(may_answer);
     let host = Host::start(move |_, text| {
@@ -503,7 +508,7 @@
     assert_eq!(host.next(), Seen::Opened);
     proxy.signal("TERM");
     assert_eq!(proxy.client().ask(&read("2", "history", 9000)).value.as_deref(), Some("v"));
-    // The idle connection ends by itself; the busy one only after its answer.
+    // The idle connection is closed at once, the busy one only after its answer.
     assert_eq!(idle.answer().end, End::Closed);
     answer_now.send(()).expect("the host waits");
     assert_eq!(busy.answer().value.as_deref(), Some("v"));
@@ -512,14 +517,14 @@
 }
 
 #[test]
-fn a_reload_moves_the_watch_and_a_bad_file_or_a_stop_at_the_same_time_does_no_harm() {
+fn a_reload_moves_the_watch_and_survives_an_invalid_file_and_a_stop() {
     let (answer_now, may_answer) = std::sync::mpsc::channel::<()>();
     let may_answer = std::sync::Mutex::new(may_answer);
     let old = Host::start(move |_, _| {
         let _ = may_answer.lock().expect("lock").recv_timeout(PATIENCE);
         Reply::Row("old")
     });
-    let new = served("new");
+    let new = host_serving("new");
     let mut proxy = Proxy::start(&[&old], 1024);
     proxy.agent.asked();
     let mut busy = proxy.client();
@@ -527,15 +532,15 @@
     assert_eq!(old.next(), Seen::Opened);
     proxy.reload("retryable", "repeatable");
     proxy.logged("stays as it was: settings: effect");
-    // Though the environment still names the first agent.
-    let next = Agent::start();
-    proxy.reload(&proxy.agent.address.to_string(), &next.address.to_string());
-    assert!(next.asked().contains("stream=1&index=41 "));
-    next.line(&list(42, true, &[(&new, "SERVING")]));
-    next.end_watch();
-    assert!(next.asked().contains("index=42 "));
+    // The new agent is used although the environment still names the first one.
+    let next_agent = Agent::start();
+    proxy.reload(&proxy.agent.address.to_string(), &next_agent.address.to_string());
+    assert!(next_agent.asked().contains("stream=1&index=41 "));
+    next_agent.line(&list(42, true, &[(&new, "SERVING")]));
+    next_agent.end_watch();
+    assert!(next_agent.asked().contains("index=42 "));
     assert_eq!(proxy.client().ask(&read("2", "history", 9000)).value.as_deref(), Some("new"));
-    // What was open before the reload is still answered, though a stop comes with another one.
+    // A request that was open before the reload is still answered, although a stop and another reload come together.
     proxy.signal("TERM");
     proxy.signal("HUP");
     answer_now.send(()).expect("the host waits");
@@ -544,8 +549,8 @@
 }
 
 #[test]
-fn a_bad_configuration_ends_the_program_with_one_line_that_names_the_key() {
-    let good = format!(
+fn an_invalid_configuration_ends_the_program_with_one_line_that_names_the_key() {
+    let valid = format!(
         r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1f","settings":{SETTINGS}}}"#
     );
     for (from, to, key) in [
@@ -563,7 +568,7 @@
         ("\"seed\"", "\"known\":{\"index\":1},\"seed\"", "known"),
         ("{", "", "LB_CONFIG"),
     ] {
-        let out = program(&good.replacen(from, to, 1), &[]).0.wait_with_output().expect("it ends");
+        let out = program(&valid.replacen(from, to, 1), &[]).0.wait_with_output().expect("it ends");
         let log = String::from_utf8_lossy(&out.stderr);
         assert_eq!(out.status.code(), Some(2), "{key}: {log}");
         assert!(log.lines().count() == 1 && log.contains(key), "{key}: {log}");
