--- a/src/net/core.rs
+++ b/src/net/core.rs
@@ -456,7 +456,7 @@
             let own_id = |shared_id| inner.by_shared_id.get(&shared_id).copied().flatten();
             items.iter().filter_map(|item| talk::from_item(*item, own_id)).collect()
         };
-        self.feed(Event::Peer { from, news: updates });
+        self.feed(Event::Peer { from, updates });
     }
 
     /// Sets whether another process serves the same clients. Reads of this process's sessions must see the writes that
@@ -490,7 +490,7 @@
 
     /// Passes a list to the module. Returns the id of every entry, in the list's order.
     pub fn apply_listing(&self, listing: &Listing, cached: bool) -> Vec<HostId> {
-        let kind = match (cached, listing.full) {
+        let update = match (cached, listing.full) {
             (true, _) => ListUpdate::Cached,
             (false, true) => ListUpdate::Full,
             (false, false) => ListUpdate::Delta,
@@ -507,7 +507,7 @@
             entries.push(HostEntry {
                 host,
                 zone: index_of(&self.program_settings.zone_names, &listed.zone),
-                kind: index_of(&self.program_settings.host_type_names, &listed.kind),
+                machine_type: index_of(&self.program_settings.host_type_names, &listed.kind),
                 group: listed.group,
                 state: match listed.status {
                     Status::Serving => HostStatus::Ready,
@@ -524,7 +524,7 @@
         if !cached {
             self.discovery_answered.0.close();
         }
-        let list = Event::List { kind, entries: entries.into() };
+        let list = Event::List { update, entries: entries.into() };
         if self.has_list.replace(true) {
             self.feed(list);
         } else {
