--- a/crates/lab/src/sim/client.rs
+++ b/crates/lab/src/sim/client.rs
@@ -70,7 +70,7 @@
         // Rested for long, a connection may end at any moment: usual clients look before they ask.
         if let Some((stream, mut came)) = connection.take() {
             let ended =
-                !stream.quiet() && !matches!(stream.read_with(|part| came.extend(part)).await, Ok(1..));
+                !stream.is_idle() && !matches!(stream.read_with(|part| came.extend(part)).await, Ok(1..));
             // A last error may say why it ends.
             if came.first().is_some_and(|kind| *kind != b'E') {
                 let what = format!("{} bytes that nobody asked for", came.len());
--- a/crates/lab/src/sim/mod.rs
+++ b/crates/lab/src/sim/mod.rs
@@ -674,7 +674,7 @@
         if !run.core.knows(&name) {
             return;
         }
-        let told = seam::with(self.world.seen_by(run.machine), || run.upgrade.by_hand(&name, out));
+        let told = seam::with(self.world.seen_by(run.machine), || run.upgrade.set_override(&name, out));
         self.world.note(|| format!("proxy {p}: host {host} by hand, out {out}: {told:?}"));
         if told.is_err() {
             return;
@@ -683,7 +683,7 @@
         book.by_hand(run.machine, host, out, now);
         for other in &self.beside[p] {
             // It looks for what the other was told every 50 ms, where the two have met.
-            if !out || other.upgrade.accompanied() {
+            if !out || other.upgrade.has_other_process() {
                 book.by_hand(other.machine, host, out, now + 60_000);
             }
         }
@@ -751,7 +751,7 @@
         let figures = serde_json::to_value(run.core.figures()).unwrap_or_default();
         let out = figures["inflight"].as_u64().unwrap_or(u64::MAX);
         let machine = self.processes[run.process].machine;
-        let (open, hosts) = (self.world.open(machine), run.hosts.held());
+        let (open, hosts) = (self.world.open(machine), run.hosts.open_connections());
         let all = clients + hosts;
         match () {
             () if out > 0 => Err(format!("{out} requests are still open")),
@@ -759,7 +759,7 @@
             // A dial has its descriptor counted before it is open.
             () if all > open + 2 => Err(format!("{all} descriptors are counted, {open} are open")),
             // Beside them, a watch of discovery, what versions say to each other, and the talk.
-            () if open > all + 1 + run.upgrade.meetings().max(2) + usize::from(self.plan.talk) => {
+            () if open > all + 1 + run.upgrade.connections().max(2) + usize::from(self.plan.talk) => {
                 Err(format!("{open} descriptors are open, {all} of them accounted for"))
             }
             () => Ok(()),
--- a/crates/lab/src/sim/world.rs
+++ b/crates/lab/src/sim/world.rs
@@ -3,7 +3,9 @@
 //! gives one day, to the byte. What falls due at the same instant happens in an order drawn from the seed.
 
 use oorandom::Rand64;
-use sillfold::net::world::{Door, Mail, Outside, Soon, Wire};
+use sillfold::net::world::{
+    LocalBoxFuture, SimulatedConnection, SimulatedDatagramSocket, SimulatedListener, SimulatedWorld,
+};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::future::{Future, poll_fn};
@@ -711,26 +713,26 @@
     }
 }
 
-impl Outside for Seat {
+impl SimulatedWorld for Seat {
     fn now(&self) -> Instant {
         let w = self.world.0.borrow();
         w.start + Duration::from_micros(w.now)
     }
 
-    fn unix(&self) -> Duration {
+    fn unix_time(&self) -> Duration {
         let w = self.world.0.borrow();
         let step = w.steps.get(&w.places[self.machine].disk).copied().unwrap_or(0);
         let now = UNIX.as_micros() as i64 + w.now as i64 + step;
         Duration::from_micros(now.max(0) as u64)
     }
 
-    fn at(&self, when: Instant) -> Soon<()> {
+    fn at(&self, when: Instant) -> LocalBoxFuture<()> {
         let w = self.world.0.borrow();
         let when = when.saturating_duration_since(w.start).as_micros() as Us;
         Box::pin(Sleep { world: self.world.clone(), when, timer: None })
     }
 
-    fn connect(&self, to: SocketAddr) -> Soon<io::Result<Box<dyn Wire>>> {
+    fn connect(&self, to: SocketAddr) -> LocalBoxFuture<io::Result<Box<dyn SimulatedConnection>>> {
         let (world, machine) = (self.world.clone(), self.machine);
         Box::pin(async move {
             let dialling = Rc::new(RefCell::new(Dialling::default()));
@@ -762,7 +764,7 @@
         })
     }
 
-    fn bind(&self, at: SocketAddr) -> io::Result<Box<dyn Door>> {
+    fn bind(&self, at: SocketAddr) -> io::Result<Box<dyn SimulatedListener>> {
         let mut w = self.world.0.borrow_mut();
         let number = w.number();
         let listening = Listening { machine: self.machine, ..Listening::default() };
@@ -771,7 +773,7 @@
         Ok(Box::new(Gate { world: self.world.clone(), at, number }))
     }
 
-    fn post(&self, at: SocketAddr) -> io::Result<Box<dyn Mail>> {
+    fn bind_datagram(&self, at: SocketAddr) -> io::Result<Box<dyn SimulatedDatagramSocket>> {
         let mut w = self.world.0.borrow_mut();
         if w.mailboxes.contains_key(&at) {
             return Err(ErrorKind::AddrInUse.into());
@@ -782,11 +784,11 @@
         Ok(Box::new(Letters { world: self.world.clone(), machine: self.machine, at }))
     }
 
-    fn lot(&self) -> u64 {
+    fn unique_number(&self) -> u64 {
         self.world.0.borrow_mut().lots.rand_u64()
     }
 
-    fn connect_local(&self, path: &Path) -> io::Result<Box<dyn Wire>> {
+    fn connect_local(&self, path: &Path) -> io::Result<Box<dyn SimulatedConnection>> {
         let mut w = self.world.0.borrow_mut();
         let disk = w.places[self.machine].disk;
         let at = w.disks.get(&disk).and_then(|d| d.sockets.get(path)).copied();
@@ -803,7 +805,7 @@
         Ok(End::open(&self.world, self.machine, back, there))
     }
 
-    fn listen_local(&self, path: &Path) -> io::Result<Box<dyn Door>> {
+    fn listen_local(&self, path: &Path) -> io::Result<Box<dyn SimulatedListener>> {
         let mut w = self.world.0.borrow_mut();
         let number = w.number();
         // A socket in the file system is an address that nothing else has.
@@ -884,7 +886,7 @@
     at: SocketAddr,
 }
 
-impl Mail for Letters {
+impl SimulatedDatagramSocket for Letters {
     fn poll_receive(&self, cx: &mut Context<'_>, into: &mut [u8]) -> Poll<io::Result<(usize, SocketAddr)>> {
         let mut w = self.world.0.borrow_mut();
         let Some(inbox) = w.mailboxes.get_mut(&self.at) else {
@@ -922,7 +924,7 @@
 }
 
 impl End {
-    fn open(world: &Rc<World>, machine: Machine, inward: u64, outward: u64) -> Box<dyn Wire> {
+    fn open(world: &Rc<World>, machine: Machine, inward: u64, outward: u64) -> Box<dyn SimulatedConnection> {
         world.0.borrow_mut().places[machine].open += 1;
         Box::new(End { world: world.clone(), machine, inward, outward })
     }
@@ -936,7 +938,7 @@
     }
 }
 
-impl Wire for End {
+impl SimulatedConnection for End {
     fn poll_read(&self, cx: &mut Context<'_>, into: &mut [u8]) -> Poll<io::Result<usize>> {
         let mut w = self.world.0.borrow_mut();
         if w.interrupts(self.machine) {
@@ -991,7 +993,7 @@
         Poll::Ready(Ok(n))
     }
 
-    fn quiet(&self) -> bool {
+    fn is_idle(&self) -> bool {
         let w = self.world.0.borrow();
         w.pipes.get(&self.inward).is_some_and(|p| p.came.is_empty() && !p.ended && !p.reset)
     }
@@ -1058,12 +1060,12 @@
     }
 }
 
-impl Door for Gate {
+impl SimulatedListener for Gate {
     fn listen(&self) -> io::Result<()> {
         self.with(|l| l.open = true).ok_or(ErrorKind::NotFound.into())
     }
 
-    fn poll_accept(&self, cx: &mut Context<'_>) -> Poll<io::Result<Box<dyn Wire>>> {
+    fn poll_accept(&self, cx: &mut Context<'_>) -> Poll<io::Result<Box<dyn SimulatedConnection>>> {
         if let Some(e) = self.refused() {
             return Poll::Ready(Err(e));
         }
--- a/src/config.rs
+++ b/src/config.rs
@@ -7,7 +7,7 @@
 //! environment of a running program cannot change. All other keys count at the next start.
 
 use crate::net::core::fnv1a;
-use crate::net::endpoints::{CONSOLE_CONNECTIONS, Talk};
+use crate::net::endpoints::{CONSOLE_CONNECTIONS, PeerEndpoints};
 use crate::net::listing::Listing;
 use crate::settings::{self, Dialect};
 use crate::{Micros, Settings};
@@ -54,7 +54,7 @@
     /// Connections to database hosts that may be open at once.
     pub most_host_connections: usize,
     /// Where proxies talk to each other; none where the settings do not allow it, or no address is named.
-    pub talk: Option<Talk>,
+    pub talk: Option<PeerEndpoints>,
     /// For how long clients are still taken in after SIGTERM.
     pub linger: Duration,
     pub way_back: Micros,
@@ -206,7 +206,7 @@
 
 /// The addresses of the talk. They are checked wherever they are named; only where the settings allow talk, and they
 /// name where to listen and others, is there any.
-fn talk(file: &File, settings: &Settings) -> Result<Option<Talk>, String> {
+fn talk(file: &File, settings: &Settings) -> Result<Option<PeerEndpoints>, String> {
     let one = |key: &str, text: &String| {
         text.parse().map_err(|_| format!("{key}: {text:?} is no address and port"))
     };
@@ -216,7 +216,7 @@
     let each: Vec<SocketAddr> = each.collect::<Result<_, _>>()?;
     let Some(listen) = listen.filter(|_| settings.limits.peers && !each.is_empty()) else { return Ok(None) };
     let Ok(ordinal) = u16::try_from(settings.ordinal) else { return Ok(None) };
-    Ok(Some(Talk { ordinal, listen, each, all }))
+    Ok(Some(PeerEndpoints { ordinal, listen, each, all }))
 }
 
 fn read_file() -> Result<Vec<u8>, String> {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -60,7 +60,7 @@
 #[doc(hidden)]
 pub mod operator;
 #[doc(hidden)]
-pub mod orders;
+pub mod overrides;
 #[doc(hidden)]
 pub mod pg;
 #[doc(hidden)]
--- a/src/main.rs
+++ b/src/main.rs
@@ -54,7 +54,7 @@
     };
     let ended = async_io::block_on(executor.run(run));
     #[cfg(feature = "faults")]
-    eprintln!("faults met: {}", serde_json::json!(sillfold::net::faults::met()));
+    eprintln!("faults met: {}", serde_json::json!(sillfold::net::faults::injected_counts()));
     match ended {
         Ok(()) => ExitCode::SUCCESS,
         Err(what) => {
--- a/src/net/admission.rs
+++ b/src/net/admission.rs
@@ -7,7 +7,7 @@
 
 use super::core::Core;
 use super::world::{self, Spawner};
-use super::{Budget, Held, by};
+use super::{ResourceUsage, SharedLimit, timeout_at};
 use async_channel::{Receiver, Sender};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashSet, VecDeque};
@@ -46,9 +46,9 @@
 /// Admission, and what the tasks of all clients share.
 pub struct Admission {
     core: Rc<Core>,
-    most: Budget,
+    most: SharedLimit,
     /// What all clients together may have sent and not been answered, in bytes.
-    most_bytes: Budget,
+    most_bytes: SharedLimit,
     open: Rc<Cell<usize>>,
     /// Connections past the limit that are hearing so. Guards against their farewells taking the
     /// places of clients that could be served.
@@ -174,8 +174,8 @@
         let (closing, ended) = (RefCell::new(async_channel::bounded(1)), async_channel::bounded(1));
         Admission {
             core,
-            most: Budget::new(most),
-            most_bytes: Budget::new(most_bytes),
+            most: SharedLimit::new(most),
+            most_bytes: SharedLimit::new(most_bytes),
             open,
             refusing,
             bytes,
@@ -218,7 +218,7 @@
             }
         };
         if has_none() {
-            by(world::now() + REFUSED_LATER, freed).await;
+            timeout_at(world::now() + REFUSED_LATER, freed).await;
         }
     }
 
@@ -282,7 +282,7 @@
                     let _ = self.ended.1.recv().await;
                 }
             };
-            by(world::now() + GIVE_UP, left).await;
+            timeout_at(world::now() + GIVE_UP, left).await;
         }
     }
 
@@ -401,7 +401,7 @@
     }
 
     /// Another process holds so much of the limits, or none does any more.
-    pub fn share(&self, other: Option<Held>) {
+    pub fn share(&self, other: Option<ResourceUsage>) {
         let ((open, bytes), own) = (self.held(), other.map(|o| (o.clients + OTHER_PROCESS, o.bytes)));
         self.most.share(open, own.map(|o| o.0));
         self.most_bytes.share(bytes, own.map(|o| o.1));
--- a/src/net/backoff.rs
+++ b/src/net/backoff.rs
@@ -7,7 +7,7 @@
 
 /// What discovery has to tell counts as told so long after it could be reached, whatever became of the calls before:
 /// the longest call that is given up and the longest wait behind it are shorter together, and leave time for the next.
-pub const TOLD: Duration = Duration::from_secs(6);
+pub const NOTIFIED_AFTER: Duration = Duration::from_secs(6);
 /// How long a call may be without an answer. An agent of the proxy's own machine answers at once or not at all; a service
 /// that all proxies ask may be slow to refuse.
 const ANSWER_PUSHED: Duration = Duration::from_millis(1_000);
--- a/src/net/client.rs
+++ b/src/net/client.rs
@@ -3,7 +3,6 @@
 //! connection `line`, its place `admission`. It must never choose a host or judge an outcome.
 
 use super::admission::{Admission, Claim};
-use super::complain;
 use super::core::{Call, Clock, Core, fnv1a};
 use super::events::RefusalReason;
 use super::hosts::Hosts;
@@ -14,6 +13,7 @@
 use super::line::{Abandoned, Ahead, Came, Line, ReadAhead, put_fatal};
 use super::pipeline::{Entry, Footprint, Pipeline, Progress};
 use super::statements::{Statements, Terms, Turned};
+use super::warn_rate_limited;
 use super::world::{self, Listener, Spawner, Stream};
 use crate::Micros;
 use crate::invariants::{self, CloseReason, Violation};
@@ -95,7 +95,7 @@
                     future::yield_now().await;
                 }
                 Err(e) => {
-                    complain(|| format!("clients: accepting: {e}"));
+                    warn_rate_limited(|| format!("clients: accepting: {e}"));
                     world::after(ACCEPT_WAIT).await;
                 }
             }
@@ -116,7 +116,7 @@
                 }
                 Err(e) if tries == 0 => return warn!(target: "clients", "accepting at the stop: {e}"),
                 Err(e) => {
-                    complain(|| format!("clients: accepting: {e}"));
+                    warn_rate_limited(|| format!("clients: accepting: {e}"));
                     tries -= 1;
                     world::after(ACCEPT_WAIT).await;
                 }
@@ -132,7 +132,7 @@
 
     fn begin(self: &Rc<Clients>, stream: Stream) {
         let _ = stream.no_delay();
-        stream.bound_sending();
+        stream.limit_send_buffer();
         if self.admission.is_full() {
             // At once, whatever the client says: it fits into any new connection's buffer.
             let mut out = Vec::new();
@@ -525,7 +525,7 @@
 
     /// Whether one more request may be begun behind the others.
     fn has_room(&mut self) -> bool {
-        let most = self.all.hosts.most() / PIPELINE_SHARE;
+        let most = self.all.hosts.max_connections() / PIPELINE_SHARE;
         self.pipeline.len() + 1 < most && self.line.taken_bytes < MOST_TAKEN_BYTES && self.line.affordable()
     }
 
--- a/src/net/console.rs
+++ b/src/net/console.rs
@@ -8,7 +8,7 @@
 use super::peers::Peers;
 use super::upgrade::Upgrade;
 use super::world::{self, Listener, Spawner, Stream};
-use super::{by, complain};
+use super::{timeout_at, warn_rate_limited};
 use async_channel::{Receiver, Sender};
 use futures_lite::future;
 use serde::Deserialize;
@@ -74,7 +74,7 @@
             let stream = match listener.accept().await {
                 Ok(stream) => stream,
                 Err(e) => {
-                    complain(|| format!("console: accepting: {e}"));
+                    warn_rate_limited(|| format!("console: accepting: {e}"));
                     world::after(ACCEPT_WAIT).await;
                     continue;
                 }
@@ -99,7 +99,7 @@
             None
         };
         let whole = async {
-            let call = by(world::now() + CALL, read_call(&stream)).await;
+            let call = timeout_at(world::now() + CALL, read_call(&stream)).await;
             Some(call.unwrap_or_else(|| Err(no(408, "no whole call came in time"))))
         };
         let answer = match future::or(whole, asked_to_go).await {
@@ -120,7 +120,7 @@
                 while let Ok(1..) = stream.read_with(|_| ()).await {}
             }
         };
-        by(world::now() + TAKEN, future::or(last, async { _ = go.recv().await })).await;
+        timeout_at(world::now() + TAKEN, future::or(last, async { _ = go.recv().await })).await;
     }
 
     fn by_hand(&self, body: &[u8], out: bool) -> Answer {
@@ -131,10 +131,10 @@
         if !self.core.knows(&who) {
             return no(404, format!("no database host is called {who:?}"));
         }
-        match self.upgrade.by_hand(&who, out) {
+        match self.upgrade.set_override(&who, out) {
             Ok(taken) => {
                 let body = json!({
-                    "who": who, "down": out, "processes": 1 + self.upgrade.meetings(),
+                    "who": who, "down": out, "processes": 1 + self.upgrade.connections(),
                     "outlasts_processes": taken.outlasts_process,
                 });
                 Answer(200, body)
@@ -171,7 +171,7 @@
                     }
                     #[cfg(feature = "faults")]
                     {
-                        figures["faults"] = json!(super::faults::met());
+                        figures["faults"] = json!(super::faults::injected_counts());
                     }
                     if let Some(peers) = &self.peers {
                         figures["peers"] = json!(peers.figures());
--- a/src/net/core.rs
+++ b/src/net/core.rs
@@ -47,7 +47,7 @@
 
 impl Clock {
     pub fn start() -> Clock {
-        Clock { started: world::now(), unix: world::unix() }
+        Clock { started: world::now(), unix: world::unix_time() }
     }
     pub fn now(&self) -> Micros {
         self.micros(world::now())
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -3,10 +3,10 @@
 //! It must never touch a connection to a database host, and bad news must never spoil the list.
 
 use super::backoff::Backoff;
-use super::by;
 use super::core::Core;
 use super::hosts::Hosts;
 use super::listing::Listing;
+use super::timeout_at;
 use super::world::{self, Stream};
 use crate::mutants;
 use async_channel::Receiver;
@@ -80,7 +80,7 @@
         None => PATH.to_string(),
         Some(at) => format!("{PATH}?stream=1&index={at}"),
     };
-    let http = by(world::now() + answer, Http::get(agent, &path)).await;
+    let http = timeout_at(world::now() + answer, Http::get(agent, &path)).await;
     let mut http = http.ok_or("no answer in time")??;
     if http.status != 200 {
         // The version may be one that discovery no longer knows: begin again with the whole list. Guards
@@ -93,7 +93,7 @@
     *accepted = Some(world::now());
     let mut apply = |listing: &Listing| hosts.listed(&core.list(listing, false), listing);
     if path == PATH {
-        let whole = by(world::now() + HEARTBEAT_TIMEOUT, http.whole()).await;
+        let whole = timeout_at(world::now() + HEARTBEAT_TIMEOUT, http.whole()).await;
         let whole = Listing::parse(&whole.ok_or("a list that does not end in time")??);
         let listing = whole.map_err(|e| format!("the list stays as it was: {e}"))?;
         apply(&listing);
@@ -107,7 +107,7 @@
         if mutants::on("silent watches are kept") { HEARTBEAT_TIMEOUT * 100 } else { HEARTBEAT_TIMEOUT };
     loop {
         // Whole lines count: guards against one that goes on and on.
-        let line = by(world::now() + patience, http.line()).await;
+        let line = timeout_at(world::now() + patience, http.line()).await;
         let Some(line) = line.ok_or("silent for too long")?? else { return Ok(()) };
         match news.take(&line) {
             Ok(None) => {}
--- a/src/net/endpoints.rs
+++ b/src/net/endpoints.rs
@@ -8,7 +8,7 @@
 
 /// The addresses by which proxies talk to each other.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Talk {
+pub struct PeerEndpoints {
     /// This proxy's number among them.
     pub ordinal: u16,
     /// The address on which this proxy receives.
--- a/src/net/faults.rs
+++ b/src/net/faults.rs
@@ -42,7 +42,7 @@
 }
 
 #[cfg(feature = "faults")]
-pub use schedule::{before, met, part, start, stepped};
+pub use schedule::{before, injected_counts, part, start, stepped};
 
 #[cfg(feature = "faults")]
 mod schedule {
@@ -123,7 +123,7 @@
     }
 
     /// How often each fault was met so far.
-    pub fn met() -> BTreeMap<String, u64> {
+    pub fn injected_counts() -> BTreeMap<String, u64> {
         SCHEDULE.with_borrow(|s| s.as_ref().map(|s| s.met.clone()).unwrap_or_default())
     }
 
--- a/src/net/hosts.rs
+++ b/src/net/hosts.rs
@@ -8,13 +8,13 @@
 use super::core::{Chore, Clock, Core, StreamedWrite};
 use super::listing::{Listing, Status};
 use super::world::{self, Spawner};
-use super::{Budget, Held, by, complain, read};
+use super::{ResourceUsage, SharedLimit, read_into, timeout_at, warn_rate_limited};
 use crate::invariants::{self, Denial, RequestStart, Start, Started};
 use crate::mutants;
 use crate::pg::{self, Backend, Column, ErrorFields, Passed, Passing, PlainError, Statement};
 use crate::{HostId, HostReport, Micros, Outcome, Role};
 use async_channel::Receiver;
-pub use connection::Attempted;
+pub use connection::CompletedAttempt;
 use connection::{AFTERMATH, Answered, Broken, Connection, Slot, note_from};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -47,29 +47,29 @@
 
 /// What a request's task knows as its attempt is about to start.
 #[derive(Clone, Copy)]
-pub struct Asking {
+pub struct AttemptContext {
     /// Its client has closed the connection.
-    pub client_left: bool,
+    pub client_disconnected: bool,
     pub request: RequestStart,
 }
 
 /// A connection on which one attempt may be written.
-pub struct Opened {
+pub struct AttemptConnection {
     host_id: HostId,
     connection: Connection,
 }
 
 /// What the start of an attempt rests on, and when that was asked.
-pub struct CheckedStart {
+pub struct ApprovedStart {
     start: Start,
     at: Micros,
 }
 
-impl Opened {
+impl AttemptConnection {
     /// Writes a piece of a statement; an error also where the host takes nothing for long.
     pub async fn write(&mut self, mut piece: &[u8]) -> io::Result<()> {
         while !piece.is_empty() {
-            let written = by(world::now() + STALLED, self.connection.stream.write(piece)).await;
+            let written = timeout_at(world::now() + STALLED, self.connection.stream.write(piece)).await;
             match written.unwrap_or_else(|| Err(ErrorKind::TimedOut.into()))? {
                 0 => return Err(ErrorKind::WriteZero.into()),
                 n => piece = &piece[n..],
@@ -80,11 +80,11 @@
 }
 
 /// An answer whose value is read as fast as its reader takes it.
-pub struct LongAnswer {
-    opened: Opened,
+pub struct StreamedValue {
+    opened: AttemptConnection,
     pub column: Column,
     /// Bytes of the value, and those still to come.
-    pub value: usize,
+    pub value_bytes: usize,
     left: usize,
     /// Until when its client waits, as long as nothing of it has come.
     until: Instant,
@@ -92,19 +92,19 @@
     pub write: Option<StreamedWrite>,
 }
 
-impl LongAnswer {
+impl StreamedValue {
     /// Bytes of the value that are still to come.
-    pub fn missing(&self) -> usize {
+    pub fn remaining_bytes(&self) -> usize {
         self.left
     }
 
     /// Appends what has come of the value; 0 at its end, an error where it breaks off.
-    pub async fn piece(&mut self, out: &mut Vec<u8>) -> io::Result<usize> {
+    pub async fn read_piece(&mut self, out: &mut Vec<u8>) -> io::Result<usize> {
         let c = &mut self.opened.connection;
         if self.left > 0 && c.inbox.is_empty() {
             let stalled = world::now() + STALLED;
-            let until = if self.left == self.value { stalled.min(self.until) } else { stalled };
-            let read = by(until, read(&c.stream, &mut c.inbox)).await;
+            let until = if self.left == self.value_bytes { stalled.min(self.until) } else { stalled };
+            let read = timeout_at(until, read_into(&c.stream, &mut c.inbox)).await;
             if read.unwrap_or_else(|| Err(ErrorKind::TimedOut.into()))? == 0 {
                 return Err(ErrorKind::UnexpectedEof.into());
             }
@@ -116,11 +116,11 @@
 }
 
 /// The answer to a plain statement, of which a part is still to come.
-pub struct PlainAnswer {
-    opened: Opened,
+pub struct StreamedAnswer {
+    opened: AttemptConnection,
     passing: Passing,
     /// What the answer tells of its server, so far.
-    pub note: HostReport,
+    pub report: HostReport,
     /// What has come and is for the client.
     pub beginning: Vec<u8>,
     /// Its session is not as it was.
@@ -135,10 +135,10 @@
     Refused(ErrorFields),
 }
 
-impl PlainAnswer {
-    fn new(opened: Opened) -> PlainAnswer {
-        let (passing, note, beginning) = Default::default();
-        PlainAnswer { opened, passing, note, beginning, changed: false }
+impl StreamedAnswer {
+    fn new(opened: AttemptConnection) -> StreamedAnswer {
+        let (passing, report, beginning) = Default::default();
+        StreamedAnswer { opened, passing, report, beginning, changed: false }
     }
 
     /// Takes what is here of the answer, or waits for more where nothing is; up to so many bytes in `out`.
@@ -149,11 +149,11 @@
             match self.passing.pass(&mut c.inbox, out).map_err(|e| Broken::Nonsense(e.0))? {
                 Passed::Some => some = true,
                 Passed::Starved if some => break,
-                Passed::Starved => match read(&c.stream, &mut c.inbox).await {
+                Passed::Starved => match read_into(&c.stream, &mut c.inbox).await {
                     Ok(1..) => some = true,
                     _ => return Err(Broken::Ended),
                 },
-                Passed::Note { name, value } => self.changed |= !note_from(&mut self.note, &name, &value),
+                Passed::Note { name, value } => self.changed |= !note_from(&mut self.report, &name, &value),
                 Passed::Refused(e) => return Ok(Step::Refused(e)),
                 Passed::Ready(idle) => {
                     self.changed |= !idle;
@@ -165,15 +165,15 @@
     }
 
     /// Appends what has come since; false at the end of the answer, an error where it breaks off.
-    pub async fn piece(&mut self, out: &mut Vec<u8>) -> io::Result<bool> {
-        let step = by(world::now() + STALLED, self.step(out, MAX_PLAIN_ANSWER_BYTES)).await;
+    pub async fn read_piece(&mut self, out: &mut Vec<u8>) -> io::Result<bool> {
+        let step = timeout_at(world::now() + STALLED, self.step(out, MAX_PLAIN_ANSWER_BYTES)).await;
         match step.unwrap_or(Err(Broken::Ended)) {
             Ok(Step::On) => Ok(true),
             Ok(Step::Ready) => Ok(false),
             Ok(Step::Refused(_)) => Err(ErrorKind::InvalidData.into()),
             Err(Broken::Ended | Broken::Silent) => Err(ErrorKind::UnexpectedEof.into()),
             Err(Broken::Nonsense(what)) => {
-                complain(|| format!("hosts: {}: {what}", self.opened.connection.address));
+                warn_rate_limited(|| format!("hosts: {}: {what}", self.opened.connection.address));
                 Err(ErrorKind::InvalidData.into())
             }
         }
@@ -185,7 +185,7 @@
     core: Rc<Core>,
     hosts: RefCell<BTreeMap<HostId, Host>>,
     open: Rc<Cell<usize>>,
-    most: Budget,
+    most: SharedLimit,
     dial_timeout: Duration,
     fresh: Duration,
     drain_grace: Micros,
@@ -202,7 +202,7 @@
             startup,
             hosts: RefCell::default(),
             open: Rc::default(),
-            most: Budget::new(most),
+            most: SharedLimit::new(most),
             dial_timeout: Duration::from_micros(core.dialect.dial_timeout_us),
             fresh: Duration::from_micros(core.dialect.keepalive_us).mul_f64(FRESH),
             drain_grace,
@@ -211,17 +211,17 @@
     }
 
     /// Connections that are open.
-    pub fn held(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.open.get()
     }
 
     /// Connections that may be open.
-    pub fn most(&self) -> usize {
+    pub fn max_connections(&self) -> usize {
         self.most.get()
     }
 
     /// Another process holds so much of the limits, or none does any more.
-    pub fn share(&self, other: Option<Held>) {
+    pub fn share_limit(&self, other: Option<ResourceUsage>) {
         self.most.share(self.open.get(), other.map(|o| o.hosts));
     }
 
@@ -272,12 +272,12 @@
     #[allow(clippy::too_many_arguments, reason = "all that an attempt depends on")]
     pub async fn attempt(
         &self, host_id: HostId, statement: &Statement, writes: bool, until: Micros,
-        asks: impl Fn(Micros) -> Asking, written: impl FnOnce(), heard: &Cell<HostReport>,
-    ) -> Attempted {
+        asks: impl Fn(Micros) -> AttemptContext, written: impl FnOnce(), heard: &Cell<HostReport>,
+    ) -> CompletedAttempt {
         let deadline = self.core.clock.instant(until);
         let (opened, start) = match self.open(host_id, &statement.id, until, asks).await {
             Ok(opened) => opened,
-            Err(outcome) => return Attempted::without_answer(outcome),
+            Err(outcome) => return CompletedAttempt::without_answer(outcome),
         };
         let extra = if mutants::on("patience grows") { 1_000 } else { 0 };
         let patience_ms = until.saturating_sub(start.at).div_ceil(1_000).max(1) + extra;
@@ -285,20 +285,21 @@
         pg::put_query(&mut query, &statement.with_patience(patience_ms));
         // Its last byte must not go when the time that its head tells is true no longer; without it, nothing has run.
         let told_until = self.core.clock.instant(invariants::write_until(start.at));
-        match by(deadline.min(told_until), opened.connection.stream.write_all(&query)).await {
+        match timeout_at(deadline.min(told_until), opened.connection.stream.write_all(&query)).await {
             Some(Ok(())) => written(),
-            Some(Err(_)) | None => return Attempted::without_answer(Outcome::ConnectFailed),
+            Some(Err(_)) | None => return CompletedAttempt::without_answer(Outcome::ConnectFailed),
         }
-        self.check(&opened, &start, &statement.id, patience_ms * 1_000, until);
+        self.check_started(&opened, &start, &statement.id, patience_ms * 1_000, until);
         if statement.is_plain() {
             return self.plain_answer(opened, until, writes).await;
         }
-        self.answer(opened, until, heard).await
+        self.read_answer(opened, until, heard).await
     }
 
     /// Tells where an attempt that has been written must not have been.
-    pub fn check(
-        &self, opened: &Opened, start: &CheckedStart, id: &str, patience: Micros, give_up_at: Micros,
+    pub fn check_started(
+        &self, opened: &AttemptConnection, start: &ApprovedStart, id: &str, patience: Micros,
+        give_up_at: Micros,
     ) {
         let now = self.core.clock.now();
         let off_for = start.start.off_for.map(|off| off + now.saturating_sub(start.at));
@@ -311,8 +312,8 @@
 
     /// The answer to a plain statement: whole where it fits into what is held, else its beginning. Until then
     /// nothing of it is the client's, and the module may still ask elsewhere.
-    async fn plain_answer(&self, opened: Opened, until: Micros, writes: bool) -> Attempted {
-        let mut answer = PlainAnswer::new(opened);
+    async fn plain_answer(&self, opened: AttemptConnection, until: Micros, writes: bool) -> CompletedAttempt {
+        let mut answer = StreamedAnswer::new(opened);
         let mut held = Vec::new();
         let whole = async {
             loop {
@@ -322,23 +323,30 @@
                 }
             }
         };
-        let Some(ended) = by(self.core.clock.instant(until), whole).await else {
-            return Attempted { note: answer.note, ..Attempted::without_answer(Outcome::Timeout) };
+        let Some(ended) = timeout_at(self.core.clock.instant(until), whole).await else {
+            return CompletedAttempt {
+                report: answer.report,
+                ..CompletedAttempt::without_answer(Outcome::Timeout)
+            };
         };
-        let (address, note) = (answer.opened.connection.address, answer.note);
+        let (address, report) = (answer.opened.connection.address, answer.report);
         match ended {
             Ok(Step::On) => {
                 answer.beginning = held;
-                let stream = Some(Box::new(answer));
-                Attempted { note, stream, ..Attempted::without_answer(Outcome::Ok) }
+                let plain_stream = Some(Box::new(answer));
+                CompletedAttempt { report, plain_stream, ..CompletedAttempt::without_answer(Outcome::Ok) }
             }
             Ok(Step::Ready) if answer.passing.begun() => {
-                self.give_back_plain(answer);
-                Attempted { note, plain: Some(held), ..Attempted::without_answer(Outcome::Ok) }
+                self.return_plain_connection(answer);
+                CompletedAttempt {
+                    report,
+                    plain_answer: Some(held),
+                    ..CompletedAttempt::without_answer(Outcome::Ok)
+                }
             }
             Ok(Step::Ready) => {
-                complain(|| format!("hosts: {address}: an answer that holds nothing"));
-                Attempted { note, ..Attempted::without_answer(Outcome::Error) }
+                warn_rate_limited(|| format!("hosts: {address}: an answer that holds nothing"));
+                CompletedAttempt { report, ..CompletedAttempt::without_answer(Outcome::Error) }
             }
             Ok(Step::Refused(e)) => {
                 // The session goes on behind its error, if it says so soon.
@@ -350,32 +358,36 @@
                         }
                     }
                 };
-                if by(world::now() + AFTERMATH, ready).await == Some(true) {
-                    self.give_back_plain(answer);
+                if timeout_at(world::now() + AFTERMATH, ready).await == Some(true) {
+                    self.return_plain_connection(answer);
                 }
                 let outcome = match pg::plain_error(&e.code, writes) {
                     PlainError::Miss => Outcome::Unsuitable,
                     PlainError::Full => Outcome::Overloaded,
                     PlainError::Failed => Outcome::Error,
                     PlainError::Answer => {
-                        let rejected = Some(e);
-                        return Attempted { note, rejected, ..Attempted::without_answer(Outcome::NotSent) };
+                        let statement_error = Some(e);
+                        return CompletedAttempt {
+                            report,
+                            statement_error,
+                            ..CompletedAttempt::without_answer(Outcome::NotSent)
+                        };
                     }
                 };
-                Attempted { note, ..Attempted::without_answer(outcome) }
+                CompletedAttempt { report, ..CompletedAttempt::without_answer(outcome) }
             }
             Err(Broken::Nonsense(what)) => {
-                complain(|| format!("hosts: {address}: {what}"));
-                Attempted { note, ..Attempted::without_answer(Outcome::Error) }
+                warn_rate_limited(|| format!("hosts: {address}: {what}"));
+                CompletedAttempt { report, ..CompletedAttempt::without_answer(Outcome::Error) }
             }
             Err(Broken::Ended | Broken::Silent) => {
-                Attempted { note, ..Attempted::without_answer(Outcome::Reset) }
+                CompletedAttempt { report, ..CompletedAttempt::without_answer(Outcome::Reset) }
             }
         }
     }
 
     /// Keeps the connection of an answer that has ended, if its session is as it was.
-    pub fn give_back_plain(&self, answer: PlainAnswer) {
+    pub fn return_plain_connection(&self, answer: StreamedAnswer) {
         // Guards against a setting, or an open transaction, that the next client's statement would meet.
         if !answer.changed && answer.opened.connection.inbox.is_empty() {
             self.give_back(answer.opened.host_id, answer.opened.connection);
@@ -385,13 +397,13 @@
     /// A connection on which an attempt may be written, or the outcome that its lack amounts to. `asks` is called once it
     /// is up, however late: what the choice of the server rested on may be true no longer.
     pub async fn open(
-        &self, host_id: HostId, id: &str, until: Micros, asks: impl Fn(Micros) -> Asking,
-    ) -> Result<(Opened, CheckedStart), Outcome> {
+        &self, host_id: HostId, id: &str, until: Micros, asks: impl Fn(Micros) -> AttemptContext,
+    ) -> Result<(AttemptConnection, ApprovedStart), Outcome> {
         let deadline = self.core.clock.instant(until);
         let begun = world::now();
         let dialled = (begun + self.dial_timeout).min(deadline);
         let shortage = Cell::new(false);
-        let connection = match by(dialled, self.connection(host_id, &shortage)).await {
+        let connection = match timeout_at(dialled, self.connection(host_id, &shortage)).await {
             Some(connection) => connection?,
             // What this machine lacks says nothing of the host.
             None if shortage.get() => return Err(Outcome::NotSent),
@@ -402,7 +414,7 @@
             None => return Err(Outcome::ConnectFailed),
         };
         let at = self.core.clock.now();
-        let Asking { client_left, request } = asks(at);
+        let AttemptContext { client_disconnected: client_left, request } = asks(at);
         let (off_for, drain_grace) = (self.off_for(host_id), self.drain_grace);
         let start = Start { off_for, drain_grace, client_left, request };
         if let Err(denial) = invariants::may_start(&start, at) {
@@ -412,12 +424,14 @@
             }
             return Err(Outcome::NotSent);
         }
-        Ok((Opened { host_id, connection }, CheckedStart { start, at }))
+        Ok((AttemptConnection { host_id, connection }, ApprovedStart { start, at }))
     }
 
     /// The answer to what was written, by this time at the latest. What it has told of the server counts, also where it
     /// does not end in time: guards against a primary that says it is none and is read from as one.
-    pub async fn answer(&self, mut opened: Opened, until: Micros, heard: &Cell<HostReport>) -> Attempted {
+    pub async fn read_answer(
+        &self, mut opened: AttemptConnection, until: Micros, heard: &Cell<HostReport>,
+    ) -> CompletedAttempt {
         let soon = if mutants::on("an attempt is left behind") { 50_000 } else { Micros::MAX };
         let until = until.min(self.core.clock.now().saturating_add(soon));
         let (host_id, told) = (opened.host_id, Cell::new(false));
@@ -427,48 +441,52 @@
                 self.core.noted(host_id, heard.get());
             }
         };
-        match by(self.core.clock.instant(until), opened.connection.answer(heard, waits)).await {
+        match timeout_at(self.core.clock.instant(until), opened.connection.answer(heard, waits)).await {
             Some(Answered::Whole(attempted, reusable)) => {
                 if reusable {
                     self.give_back(opened.host_id, opened.connection);
                 }
                 attempted
             }
-            Some(Answered::Long { note, column, value }) => {
+            Some(Answered::Long { report, column, value }) => {
                 let until = self.core.clock.instant(until);
-                let long = LongAnswer { opened, column, value, left: value, until, write: None };
-                let long = Some(Box::new(long));
-                Attempted { note, long, ..Attempted::without_answer(Outcome::Ok) }
+                let long =
+                    StreamedValue { opened, column, value_bytes: value, left: value, until, write: None };
+                let long_value = Some(Box::new(long));
+                CompletedAttempt { report, long_value, ..CompletedAttempt::without_answer(Outcome::Ok) }
             }
             // Guards against a host that answers late, into the next request's connection.
             None if mutants::on("late answers stay") => {
                 self.give_back(opened.host_id, opened.connection);
-                Attempted::without_answer(Outcome::Timeout)
+                CompletedAttempt::without_answer(Outcome::Timeout)
             }
             None if mutants::on("an attempt is left behind") => {
                 std::mem::forget(opened);
-                Attempted::without_answer(Outcome::Reset)
+                CompletedAttempt::without_answer(Outcome::Reset)
+            }
+            None => {
+                CompletedAttempt { report: heard.get(), ..CompletedAttempt::without_answer(Outcome::Timeout) }
             }
-            None => Attempted { note: heard.get(), ..Attempted::without_answer(Outcome::Timeout) },
         }
     }
 
     /// What comes behind the value of a long answer: the command's tag, if it ends as it should.
-    pub async fn finish(&self, long: Box<LongAnswer>) -> Option<String> {
-        let LongAnswer { opened: Opened { host_id, mut connection }, write, .. } = *long;
-        let mut note = HostReport::default();
-        let Backend::CommandComplete(tag) = by(world::now() + STALLED, connection.next(&mut note)).await??
+    pub async fn finish_value(&self, long: Box<StreamedValue>) -> Option<String> {
+        let StreamedValue { opened: AttemptConnection { host_id, mut connection }, write, .. } = *long;
+        let mut report = HostReport::default();
+        let Backend::CommandComplete(tag) =
+            timeout_at(world::now() + STALLED, connection.next(&mut report)).await??
         else {
             return None;
         };
         // The client waits for this only as long as it makes no difference.
-        let ready = by(world::now() + AFTERMATH, connection.next(&mut note)).await.flatten();
+        let ready = timeout_at(world::now() + AFTERMATH, connection.next(&mut report)).await.flatten();
         if let Some(mut write) = write {
-            write.commit = note.position;
+            write.commit = report.position;
         }
-        if note.role == Some(Role::Replica) {
+        if report.role == Some(Role::Replica) {
             // The value was read long before: where it stood then says nothing of how far it is behind.
-            self.core.noted(host_id, HostReport { position: None, ..note });
+            self.core.noted(host_id, HostReport { position: None, ..report });
         }
         if ready == Some(Backend::ReadyForQuery) && connection.inbox.is_empty() {
             self.give_back(host_id, connection);
@@ -479,7 +497,7 @@
     /// Asks a host for its report.
     async fn probe(&self, host_id: HostId) {
         let by_when = world::now() + self.dial_timeout;
-        let report = by(by_when, async {
+        let report = timeout_at(by_when, async {
             let mut connection = self.connection(host_id, &Cell::default()).await.ok()?;
             if !invariants::takes_new(self.off_for(host_id), self.drain_grace) {
                 return None;
@@ -495,14 +513,14 @@
                 self.give_back(host_id, connection);
             }
             let value = attempted.row?.value?;
-            Some(self.report(std::str::from_utf8(&value).ok()?))
+            Some(self.parse_report(std::str::from_utf8(&value).ok()?))
         });
         let report = report.await.flatten();
         self.core.probed(host_id, report);
     }
 
     /// Reads `x0=1767225600.123,x1=1,util=0.61`.
-    fn report(&self, text: &str) -> HostReport {
+    fn parse_report(&self, text: &str) -> HostReport {
         let d = &self.core.dialect;
         let get = |index: Option<usize>| {
             let name = d.fields.get(index?)?;
@@ -573,7 +591,7 @@
     }
 
     /// Closes idle connections that ended or grew old, for as long as the program runs.
-    pub async fn run_upkeep(&self) {
+    pub async fn run_pool_maintenance(&self) {
         loop {
             world::after(UPKEEP).await;
             for host in self.hosts.borrow_mut().values_mut() {
--- a/src/net/hosts/connection.rs
+++ b/src/net/hosts/connection.rs
@@ -1,11 +1,11 @@
 //! One connection to a database host: its dial, its messages, and what an answer amounts to. It owns the descriptor, which
 //! is given back in one place, the drop of a `Slot`. It must never choose a host, nor know of the pool.
 
-use super::{LongAnswer, PlainAnswer};
+use super::{StreamedAnswer, StreamedValue};
 use crate::mutants;
 use crate::net::core::Clock;
 use crate::net::world::{self, Stream};
-use crate::net::{by, complain, read};
+use crate::net::{read_into, timeout_at, warn_rate_limited};
 use crate::pg::{self, Backend, Column, ErrorFields, Inbox, Row, code};
 use crate::{HostReport, Outcome, Role};
 use std::cell::Cell;
@@ -50,36 +50,36 @@
 }
 
 /// What came of an attempt.
-pub struct Attempted {
+pub struct CompletedAttempt {
     pub outcome: Outcome,
-    pub note: HostReport,
+    pub report: HostReport,
     pub row: Option<Row>,
     /// What the host holds against the statement itself, as any other host would.
-    pub rejected: Option<ErrorFields>,
+    pub statement_error: Option<ErrorFields>,
     /// A row that is served, and whose value is still to come.
-    pub long: Option<Box<LongAnswer>>,
+    pub long_value: Option<Box<StreamedValue>>,
     /// The whole answer to a plain statement.
-    pub plain: Option<Vec<u8>>,
+    pub plain_answer: Option<Vec<u8>>,
     /// The beginning of one, and where the rest comes from.
-    pub stream: Option<Box<PlainAnswer>>,
+    pub plain_stream: Option<Box<StreamedAnswer>>,
 }
 
-impl Attempted {
-    pub(super) fn without_answer(outcome: Outcome) -> Attempted {
-        let (note, row, rejected, long, plain, stream) = Default::default();
-        Attempted { outcome, note, row, rejected, long, plain, stream }
+impl CompletedAttempt {
+    pub(super) fn without_answer(outcome: Outcome) -> CompletedAttempt {
+        let (report, row, statement_error, long_value, plain_answer, plain_stream) = Default::default();
+        CompletedAttempt { outcome, report, row, statement_error, long_value, plain_answer, plain_stream }
     }
 }
 
-/// Takes in a note of a host's; false if it is none of those that answers carry, but says that a setting of the
+/// Takes in a report of a host's; false if it is none of those that answers carry, but says that a setting of the
 /// session has changed.
-pub(super) fn note_from(note: &mut HostReport, name: &str, value: &str) -> bool {
+pub(super) fn note_from(report: &mut HostReport, name: &str, value: &str) -> bool {
     match (name, value) {
-        ("server_role", "writer") => note.role = Some(Role::Primary),
-        ("server_role", "reader") => note.role = Some(Role::Replica),
+        ("server_role", "writer") => report.role = Some(Role::Primary),
+        ("server_role", "reader") => report.role = Some(Role::Replica),
         ("commit_clock", ms) => {
             let ahead = if mutants::on("positions run ahead") { 3_000 } else { 0 };
-            note.position = ms.parse().ok().map(|ms: u64| Clock::from_unix_ms(ms + ahead));
+            report.position = ms.parse().ok().map(|ms: u64| Clock::from_unix_ms(ms + ahead));
         }
         ("usage" | "server_role", _) => {}
         _ => return false,
@@ -90,9 +90,9 @@
 /// What an answer turned out to be.
 pub(super) enum Answered {
     /// With whether the connection may serve another.
-    Whole(Attempted, bool),
+    Whole(CompletedAttempt, bool),
     Long {
-        note: HostReport,
+        report: HostReport,
         column: Column,
         value: usize,
     },
@@ -109,7 +109,7 @@
                 Ok(stream) => break stream,
                 Err(e) if world::is_local_shortage(&e) => {
                     shortage.set(true);
-                    complain(|| format!("hosts: {address}: connecting: {e}"));
+                    warn_rate_limited(|| format!("hosts: {address}: connecting: {e}"));
                     world::after(SHORTAGE_WAIT).await;
                 }
                 Err(_) => return Err(Outcome::ConnectFailed),
@@ -117,7 +117,7 @@
         };
         shortage.set(false);
         stream.no_delay().map_err(|_| Outcome::ConnectFailed)?;
-        stream.bound_receiving();
+        stream.limit_receive_buffer();
         let (inbox, idle_since) = (Inbox::default(), world::now());
         let mut connection = Connection { stream, address, inbox, idle_since, _slot: slot };
         connection.stream.write_all(startup).await.map_err(|_| Outcome::ConnectFailed)?;
@@ -129,11 +129,11 @@
                 }
                 Ok(Backend::AuthenticationOk | Backend::ParameterStatus { .. } | Backend::Skipped) => {}
                 Ok(other) => {
-                    complain(|| format!("hosts: {address}: {other:?} at a session's start"));
+                    warn_rate_limited(|| format!("hosts: {address}: {other:?} at a session's start"));
                     return Err(Outcome::ConnectFailed);
                 }
                 Err(Broken::Nonsense(what)) => {
-                    complain(|| format!("hosts: {address}: {what}"));
+                    warn_rate_limited(|| format!("hosts: {address}: {what}"));
                     return Err(Outcome::ConnectFailed);
                 }
                 Err(Broken::Ended | Broken::Silent) => return Err(Outcome::ConnectFailed),
@@ -143,7 +143,7 @@
 
     /// Whether it is young enough, and neither ended nor spoken on while nobody asked.
     pub(super) fn usable(&self, fresh: Duration) -> bool {
-        self.stream.quiet() && self.inbox.is_empty() && world::since(self.idle_since) < fresh
+        self.stream.is_idle() && self.inbox.is_empty() && world::since(self.idle_since) < fresh
     }
 
     pub(super) async fn message(&mut self) -> Result<Backend, Broken> {
@@ -160,9 +160,9 @@
                 Ok(None) => waits(),
                 Err(e) => return Err(Broken::Nonsense(e.0)),
             }
-            let more = read(&self.stream, &mut self.inbox);
+            let more = read_into(&self.stream, &mut self.inbox);
             let more = match when {
-                Some(when) => by(when, more).await.ok_or(Broken::Silent)?,
+                Some(when) => timeout_at(when, more).await.ok_or(Broken::Silent)?,
                 None => more.await,
             };
             if !matches!(more, Ok(1..)) {
@@ -171,11 +171,11 @@
         }
     }
 
-    /// The next message that is more than a note; notes are taken in.
-    pub(super) async fn next(&mut self, note: &mut HostReport) -> Option<Backend> {
+    /// The next message that is more than a report; notes are taken in.
+    pub(super) async fn next(&mut self, report: &mut HostReport) -> Option<Backend> {
         loop {
             match self.message().await.ok()? {
-                Backend::ParameterStatus { name, value } => drop(note_from(note, &name, &value)),
+                Backend::ParameterStatus { name, value } => drop(note_from(report, &name, &value)),
                 Backend::Skipped => {}
                 other => return Some(other),
             }
@@ -186,7 +186,7 @@
     /// `waits` is called before each wait for more of it. Once it is complete but for the word that the host is ready
     /// again, that is waited for only as long as it makes no difference.
     pub(super) async fn answer(&mut self, heard: &Cell<HostReport>, waits: impl Fn()) -> Answered {
-        let (mut note, mut rejected) = (HostReport::default(), None);
+        let (mut report, mut statement_error) = (HostReport::default(), None);
         let (mut column, mut value, mut row, mut refused) = (None, None, None, None);
         let mut complete_since = None;
         let ended = loop {
@@ -196,9 +196,12 @@
             match self.message_by(complete_since.map(|since| since + AFTERMATH), &waits).await {
                 Ok(Backend::ReadyForQuery) => break None,
                 Ok(Backend::ParameterStatus { name, value }) => {
-                    note_from(&mut note, &name, &value);
+                    note_from(&mut report, &name, &value);
                     // Heard at the end of an attempt that waits out its time, a claim to be the primary is an old one.
-                    heard.set(HostReport { role: note.role.filter(|role| *role == Role::Replica), ..note });
+                    heard.set(HostReport {
+                        role: report.role.filter(|role| *role == Role::Replica),
+                        ..report
+                    });
                 }
                 Ok(Backend::RowDescription(mut columns)) if columns.len() == 1 => column = columns.pop(),
                 Ok(Backend::DataRow(mut values)) if values.len() == 1 && value.is_none() => {
@@ -207,7 +210,7 @@
                 Ok(Backend::LongRow(length)) if column.is_some() && value.is_none() && refused.is_none() => {
                     // Checked up to here; from its first byte on there is no second try.
                     let Some(column) = column.take() else { continue };
-                    return Answered::Long { note, column, value: length };
+                    return Answered::Long { report, column, value: length };
                 }
                 Ok(Backend::CommandComplete(tag)) => match (column.take(), value.take()) {
                     (Some(column), Some(value)) => row = Some(Row { column, value, tag }),
@@ -220,7 +223,7 @@
             }
         };
         if let Some(Broken::Nonsense(what)) = &ended {
-            complain(|| format!("hosts: {}: {what}", self.address));
+            warn_rate_limited(|| format!("hosts: {}: {what}", self.address));
         }
         let outcome = match (&refused, &row, &ended) {
             (Some(e), ..) => match e.code.as_str() {
@@ -229,7 +232,7 @@
                 // Guards against a statement that makes no sense being tried at one host after the
                 // other, and being held against each of them.
                 other if code::blames_statement(other) => {
-                    rejected = refused.take();
+                    statement_error = refused.take();
                     Outcome::NotSent
                 }
                 _ => Outcome::Error,
@@ -244,6 +247,9 @@
         let row = row.filter(|_| outcome == Outcome::Ok);
         // Guards against something unasked passing for the answer to the next request.
         let reusable = ended.is_none() && self.inbox.is_empty();
-        Answered::Whole(Attempted { note, row, rejected, ..Attempted::without_answer(outcome) }, reusable)
+        Answered::Whole(
+            CompletedAttempt { report, row, statement_error, ..CompletedAttempt::without_answer(outcome) },
+            reusable,
+        )
     }
 }
--- a/src/net/life.rs
+++ b/src/net/life.rs
@@ -5,7 +5,9 @@
 use super::admission::Admission;
 use super::core::{Call, Core, Directive, Ending, Ticket};
 use super::events::RefusalReason;
-use super::hosts::{Asking, Attempted, CheckedStart, Hosts, LongAnswer, Opened, PlainAnswer};
+use super::hosts::{
+    ApprovedStart, AttemptConnection, AttemptContext, CompletedAttempt, Hosts, StreamedAnswer, StreamedValue,
+};
 use super::line::{Abandoned, Came, Line};
 use super::statements::Terms;
 use super::world::{self, Stream};
@@ -46,9 +48,9 @@
 pub enum Answer {
     Whole(Verdict),
     /// A row whose value is passed on as its client takes it.
-    Long(Box<LongAnswer>),
+    Long(Box<StreamedValue>),
     /// The same of all that a plain statement gives.
-    Stream(Box<PlainAnswer>),
+    Stream(Box<StreamedAnswer>),
 }
 
 impl Answer {
@@ -194,9 +196,9 @@
 
 /// What ended an attempt.
 enum Happened {
-    Ended(Attempted),
+    Ended(CompletedAttempt),
     Ordered(Directive),
-    Uploaded(Result<Opened, Upload>),
+    Uploaded(Result<AttemptConnection, Upload>),
     Abandoned(Abandoned),
 }
 
@@ -244,8 +246,8 @@
             Client::Watched(watch) => Some(*watch),
             Client::Reading { .. } => None,
         };
-        let asks = |now| Asking {
-            client_left: watch.is_some_and(ClientWatch::has_left),
+        let asks = |now| AttemptContext {
+            client_disconnected: watch.is_some_and(ClientWatch::has_left),
             request: ticket.starts(now),
         };
         let (mut order, mut before, mut may_have_run) = (None, None, false);
@@ -294,7 +296,7 @@
                 let give_up_at = give_up_at(statement, core.clock.now(), self.way_back);
                 written();
                 ticket.whole(give_up_at);
-                let answer = pin!(hosts.answer(opened, give_up_at, &heard));
+                let answer = pin!(hosts.read_answer(opened, give_up_at, &heard));
                 happened = self.beside(answer, &ticket).await;
             }
             let ended = happened.outcome();
@@ -378,10 +380,18 @@
 
     /// Takes in what came of an attempt, which cannot be made again where it is made `once`.
     fn take_in(
-        &mut self, attempted: Attempted, attempt: &Attempt, ticket: &Ticket<'_>, call: &Call,
+        &mut self, attempted: CompletedAttempt, attempt: &Attempt, ticket: &Ticket<'_>, call: &Call,
         statement: &Statement, once: bool,
     ) -> Next {
-        let Attempted { mut outcome, note, mut row, rejected, long, plain, stream } = attempted;
+        let CompletedAttempt {
+            mut outcome,
+            report: note,
+            mut row,
+            statement_error: rejected,
+            long_value: long,
+            plain_answer: plain,
+            plain_stream: stream,
+        } = attempted;
         if let Some(e) = rejected {
             ticket.answered();
             attempt.ended(ticket, outcome, note);
@@ -426,7 +436,7 @@
     /// The work, unless the module orders something else before, the client leaves, or the stop's time is over. An answer
     /// that is here comes first, for what it tells of its server; whether another attempt begins is looked at behind it.
     async fn beside(
-        &mut self, work: Pin<&mut impl Future<Output = Attempted>>, ticket: &Ticket<'_>,
+        &mut self, work: Pin<&mut impl Future<Output = CompletedAttempt>>, ticket: &Ticket<'_>,
     ) -> Happened {
         let work = async { Happened::Ended(work.await) };
         let ordered = async { Happened::Ordered(ticket.order().await) };
@@ -439,7 +449,8 @@
         let (hosts, admission) = (self.hosts, self.admission);
         let upload = async {
             let client = &self.client;
-            let asks = |now| Asking { client_left: client.has_left(), request: ticket.starts(now) };
+            let asks =
+                |now| AttemptContext { client_disconnected: client.has_left(), request: ticket.starts(now) };
             let opened = hosts.open(attempt.host, &statement.id, attempt.until, asks).await;
             let (opened, start) = opened.map_err(Upload::NoConnection)?;
             match &mut self.client {
@@ -478,19 +489,19 @@
 /// A long statement that is passed on as its client writes it.
 struct LongUpload<'u> {
     hosts: &'u Hosts,
-    opened: Opened,
+    opened: AttemptConnection,
     statement: &'u Statement,
     left: &'u mut usize,
 }
 
 impl LongUpload<'_> {
     /// Passes on its beginning.
-    async fn begin(&mut self, start: CheckedStart) -> Result<(), Upload> {
+    async fn begin(&mut self, start: ApprovedStart) -> Result<(), Upload> {
         let mut piece = Vec::new();
         pg::put_long_query(&mut piece, self.statement.text(), *self.left);
         self.write(&piece).await?;
         // Its client's own time is passed on, and runs from its last byte.
-        self.hosts.check(&self.opened, &start, &self.statement.id, 0, Micros::MAX);
+        self.hosts.check_started(&self.opened, &start, &self.statement.id, 0, Micros::MAX);
         Ok(())
     }
 
@@ -534,15 +545,15 @@
 }
 
 /// Passes on a value as fast as its client takes it.
-pub async fn pass_on_value(line: &mut Line<'_>, hosts: &Hosts, mut long: Box<LongAnswer>) -> PassedOn {
+pub async fn pass_on_value(line: &mut Line<'_>, hosts: &Hosts, mut long: Box<StreamedValue>) -> PassedOn {
     let before = line.out.len();
-    pg::put_long_row(&mut line.out, &long.column, long.value);
+    pg::put_long_row(&mut line.out, &long.column, long.value_bytes);
     let mut begun = false;
     loop {
-        match long.piece(&mut line.out).await {
+        match long.read_piece(&mut line.out).await {
             Ok(0) => break,
             Ok(_) => {}
-            Err(_) if begun => return PassedOn::BrokenOff { missing: long.missing() },
+            Err(_) if begun => return PassedOn::BrokenOff { missing: long.remaining_bytes() },
             Err(_) => {
                 line.out.truncate(before);
                 return PassedOn::Nothing;
@@ -553,7 +564,7 @@
             return PassedOn::NotTaken;
         }
     }
-    match hosts.finish(long).await {
+    match hosts.finish_value(long).await {
         Some(tag) => {
             pg::put_complete(&mut line.out, &tag);
             PassedOn::Whole
@@ -577,14 +588,14 @@
 /// Passes on the answer to a plain statement as fast as its client takes it: what it tells of its commit. Nothing if the
 /// host breaks it off.
 pub async fn pass_on_plain(
-    line: &mut Line<'_>, hosts: &Hosts, mut answer: Box<PlainAnswer>,
+    line: &mut Line<'_>, hosts: &Hosts, mut answer: Box<StreamedAnswer>,
 ) -> Option<Option<Micros>> {
     line.out.append(&mut answer.beginning);
     line.flush().await.ok()?;
-    while answer.piece(&mut line.out).await.ok()? {
+    while answer.read_piece(&mut line.out).await.ok()? {
         line.flush().await.ok()?;
     }
-    let position = answer.note.position;
-    hosts.give_back_plain(*answer);
+    let position = answer.report.position;
+    hosts.return_plain_connection(*answer);
     Some(position)
 }
--- a/src/net/line.rs
+++ b/src/net/line.rs
@@ -6,7 +6,7 @@
 
 use super::admission::{Admission, IDLE, IDLE_CROWDED, IDLE_THRONGED, Share};
 use super::world::{self, Stream};
-use super::{by, read};
+use super::{read_into, timeout_at};
 use crate::invariants::CloseReason;
 use crate::mutants;
 use crate::pg::{self, ErrorFields, Inbox, code};
@@ -150,7 +150,7 @@
 
     /// Whether its client has sent something that is not taken yet.
     pub fn has_more(&self) -> bool {
-        !self.inbox.is_empty() || !self.stream.quiet()
+        !self.inbox.is_empty() || !self.stream.is_idle()
     }
 
     /// Why it ends: its client has ended it where nothing else is known.
@@ -163,7 +163,7 @@
         if !self.inbox.is_empty() {
             return Ok(Came::Bytes);
         }
-        match by(world::now() + PROMPT, read(&self.stream, &mut self.inbox)).await {
+        match timeout_at(world::now() + PROMPT, read_into(&self.stream, &mut self.inbox)).await {
             Some(Ok(n @ 1..)) => {
                 self.received += n as u64;
                 self.heard = world::now();
@@ -236,7 +236,7 @@
 
     /// Writes a part of what is due.
     async fn write_part(&self, from: usize) -> io::Result<usize> {
-        let part = by(world::now() + STUCK, self.stream.write(&self.out[from..])).await;
+        let part = timeout_at(world::now() + STUCK, self.stream.write(&self.out[from..])).await;
         match part.unwrap_or_else(|| Err(io::ErrorKind::TimedOut.into()))? {
             0 => Err(io::ErrorKind::WriteZero.into()),
             n => Ok(n),
@@ -287,7 +287,7 @@
         let _ = go.try_recv();
         let _seat = (resting || !self.asked).then(|| all.seat(self.asked, self.go.0.clone()));
         // Reading comes first: a request that is here already is still served.
-        let read = async { Some(read(&self.stream, &mut self.inbox).await) };
+        let read = async { Some(read_into(&self.stream, &mut self.inbox).await) };
         // Whoever came that late hears its refusal, and rests no longer than others of its kind.
         let late = self.all.is_late(self.begun);
         let mut stops = false;
@@ -332,7 +332,7 @@
 
     /// Whether nothing waits to be read. Guards against a close on a request that is here already.
     fn nothing_came(&self) -> bool {
-        self.stream.quiet()
+        self.stream.is_idle()
     }
 
     /// Whether what this client has sent, beside what all others have, fits into the memory.
@@ -405,7 +405,7 @@
         let read = match self.overrun {
             true => self.stream.read_with(|_| ()).await,
             false => {
-                let read = read(&self.stream, &mut self.inbox).await;
+                let read = read_into(&self.stream, &mut self.inbox).await;
                 if let Ok(n) = read {
                     self.arrived(n);
                 }
@@ -453,13 +453,13 @@
         self.inbox.clear();
         self.share.set(0);
         let drained = async {
-            while let Some(Ok(n)) = by(world::now() + FAREWELL, self.stream.read_with(|_| ())).await
+            while let Some(Ok(n)) = timeout_at(world::now() + FAREWELL, self.stream.read_with(|_| ())).await
                 && n > 0
             {
                 // Others have their turn while 60 MB come.
                 future::yield_now().await;
             }
         };
-        by(world::now() + LONGEST_FAREWELL, drained).await;
+        timeout_at(world::now() + LONGEST_FAREWELL, drained).await;
     }
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -3,8 +3,8 @@
 //! the list as a message; `events` counts what happens by its reason; `core` owns the decision module, time and the figures; `capture` the record of load, `hosts`
 //! the connections to database hosts, `discovery` the watch of the list, `peers` the talk with other proxies,
 //! `statements` the desk for plain statements, `admission` clients' places, `line` their connections, `life` a request's
-//! life, `pipeline` the requests of a connection behind one another, `client` their sessions, `order_files` the files of orders by hand,
-//! `hand_orders` those orders in one process, `upgrade` what processes beside each other tell and share, `console` the operators' door, `proxy` all of them; `signals` what a
+//! life, `pipeline` the requests of a connection behind one another, `client` their sessions, `override_files` the files of orders by hand,
+//! `host_overrides` those orders in one process, `upgrade` what processes beside each other tell and share, `console` the operators' door, `proxy` all of them; `signals` what a
 //! running program follows.
 //! This file holds only what they share; it must never decide nor keep state beyond a moment.
 
@@ -20,12 +20,12 @@
 pub mod endpoints;
 pub mod events;
 pub mod faults;
-pub mod hand_orders;
+pub mod host_overrides;
 pub mod hosts;
 pub mod life;
 pub mod line;
 pub mod listing;
-pub mod order_files;
+pub mod override_files;
 pub mod peers;
 pub mod pipeline;
 pub mod proxy;
@@ -54,17 +54,17 @@
 
 /// What a process holds of the limits, and whether it is ready to serve.
 #[derive(Clone, Copy, Default, Deserialize, Serialize)]
-pub struct Held {
+pub struct ResourceUsage {
     pub ready: bool,
     pub clients: usize,
     pub bytes: usize,
     pub hosts: usize,
 }
 
-impl Held {
+impl ResourceUsage {
     /// What two processes hold together; one of them that is ready is enough.
-    fn with(self, other: &Held) -> Held {
-        Held {
+    fn with(self, other: &ResourceUsage) -> ResourceUsage {
+        ResourceUsage {
             ready: self.ready || other.ready,
             clients: self.clients.saturating_add(other.clients),
             bytes: self.bytes.saturating_add(other.bytes),
@@ -74,14 +74,14 @@
 }
 
 /// A limit that two processes may have to share.
-pub struct Budget {
+pub struct SharedLimit {
     whole: usize,
     mine: Cell<usize>,
 }
 
-impl Budget {
-    pub fn new(whole: usize) -> Budget {
-        Budget { whole, mine: Cell::new(whole) }
+impl SharedLimit {
+    pub fn new(whole: usize) -> SharedLimit {
+        SharedLimit { whole, mine: Cell::new(whole) }
     }
     pub fn get(&self) -> usize {
         self.mine.get()
@@ -94,12 +94,12 @@
 }
 
 /// Waits for bytes and puts them into the inbox; 0 at the end of the connection.
-async fn read(stream: &Stream, inbox: &mut Inbox) -> io::Result<usize> {
+async fn read_into(stream: &Stream, inbox: &mut Inbox) -> io::Result<usize> {
     stream.read_with(|bytes| inbox.put(bytes)).await
 }
 
 /// The future's result, or nothing once the time has come; the future is then dropped.
-pub async fn by<T>(when: Instant, work: impl Future<Output = T>) -> Option<T> {
+pub async fn timeout_at<T>(when: Instant, work: impl Future<Output = T>) -> Option<T> {
     future::or(async { Some(work.await) }, async {
         world::at(when).await;
         None
@@ -108,7 +108,7 @@
 }
 
 /// Writes a line about a peer's misbehaviour. Guards against a peer that fills the log.
-pub fn complain(line: impl FnOnce() -> String) {
+pub fn warn_rate_limited(line: impl FnOnce() -> String) {
     let (since, count) = COMPLAINED.get();
     let fresh = since.is_none_or(|since| world::since(since) > Duration::from_secs(1));
     if fresh && count > MAX_COMPLAINTS_PER_SECOND {
--- a/src/net/order_files.rs
+++ b/src/net/override_files.rs
@@ -2,7 +2,7 @@
 //! processes on one machine share. It owns their names. It must never decide which order counts.
 
 use super::world;
-use crate::orders::{Order, StoredOrder};
+use crate::overrides::{HostOverride, StoredOverride};
 use std::collections::BTreeSet;
 use std::io;
 use std::path::{Path, PathBuf};
@@ -26,12 +26,12 @@
 }
 
 /// The folder of the files.
-pub struct OrderFiles(PathBuf);
+pub struct OverrideFiles(PathBuf);
 
-impl OrderFiles {
+impl OverrideFiles {
     /// Those in a folder that processes share.
-    pub fn within(dir: &Path) -> OrderFiles {
-        OrderFiles(dir.join(HOSTS))
+    pub fn within(dir: &Path) -> OverrideFiles {
+        OverrideFiles(dir.join(HOSTS))
     }
 
     /// The folder, to name it.
@@ -61,12 +61,12 @@
     }
 
     /// Puts an order in its file whole; the text that is there then, or why it cannot be.
-    pub fn write(&self, host: &str, order: Order) -> Result<String, String> {
+    pub fn write(&self, host: &str, order: HostOverride) -> Result<String, String> {
         // It may not have been possible at the start.
         let _ = self.make();
-        let (path, next) = (self.path_of(host), self.0.join(format!(".{}", world::lot())));
-        let text = StoredOrder::text(order);
-        match world::put_whole(&path, &next, &text) {
+        let (path, next) = (self.path_of(host), self.0.join(format!(".{}", world::unique_number())));
+        let text = StoredOverride::format(order);
+        match world::write_atomically(&path, &next, &text) {
             Ok(()) => Ok(text),
             Err(e) => Err(format!("{}: {e}", path.display())),
         }
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -5,10 +5,10 @@
 //! Of two versions beside each other, the one that was there first has the address until it is told to stop; then it is
 //! silent and deaf, and the other takes the address within `RETRY`.
 
-use super::complain;
 use super::core::Core;
-use super::endpoints::Talk;
-use super::world::{self, Post};
+use super::endpoints::PeerEndpoints;
+use super::warn_rate_limited;
+use super::world::{self, DatagramSocket};
 use async_channel::{Receiver, Sender};
 use futures_lite::future;
 use sillfold_talk::message::MOST;
@@ -31,7 +31,7 @@
 /// This proxy's end of the talk.
 pub struct Peers {
     core: Rc<Core>,
-    talk: Talk,
+    talk: PeerEndpoints,
     /// The number of the proxy at each address.
     numbers: BTreeMap<SocketAddr, u16>,
     door: RefCell<Door>,
@@ -42,7 +42,7 @@
 
 impl Peers {
     /// A door that is still shut; from now on the core's news come here.
-    pub fn new(core: Rc<Core>, talk: Talk) -> Peers {
+    pub fn new(core: Rc<Core>, talk: PeerEndpoints) -> Peers {
         let started_ms = core.clock.now() / 1_000;
         let door = RefCell::new(Door::new(talk.ordinal, talk.each.len(), started_ms));
         let (say, said) = async_channel::bounded(WAITING);
@@ -72,7 +72,7 @@
     async fn talk(&self) {
         let mut told = false;
         loop {
-            match Post::bind(self.talk.listen, self.talk.each.len() * WAITING_OF_EACH) {
+            match DatagramSocket::bind(self.talk.listen, self.talk.each.len() * WAITING_OF_EACH) {
                 Ok(post) => {
                     info!(target: "peers", "talks with {} others at {}", self.talk.each.len() - 1, self.talk.listen);
                     self.check_room(&post);
@@ -96,7 +96,7 @@
     }
 
     /// Tells operators where the machine allows less room than all proxies may need.
-    fn check_room(&self, post: &Post) {
+    fn check_room(&self, post: &DatagramSocket) {
         let (proxies, waiting) = (self.talk.each.len(), post.waiting().unwrap_or(0));
         if waiting < proxies {
             warn!(target: "peers", "{waiting} datagrams may wait to be read, and {proxies} proxies may speak at once: \
@@ -105,7 +105,7 @@
     }
 
     /// Sends what the module has to say: what does not fit into one datagram goes into the next.
-    async fn say(&self, post: &Post) {
+    async fn say(&self, post: &DatagramSocket) {
         while let Ok(items) = self.said.recv().await {
             let mut rest = &items[..];
             while !rest.is_empty() {
@@ -121,7 +121,7 @@
     }
 
     /// Sends as many items as one datagram holds, to all at once where there is an address for that; how many it was.
-    fn say_first(&self, post: &Post, items: &[Item]) -> usize {
+    fn say_first(&self, post: &DatagramSocket, items: &[Item]) -> usize {
         let mut door = self.door.borrow_mut();
         let (datagram, packed) = door.pack(items);
         let one = |to| post.send_now(datagram.bytes(), to).is_ok();
@@ -138,7 +138,7 @@
     }
 
     /// Takes in what comes, so much in a second.
-    async fn hear(&self, post: &Post) {
+    async fn hear(&self, post: &DatagramSocket) {
         // One byte more than any of ours: a longer one shows.
         let mut bytes = [0; MOST + 1];
         loop {
@@ -152,7 +152,7 @@
                 Ok(came) => came,
                 Err(e) => {
                     // An address that nobody has may be told so; the next one comes.
-                    complain(|| format!("receiving: {e}"));
+                    warn_rate_limited(|| format!("receiving: {e}"));
                     world::after(RETRY).await;
                     continue;
                 }
--- a/src/net/proxy.rs
+++ b/src/net/proxy.rs
@@ -11,7 +11,7 @@
 use super::statements::Statements;
 use super::upgrade::Upgrade;
 use super::world::{self, Bound, Listener, Spawner};
-use super::{by, capture, discovery};
+use super::{capture, discovery, timeout_at};
 use crate::Micros;
 use crate::config::Config;
 use crate::invariants;
@@ -81,12 +81,12 @@
                 Rc::new(Console::new(core.clone(), clients.clone(), upgrade.clone(), peers.clone()));
             executor.spawn(console.run(door, executor.clone()));
         }
-        upgrade.meet(executor);
+        upgrade.start(executor);
         let known = config.known.take().map(|k| k.index);
         executor.spawn(hosts.clone().run_chores(todo, executor.clone()));
         executor.spawn({
             let hosts = hosts.clone();
-            async move { hosts.run_upkeep().await }
+            async move { hosts.run_pool_maintenance().await }
         });
         executor.spawn({
             let core = core.clone();
@@ -116,9 +116,9 @@
         let Proxy { core, clients, upgrade, peers, socket, name, address, linger, longest, .. } = self;
         // Beside another version no client comes here before it can be served.
         let ready = async {
-            if upgrade.accompanied() {
-                let ready = future::zip(core.ready(), upgrade.until_introduced());
-                future::or(async { _ = ready.await }, upgrade.alone()).await;
+            if upgrade.has_other_process() {
+                let ready = future::zip(core.ready(), upgrade.wait_for_introductions());
+                future::or(async { _ = ready.await }, upgrade.wait_until_alone()).await;
             }
             true
         };
@@ -142,7 +142,7 @@
         // The other version, if there is one, talks from now on.
         peers.iter().for_each(|peers| peers.stop());
         info!(target: "sillfold", "{name} stops");
-        if upgrade.relieved() {
+        if upgrade.other_is_ready() {
             // The other version takes whoever comes. Connections end behind their answers first: guards
             // against a close that catches a request on its way.
             clients.admission.relieve();
@@ -155,7 +155,7 @@
             clients.accept_rest(&listener).await;
             drop(listener);
         }
-        if by(cut_off, clients.admission.close()).await.is_some() {
+        if timeout_at(cut_off, clients.admission.close()).await.is_some() {
             return Ok(());
         }
         if mutants::on("stops with requests open") {
@@ -164,7 +164,7 @@
         // Guards against a close on a request that was taken: whoever waits for longer hears so.
         info!(target: "sillfold", "{name} gives its last answers");
         clients.admission.cut_off();
-        if by(world::now() + LAST_WORDS, clients.admission.close()).await.is_none() {
+        if timeout_at(world::now() + LAST_WORDS, clients.admission.close()).await.is_none() {
             info!(target: "sillfold", "{name} stops with clients that would not end");
         }
         Ok(())
--- a/src/net/signals.rs
+++ b/src/net/signals.rs
@@ -1,7 +1,7 @@
 //! The signals that a running program follows: SIGHUP reads the configuration again, SIGTERM and SIGINT stop it in order. It
 //! owns what each one means. It must never read a file, nor end anything itself.
 
-use super::complain;
+use super::warn_rate_limited;
 use crate::mutants;
 use async_channel::Sender;
 use async_signal::Signal;
@@ -24,7 +24,7 @@
             }
             Ok(_) => {}
             Err(e) => {
-                complain(|| format!("signals: {e}"));
+                warn_rate_limited(|| format!("signals: {e}"));
                 // Guards against an error that comes again at once, and keeps all else from running.
                 future::yield_now().await;
             }
--- a/src/net/upgrade.rs
+++ b/src/net/upgrade.rs
@@ -4,12 +4,12 @@
 
 use super::admission::Admission;
 use super::core::Core;
-use super::hand_orders::{HandOrders, Taken};
+use super::host_overrides::{AppliedOverride, HostOverrides};
 use super::hosts::Hosts;
 use super::world::{self, Listener, Spawner, Stream};
-use super::{Held, by, complain};
+use super::{ResourceUsage, timeout_at, warn_rate_limited};
 use crate::mutants;
-use crate::orders::ToldOrder;
+use crate::overrides::OverrideMessage;
 use async_channel::{Receiver, Sender};
 use futures_lite::future;
 use serde::{Deserialize, Serialize};
@@ -50,9 +50,9 @@
     /// Tells processes apart.
     process: u64,
     #[serde(flatten)]
-    held: Held,
+    held: ResourceUsage,
     /// Orders by hand that changed since the line before.
-    orders: Vec<ToldOrder>,
+    orders: Vec<OverrideMessage>,
     /// Whether all orders that this process knows, and those that it waits to hear, have been told.
     complete: bool,
 }
@@ -64,7 +64,7 @@
     #[serde(default)]
     process: u64,
     #[serde(flatten)]
-    held: Held,
+    held: ResourceUsage,
     /// None from a process of a version that tells no orders. Each is read for itself: one that makes no sense hinders
     /// no other.
     orders: Option<Vec<serde_json::Value>>,
@@ -75,7 +75,7 @@
 /// Another process, while it lives.
 struct Peer {
     /// What it holds, with all that it knows of but this one.
-    held: Held,
+    held: ResourceUsage,
     /// When it last said so.
     heard: Instant,
     /// Whether it ran before this one, which then waits for its introduction.
@@ -91,7 +91,7 @@
     core: Rc<Core>,
     admission: Rc<Admission>,
     hosts: Rc<Hosts>,
-    orders: HandOrders,
+    orders: HostOverrides,
     /// Tells this process from others.
     process: u64,
     /// The other processes, by the number of the meeting.
@@ -112,12 +112,12 @@
 impl Upgrade {
     pub fn new(dir: Option<PathBuf>, core: Rc<Core>, admission: Rc<Admission>, hosts: Rc<Hosts>) -> Upgrade {
         Upgrade {
-            orders: HandOrders::new(dir.as_deref(), core.clone()),
+            orders: HostOverrides::new(dir.as_deref(), core.clone()),
             dir,
             core,
             admission,
             hosts,
-            process: world::lot(),
+            process: world::unique_number(),
             peers: RefCell::default(),
             meetings: Cell::default(),
             is_superseded: Cell::default(),
@@ -131,7 +131,7 @@
     // ---- The other processes ----
 
     /// Finds the process that runs already, if there is one, and takes its place at the socket.
-    pub fn meet(self: &Rc<Upgrade>, executor: &Spawner) {
+    pub fn start(self: &Rc<Upgrade>, executor: &Spawner) {
         let Some(dir) = self.dir.clone() else { return };
         let upgrade = self.clone();
         executor.spawn(async move { upgrade.keep_folder().await });
@@ -206,7 +206,7 @@
                     self.begin_exchange(stream, false, executor);
                 }
                 Err(e) => {
-                    complain(|| format!("upgrade: accepting: {e}"));
+                    warn_rate_limited(|| format!("upgrade: accepting: {e}"));
                     world::after(SHORTAGE_WAIT).await;
                 }
             }
@@ -253,7 +253,7 @@
         let number = self.meetings.get();
         self.meetings.set(number + 1);
         let peer = Peer {
-            held: Held::default(),
+            held: ResourceUsage::default(),
             heard: world::now(),
             is_earlier,
             is_introduced: false,
@@ -273,7 +273,7 @@
         }
         info!(target: "upgrade", "the other process has ended");
         self.share_limits();
-        self.core.other_process(self.accompanied());
+        self.core.other_process(self.has_other_process());
         self.orders.read_folder(false);
         self.orders.save();
         let _ = self.folder_due.0.try_send(());
@@ -341,10 +341,10 @@
     }
 
     /// What this process holds, with all others but that of this meeting.
-    fn held_beside(&self, number: u64) -> Held {
+    fn held_beside(&self, number: u64) -> ResourceUsage {
         let (clients, bytes) = self.admission.held();
         let ready = self.admission.unready().is_none();
-        let own = Held { ready, clients, bytes, hosts: self.hosts.held() };
+        let own = ResourceUsage { ready, clients, bytes, hosts: self.hosts.open_connections() };
         let peers = self.peers.borrow();
         peers.iter().filter(|(n, _)| **n != number).fold(own, |sum, (_, peer)| sum.with(&peer.held))
     }
@@ -377,13 +377,13 @@
     /// Returns once that is so, or after a while: one that is held up must not hinder a start. Guards against a first
     /// request that goes to a host which only the process before knows to be left out, and against taking a limit's part
     /// that it holds.
-    pub async fn until_introduced(&self) {
+    pub async fn wait_for_introductions(&self) {
         let introduced = async {
             while !self.is_introduced() {
                 let _ = self.introduced.1.recv().await;
             }
         };
-        if by(world::now() + INTRODUCTION, introduced).await.is_none() {
+        if timeout_at(world::now() + INTRODUCTION, introduced).await.is_none() {
             info!(target: "upgrade", "the other process says nothing; not waited for any longer");
         }
     }
@@ -392,27 +392,27 @@
     fn share_limits(&self) {
         let others = self.peers.borrow().values().map(|peer| peer.held).reduce(|sum, held| sum.with(&held));
         self.admission.share(others);
-        self.hosts.share(others);
+        self.hosts.share_limit(others);
     }
 
     /// Whether another process lives.
-    pub fn accompanied(&self) -> bool {
+    pub fn has_other_process(&self) -> bool {
         !self.peers.borrow().is_empty()
     }
 
     /// Whether another process takes clients.
-    pub fn relieved(&self) -> bool {
+    pub fn other_is_ready(&self) -> bool {
         self.peers.borrow().values().any(|peer| peer.held.ready && world::since(peer.heard) < SILENT)
     }
 
     /// Connections to other processes that are open.
-    pub fn meetings(&self) -> usize {
+    pub fn connections(&self) -> usize {
         self.peers.borrow().len()
     }
 
     /// Returns once no other process lives.
-    pub async fn alone(&self) {
-        while self.accompanied() {
+    pub async fn wait_until_alone(&self) {
+        while self.has_other_process() {
             let _ = self.ended.1.recv().await;
         }
     }
@@ -421,7 +421,7 @@
 
     /// Leaves a database host out, or uses it again, here and in other processes; the error is why not, and nothing has
     /// changed then.
-    pub fn by_hand(&self, host: &str, out: bool) -> Result<Taken, String> {
+    pub fn set_override(&self, host: &str, out: bool) -> Result<AppliedOverride, String> {
         self.orders.give(host, out)
     }
 
@@ -449,7 +449,7 @@
         } else if self.orders.is_unsaved() {
             Some(WRITE_AGAIN)
         } else {
-            Some(READ_BESIDE).filter(|_| self.accompanied())
+            Some(READ_BESIDE).filter(|_| self.has_other_process())
         }
     }
 }
--- a/src/net/world.rs
+++ b/src/net/world.rs
@@ -35,28 +35,28 @@
 const WAITING_DATAGRAM_BYTES: usize = 1024;
 
 /// A future of a simulated world's.
-pub type Soon<T> = Pin<Box<dyn Future<Output = T>>>;
+pub type LocalBoxFuture<T> = Pin<Box<dyn Future<Output = T>>>;
 
 /// A world that is not the machine's.
-pub trait Outside {
+pub trait SimulatedWorld {
     /// The present moment, never earlier than one told before.
     fn now(&self) -> Instant;
     /// The clock on the wall, since the Unix epoch; it may be stepped.
-    fn unix(&self) -> Duration;
+    fn unix_time(&self) -> Duration;
     /// Ends once this moment has come.
-    fn at(&self, when: Instant) -> Soon<()>;
+    fn at(&self, when: Instant) -> LocalBoxFuture<()>;
     /// Dials.
-    fn connect(&self, to: SocketAddr) -> Soon<io::Result<Box<dyn Wire>>>;
-    /// Takes an address; connections are accepted from `Door::listen` on.
-    fn bind(&self, at: SocketAddr) -> io::Result<Box<dyn Door>>;
+    fn connect(&self, to: SocketAddr) -> LocalBoxFuture<io::Result<Box<dyn SimulatedConnection>>>;
+    /// Takes an address; connections are accepted from `SimulatedListener::listen` on.
+    fn bind(&self, at: SocketAddr) -> io::Result<Box<dyn SimulatedListener>>;
     /// A number that differs from process to process.
-    fn lot(&self) -> u64;
+    fn unique_number(&self) -> u64;
     /// Takes an address for datagrams; one that another process has is refused.
-    fn post(&self, at: SocketAddr) -> io::Result<Box<dyn Mail>>;
+    fn bind_datagram(&self, at: SocketAddr) -> io::Result<Box<dyn SimulatedDatagramSocket>>;
     /// Dials a socket in the file system.
-    fn connect_local(&self, path: &Path) -> io::Result<Box<dyn Wire>>;
+    fn connect_local(&self, path: &Path) -> io::Result<Box<dyn SimulatedConnection>>;
     /// Listens at one, which comes to be with this.
-    fn listen_local(&self, path: &Path) -> io::Result<Box<dyn Door>>;
+    fn listen_local(&self, path: &Path) -> io::Result<Box<dyn SimulatedListener>>;
     /// A whole file.
     fn read(&self, path: &Path) -> io::Result<Vec<u8>>;
     /// Makes a file of this, over what was there.
@@ -72,13 +72,13 @@
 }
 
 /// A simulated connection.
-pub trait Wire {
+pub trait SimulatedConnection {
     /// As of a socket; 0 at the end.
     fn poll_read(&self, cx: &mut Context<'_>, into: &mut [u8]) -> Poll<io::Result<usize>>;
     /// As of a socket; it may take a part.
     fn poll_write(&self, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>>;
     /// Nothing has come, and it has not ended.
-    fn quiet(&self) -> bool;
+    fn is_idle(&self) -> bool;
     /// The other side has ended its sending, whether or not all it sent has been read.
     fn is_hung_up(&self) -> bool;
     /// Ends the sending.
@@ -86,7 +86,7 @@
 }
 
 /// A simulated socket for datagrams.
-pub trait Mail {
+pub trait SimulatedDatagramSocket {
     /// The next one, cut at the end of what it goes into, and whence it came.
     fn poll_receive(&self, cx: &mut Context<'_>, into: &mut [u8]) -> Poll<io::Result<(usize, SocketAddr)>>;
     /// Sends one, or fails at once.
@@ -94,29 +94,29 @@
 }
 
 /// A simulated listener.
-pub trait Door {
+pub trait SimulatedListener {
     /// From now on connections are accepted.
     fn listen(&self) -> io::Result<()>;
     /// The next connection.
-    fn poll_accept(&self, cx: &mut Context<'_>) -> Poll<io::Result<Box<dyn Wire>>>;
+    fn poll_accept(&self, cx: &mut Context<'_>) -> Poll<io::Result<Box<dyn SimulatedConnection>>>;
 }
 
 thread_local! {
     /// Whether this thread's world is another than the machine's: asked first, since it costs next to nothing.
     static SIMULATED: Cell<bool> = const { Cell::new(false) };
     /// The world of this thread, where it is not the machine's.
-    static OUTSIDE: RefCell<Option<Rc<dyn Outside>>> = const { RefCell::new(None) };
+    static OUTSIDE: RefCell<Option<Rc<dyn SimulatedWorld>>> = const { RefCell::new(None) };
     /// Where every read lands first. One for all connections, which hold only what has come.
     static LANDING: RefCell<Vec<u8>> = RefCell::new(vec![0; READ_BYTES]);
 }
 
 #[inline]
-fn outside() -> Option<Rc<dyn Outside>> {
+fn outside() -> Option<Rc<dyn SimulatedWorld>> {
     if SIMULATED.get() { OUTSIDE.with_borrow(Option::clone) } else { None }
 }
 
 /// Does this in another world; what was before is put back.
-pub fn with<T>(world: Rc<dyn Outside>, work: impl FnOnce() -> T) -> T {
+pub fn with<T>(world: Rc<dyn SimulatedWorld>, work: impl FnOnce() -> T) -> T {
     let before = (SIMULATED.replace(true), OUTSIDE.replace(Some(world)));
     let done = work();
     SIMULATED.set(before.0);
@@ -137,14 +137,14 @@
 }
 
 /// The clock on the wall, since the Unix epoch.
-pub fn unix() -> Duration {
+pub fn unix_time() -> Duration {
     let machine = || faults::stepped(SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default());
-    outside().map_or_else(machine, |o| o.unix())
+    outside().map_or_else(machine, |o| o.unix_time())
 }
 
 /// A number that differs from process to process.
-pub fn lot() -> u64 {
-    outside().map_or_else(|| u64::from(std::process::id()), |o| o.lot())
+pub fn unique_number() -> u64 {
+    outside().map_or_else(|| u64::from(std::process::id()), |o| o.unique_number())
 }
 
 /// A whole file as text.
@@ -155,7 +155,7 @@
 }
 
 /// Puts a text in place whole: whoever reads meanwhile finds what was there before, or this.
-pub fn put_whole(path: &Path, next: &Path, text: &str) -> io::Result<()> {
+pub fn write_atomically(path: &Path, next: &Path, text: &str) -> io::Result<()> {
     let put = match outside() {
         None => faults::before(Call::File)
             .and_then(|()| fs::write(next, text))
@@ -232,7 +232,7 @@
 pub enum Stream {
     Machine(Async<TcpStream>),
     Local(Async<UnixStream>),
-    Other(Box<dyn Wire>),
+    Simulated(Box<dyn SimulatedConnection>),
 }
 
 impl Stream {
@@ -240,7 +240,7 @@
     pub async fn connect(to: SocketAddr) -> io::Result<Stream> {
         match outside() {
             None => Stream::connect_machine(to).await.map(Stream::Machine),
-            Some(o) => o.connect(to).await.map(Stream::Other),
+            Some(o) => o.connect(to).await.map(Stream::Simulated),
         }
     }
 
@@ -269,7 +269,7 @@
                 });
                 stream.and_then(Async::new).map(Stream::Local)
             }
-            Some(o) => o.connect_local(path).map(Stream::Other),
+            Some(o) => o.connect_local(path).map(Stream::Simulated),
         }
     }
 
@@ -277,19 +277,19 @@
     pub fn no_delay(&self) -> io::Result<()> {
         match self {
             Stream::Machine(s) => s.get_ref().set_nodelay(true),
-            Stream::Local(_) | Stream::Other(_) => Ok(()),
+            Stream::Local(_) | Stream::Simulated(_) => Ok(()),
         }
     }
 
     /// What waits for a slow reader behind this connection counts as memory too: the machine takes no more of it.
-    pub fn bound_sending(&self) {
+    pub fn limit_send_buffer(&self) {
         if let Stream::Machine(s) = self {
             let _ = SockRef::from(s.get_ref()).set_send_buffer_size(SOCKET_BYTES);
         }
     }
 
     /// The same of what has come and is not read.
-    pub fn bound_receiving(&self) {
+    pub fn limit_receive_buffer(&self) {
         if let Stream::Machine(s) = self {
             let _ = SockRef::from(s.get_ref()).set_recv_buffer_size(SOCKET_BYTES);
         }
@@ -301,7 +301,7 @@
         match self {
             Stream::Machine(s) => s.read_with(|s| land(s, &mut take)).await,
             Stream::Local(s) => s.read_with(|s| land(s, &mut take)).await,
-            Stream::Other(w) => {
+            Stream::Simulated(w) => {
                 let mut landing = vec![0; READ_BYTES];
                 let n = poll_fn(|cx| poll_uninterrupted(|| w.poll_read(cx, &mut landing))).await?;
                 take(&landing[..n]);
@@ -316,7 +316,7 @@
         match self {
             Stream::Machine(s) => s.write_with(|s| put(s, bytes)).await,
             Stream::Local(s) => s.write_with(|s| put(s, bytes)).await,
-            Stream::Other(w) => poll_fn(|cx| poll_uninterrupted(|| w.poll_write(cx, bytes))).await,
+            Stream::Simulated(w) => poll_fn(|cx| poll_uninterrupted(|| w.poll_write(cx, bytes))).await,
         }
     }
 
@@ -337,7 +337,7 @@
         let write = || match self {
             Stream::Machine(s) => put(s.get_ref(), bytes).map(drop),
             Stream::Local(s) => put(s.get_ref(), bytes).map(drop),
-            Stream::Other(w) => match w.poll_write(context, bytes) {
+            Stream::Simulated(w) => match w.poll_write(context, bytes) {
                 Poll::Ready(written) => written.map(drop),
                 Poll::Pending => Ok(()),
             },
@@ -348,7 +348,7 @@
 
     /// Nothing waits to be read, and the connection has not ended.
     #[inline]
-    pub fn quiet(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         match self {
             Stream::Machine(s) => {
                 let peek = || faults::before(Call::Peek).and_then(|()| s.get_ref().peek(&mut [0]));
@@ -356,7 +356,7 @@
             }
             // Nobody asks this of a socket in the file system.
             Stream::Local(_) => true,
-            Stream::Other(w) => w.quiet(),
+            Stream::Simulated(w) => w.is_idle(),
         }
     }
 
@@ -374,7 +374,7 @@
                 uninterrupted(look).is_ok() && asked[0].revents().intersects(ends)
             }
             Stream::Local(_) => false,
-            Stream::Other(w) => w.is_hung_up(),
+            Stream::Simulated(w) => w.is_hung_up(),
         }
     }
 
@@ -383,7 +383,7 @@
         uninterrupted(|| match self {
             Stream::Machine(s) => s.get_ref().shutdown(Shutdown::Write),
             Stream::Local(s) => s.get_ref().shutdown(Shutdown::Write),
-            Stream::Other(w) => w.shutdown(),
+            Stream::Simulated(w) => w.shutdown(),
         })
     }
 }
@@ -468,13 +468,13 @@
 /// An address that is taken, and where nobody listens yet.
 pub enum Bound {
     Machine(Socket),
-    Other(Box<dyn Door>),
+    Simulated(Box<dyn SimulatedListener>),
 }
 
 /// A socket bound to the clients' address, beside another version of the program if one is there.
 pub fn bind(address: SocketAddr) -> io::Result<Bound> {
     if let Some(o) = outside() {
-        return o.bind(address).map(Bound::Other);
+        return o.bind(address).map(Bound::Simulated);
     }
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
@@ -484,30 +484,30 @@
 }
 
 /// A socket for datagrams.
-pub enum Post {
+pub enum DatagramSocket {
     Machine(Async<UdpSocket>),
-    Other(Box<dyn Mail>),
+    Simulated(Box<dyn SimulatedDatagramSocket>),
 }
 
-impl Post {
+impl DatagramSocket {
     /// Takes an address, alone, where so many short datagrams may wait to be read, as far as the machine allows it.
-    pub fn bind(at: SocketAddr, waiting: usize) -> io::Result<Post> {
+    pub fn bind(at: SocketAddr, waiting: usize) -> io::Result<DatagramSocket> {
         if let Some(outside) = outside() {
-            return outside.post(at).map(Post::Other);
+            return outside.bind_datagram(at).map(DatagramSocket::Simulated);
         }
         let socket = Async::<UdpSocket>::bind(at)?;
         let (options, wanted) = (SockRef::from(&socket), waiting.saturating_mul(WAITING_DATAGRAM_BYTES));
         if options.recv_buffer_size()? < wanted {
             options.set_recv_buffer_size(wanted)?;
         }
-        Ok(Post::Machine(socket))
+        Ok(DatagramSocket::Machine(socket))
     }
 
     /// How many short datagrams may wait to be read.
     pub fn waiting(&self) -> io::Result<usize> {
         match self {
-            Post::Machine(s) => Ok(SockRef::from(s).recv_buffer_size()? / WAITING_DATAGRAM_BYTES),
-            Post::Other(_) => Ok(usize::MAX),
+            DatagramSocket::Machine(s) => Ok(SockRef::from(s).recv_buffer_size()? / WAITING_DATAGRAM_BYTES),
+            DatagramSocket::Simulated(_) => Ok(usize::MAX),
         }
     }
 
@@ -515,11 +515,11 @@
     pub async fn receive(&self, into: &mut [u8]) -> io::Result<(usize, SocketAddr)> {
         loop {
             let received = match self {
-                Post::Machine(s) => match faults::before(Call::Receive) {
+                DatagramSocket::Machine(s) => match faults::before(Call::Receive) {
                     Ok(()) => s.recv_from(into).await,
                     Err(e) => Err(e),
                 },
-                Post::Other(m) => poll_fn(|cx| m.poll_receive(cx, into)).await,
+                DatagramSocket::Simulated(m) => poll_fn(|cx| m.poll_receive(cx, into)).await,
             };
             match received {
                 Err(e) if is_interruption(&e) => {}
@@ -531,11 +531,11 @@
     /// Sends one, or fails at once where the machine has no room for it.
     pub fn send_now(&self, bytes: &[u8], to: SocketAddr) -> io::Result<()> {
         uninterrupted(|| match self {
-            Post::Machine(s) => {
+            DatagramSocket::Machine(s) => {
                 faults::before(Call::Send)?;
                 s.get_ref().send_to(bytes, to).map(|_| ())
             }
-            Post::Other(m) => m.send_now(bytes, to),
+            DatagramSocket::Simulated(m) => m.send_now(bytes, to),
         })
     }
 }
@@ -544,7 +544,7 @@
 pub enum Listener {
     Machine(Async<TcpListener>),
     Local(Async<UnixListener>),
-    Other(Box<dyn Door>),
+    Simulated(Box<dyn SimulatedListener>),
 }
 
 impl Bound {
@@ -555,7 +555,7 @@
                 socket.listen(BACKLOG)?;
                 Async::new(socket.into()).map(Listener::Machine)
             }
-            Bound::Other(door) => door.listen().map(|()| Listener::Other(door)),
+            Bound::Simulated(door) => door.listen().map(|()| Listener::Simulated(door)),
         }
     }
 }
@@ -579,7 +579,7 @@
             Some(o) => {
                 let door = o.listen_local(next)?;
                 o.rename(next, path)?;
-                Ok(Listener::Other(door))
+                Ok(Listener::Simulated(door))
             }
         }
     }
@@ -605,7 +605,7 @@
                 faults::before(Call::Accept)?;
                 l.accept().await.map(|(s, _)| Stream::Local(s))
             }
-            Listener::Other(door) => poll_fn(|cx| door.poll_accept(cx)).await.map(Stream::Other),
+            Listener::Simulated(door) => poll_fn(|cx| door.poll_accept(cx)).await.map(Stream::Simulated),
         }
     }
 
@@ -629,9 +629,9 @@
             }
             // Only clients' connections are taken so.
             Listener::Local(_) => Err(ErrorKind::WouldBlock.into()),
-            Listener::Other(door) => {
+            Listener::Simulated(door) => {
                 match door.poll_accept(&mut Context::from_waker(std::task::Waker::noop())) {
-                    Poll::Ready(accepted) => accepted.map(Stream::Other),
+                    Poll::Ready(accepted) => accepted.map(Stream::Simulated),
                     Poll::Pending => Err(ErrorKind::WouldBlock.into()),
                 }
             }
--- a/src/orders.rs
+++ b/src/overrides.rs
@@ -12,50 +12,50 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Hosts of which orders are kept.
-pub const MAX_ORDERS: usize = 4_096;
+pub const MAX_OVERRIDES: usize = 4_096;
 /// The longest name of a host that an order may have: its file is named by it in hexadecimal.
 pub const MAX_NAME_BYTES: usize = 127;
 /// What is stamped further ahead of the clock than this, 24 hours, was not stamped by any clock.
-pub const MAX_STAMP_AHEAD: Micros = 24 * 3_600_000_000;
+pub const MAX_STAMP_AHEAD_US: Micros = 24 * 3_600_000_000;
 /// A host that is used again is warm after this long, 60 s, and that it was out makes no difference any more.
-pub const WARM_AFTER: Micros = 60_000_000;
+pub const WARM_AFTER_US: Micros = 60_000_000;
 
 /// Marks a stamp in a file as one that can be compared with others. Versions that do not know the mark read it as a sign.
 const COMPARABLE: char = '+';
 
 /// What operators ordered of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Order {
+pub struct HostOverride {
     /// Whether it is left out; else it is used again.
     pub out: bool,
     /// When, as a hybrid logical clock in microseconds since the Unix epoch.
     pub stamp: Micros,
 }
 
-impl Order {
+impl HostOverride {
     /// Whether this order counts where the other is known.
-    pub fn outranks(self, other: Order) -> bool {
+    pub fn outranks(self, other: HostOverride) -> bool {
         (self.stamp, self.out) > (other.stamp, other.out)
     }
 
     /// Whether it says nothing any more to a process that does not know of the host.
     fn is_spent(self, now: Micros) -> bool {
-        !self.out && self.stamp.saturating_add(WARM_AFTER) <= now
+        !self.out && self.stamp.saturating_add(WARM_AFTER_US) <= now
     }
 }
 
 /// An order as its file says it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct StoredOrder {
+pub struct StoredOverride {
     /// The order.
-    pub order: Order,
+    pub order: HostOverride,
     /// Whether its stamp can be compared; earlier versions wrote the plain time of their clock.
     pub comparable: bool,
 }
 
-impl StoredOrder {
+impl StoredOverride {
     /// Reads what is in a file; nothing where it is no order.
-    pub fn parse(text: &str) -> Option<StoredOrder> {
+    pub fn parse(text: &str) -> Option<StoredOverride> {
         let (state, stamp) = text.split_once(' ')?;
         let out = match state {
             "down" => true,
@@ -63,18 +63,18 @@
             _ => return None,
         };
         let comparable = stamp.starts_with(COMPARABLE);
-        Some(StoredOrder { order: Order { out, stamp: stamp.parse().ok()? }, comparable })
+        Some(StoredOverride { order: HostOverride { out, stamp: stamp.parse().ok()? }, comparable })
     }
 
     /// What the file of an order says.
-    pub fn text(order: Order) -> String {
+    pub fn format(order: HostOverride) -> String {
         format!("{} {COMPARABLE}{}", if order.out { "down" } else { "up" }, order.stamp)
     }
 }
 
 /// An order of a host, as processes tell it each other.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
-pub struct ToldOrder {
+pub struct OverrideMessage {
     /// The host's name.
     pub host: String,
     /// Whether it is left out.
@@ -83,10 +83,10 @@
     pub stamp: Micros,
 }
 
-impl ToldOrder {
+impl OverrideMessage {
     /// The order that is told.
-    pub fn order(&self) -> Order {
-        Order { out: self.out, stamp: self.stamp }
+    pub fn order(&self) -> HostOverride {
+        HostOverride { out: self.out, stamp: self.stamp }
     }
 }
 
@@ -129,17 +129,17 @@
     /// Nothing that was not known.
     Nothing,
     /// An order that counts from now on.
-    Order(Order),
+    Override(HostOverride),
     /// It is no order.
-    NoOrder,
+    Invalid,
     /// It says nothing any more, and may be removed.
-    Spent,
+    Expired,
 }
 
 /// What is known of one host.
 #[derive(Debug, Default)]
 struct Entry {
-    order: Option<Order>,
+    order: Option<HostOverride>,
     file: FileState,
     /// The number of the change that made it so.
     change: u64,
@@ -149,7 +149,7 @@
     /// The stamp in its file.
     fn stored_stamp(&self) -> Option<Micros> {
         let FileState::Text(text) = &self.file else { return None };
-        StoredOrder::parse(text).map(|stored| stored.order.stamp)
+        StoredOverride::parse(text).map(|stored| stored.order.stamp)
     }
 
     /// Whether its file has to be written for the order to outlast this process.
@@ -158,7 +158,7 @@
         match &self.file {
             FileState::Unreadable => false,
             FileState::Absent => !order.is_spent(now),
-            FileState::Text(text) => match StoredOrder::parse(text) {
+            FileState::Text(text) => match StoredOverride::parse(text) {
                 Some(stored) if stored.comparable => {
                     stored.order.out != order.out || stored.order.stamp < order.stamp
                 }
@@ -172,7 +172,7 @@
 
 /// The orders that a process knows, and what the files say of them.
 #[derive(Debug, Default)]
-pub struct OrderBook {
+pub struct OverrideTable {
     entries: BTreeMap<String, Entry>,
     /// Hosts by the number of the change that made their order what it is.
     changes: BTreeMap<u64, String>,
@@ -181,39 +181,39 @@
     has_read_folder: bool,
 }
 
-impl OrderBook {
+impl OverrideTable {
     /// The order that operators give now, to be written to its file and then recorded.
-    pub fn next(&self, host: &str, out: bool, now: Micros) -> Order {
+    pub fn create(&self, host: &str, out: bool, now: Micros) -> HostOverride {
         let entry = self.entries.get(host);
         let known =
             entry.and_then(|e| e.order).map(|order| order.stamp).max(entry.and_then(Entry::stored_stamp));
-        Order { out, stamp: now.max(known.map_or(0, |stamp| stamp.saturating_add(1))) }
+        HostOverride { out, stamp: now.max(known.map_or(0, |stamp| stamp.saturating_add(1))) }
     }
 
     /// What counts of a host.
-    pub fn order(&self, host: &str) -> Option<Order> {
+    pub fn current(&self, host: &str) -> Option<HostOverride> {
         self.entries.get(host)?.order
     }
 
     /// Whether an order of this host may be taken.
-    pub fn check(&self, host: &str, order: Order, now: Micros) -> Result<(), Rejection> {
+    pub fn check(&self, host: &str, order: HostOverride, now: Micros) -> Result<(), Rejection> {
         if host.is_empty() || host.len() > MAX_NAME_BYTES {
             return Err(Rejection::BadName);
         }
-        if order.stamp > now.saturating_add(MAX_STAMP_AHEAD) {
+        if order.stamp > now.saturating_add(MAX_STAMP_AHEAD_US) {
             return Err(Rejection::StampAhead);
         }
-        if self.entries.len() >= MAX_ORDERS && !self.entries.contains_key(host) {
+        if self.entries.len() >= MAX_OVERRIDES && !self.entries.contains_key(host) {
             return Err(Rejection::TooMany);
         }
         Ok(())
     }
 
     /// Takes an order that another process told; whether it counts from now on.
-    pub fn hear(&mut self, told: &ToldOrder, now: Micros) -> Result<bool, Rejection> {
+    pub fn receive(&mut self, told: &OverrideMessage, now: Micros) -> Result<bool, Rejection> {
         let order = told.order();
         self.check(&told.host, order, now)?;
-        let counts = self.order(&told.host).is_none_or(|known| order.outranks(known));
+        let counts = self.current(&told.host).is_none_or(|known| order.outranks(known));
         if counts {
             self.record(&told.host, order);
         }
@@ -221,7 +221,7 @@
     }
 
     /// From now on this counts.
-    pub fn record(&mut self, host: &str, order: Order) {
+    pub fn record(&mut self, host: &str, order: HostOverride) {
         self.last_change += 1;
         let entry = self.entries.entry(host.to_string()).or_default();
         self.changes.remove(&entry.change);
@@ -231,12 +231,12 @@
     }
 
     /// The file of a host was written, or could not be read.
-    pub fn file_is(&mut self, host: &str, file: FileState) {
+    pub fn set_file(&mut self, host: &str, file: FileState) {
         self.entries.entry(host.to_string()).or_default().file = file;
     }
 
     /// The whole folder was read, and held files of these hosts only.
-    pub fn folder_is_read(&mut self, hosts: &BTreeSet<String>) {
+    pub fn finish_folder_read(&mut self, hosts: &BTreeSet<String>) {
         self.has_read_folder = true;
         for (host, entry) in &mut self.entries {
             if !hosts.contains(host) {
@@ -246,16 +246,16 @@
     }
 
     /// The file of a host says this.
-    pub fn find(&mut self, host: &str, text: &str, now: Micros) -> Finding {
+    pub fn observe_file(&mut self, host: &str, text: &str, now: Micros) -> Finding {
         let entry = self.entries.get(host);
         let file = entry.map_or(FileState::Absent, |e| e.file.clone());
         if matches!(&file, FileState::Text(known) if known == text) {
             return Finding::Nothing;
         }
-        let known = self.order(host);
-        let Some(stored) = StoredOrder::parse(text) else {
-            self.file_is(host, FileState::Text(text.to_string()));
-            return Finding::NoOrder;
+        let known = self.current(host);
+        let Some(stored) = StoredOverride::parse(text) else {
+            self.set_file(host, FileState::Text(text.to_string()));
+            return Finding::Invalid;
         };
         let is_news = match file {
             FileState::Text(_) => true,
@@ -263,36 +263,36 @@
             // It was there before: when it was written is not known.
             FileState::Unreadable => false,
         };
-        let is_ahead = stored.order.stamp > now.saturating_add(MAX_STAMP_AHEAD);
+        let is_ahead = stored.order.stamp > now.saturating_add(MAX_STAMP_AHEAD_US);
         let order = match stored {
-            StoredOrder { order, comparable: true } if !is_ahead => order,
-            StoredOrder { order, .. } => self.compared(host, order, is_news, now),
+            StoredOverride { order, comparable: true } if !is_ahead => order,
+            StoredOverride { order, .. } => self.compared(host, order, is_news, now),
         };
         if self.check(host, order, now).is_err() {
-            return Finding::NoOrder;
+            return Finding::Invalid;
         }
-        self.file_is(host, FileState::Text(text.to_string()));
+        self.set_file(host, FileState::Text(text.to_string()));
         match known {
             Some(known) if !order.outranks(known) => Finding::Nothing,
             None if order.is_spent(now) => {
                 self.record(host, order);
-                Finding::Spent
+                Finding::Expired
             }
             _ => {
                 self.record(host, order);
-                Finding::Order(order)
+                Finding::Override(order)
             }
         }
     }
 
     /// A plain time as a stamp. What comes as news was written in knowledge of what was there before, by a clock of
     /// which nothing is known; that the same is ordered again is no news.
-    fn compared(&self, host: &str, stored: Order, is_news: bool, now: Micros) -> Order {
+    fn compared(&self, host: &str, stored: HostOverride, is_news: bool, now: Micros) -> HostOverride {
         let (out, stamp) = (stored.out, stored.stamp.min(now));
-        match self.order(host) {
+        match self.current(host) {
             Some(known) if known.out == out => known,
-            Some(known) if is_news => Order { out, stamp: stamp.max(known.stamp.saturating_add(1)) },
-            _ => Order { out, stamp },
+            Some(known) if is_news => HostOverride { out, stamp: stamp.max(known.stamp.saturating_add(1)) },
+            _ => HostOverride { out, stamp },
         }
     }
 
@@ -303,7 +303,7 @@
 
     /// Orders that changed behind this change, oldest first, as many as have names of so many bytes together, and one at
     /// least; with the number of the last of them.
-    pub fn changed_after(&self, change: u64, most_bytes: usize) -> (Vec<ToldOrder>, u64) {
+    pub fn changed_after(&self, change: u64, most_bytes: usize) -> (Vec<OverrideMessage>, u64) {
         let (mut told, mut last, mut bytes) = (Vec::new(), change, 0);
         for (number, host) in self.changes.range(change + 1..) {
             bytes += host.len();
@@ -311,8 +311,8 @@
                 break;
             }
             last = *number;
-            let order = self.order(host);
-            told.extend(order.map(|order| ToldOrder {
+            let order = self.current(host);
+            told.extend(order.map(|order| OverrideMessage {
                 host: host.clone(),
                 out: order.out,
                 stamp: order.stamp,
@@ -322,7 +322,7 @@
     }
 
     /// Orders that are not in their files.
-    pub fn unsaved(&self, now: Micros) -> Vec<(String, Order)> {
+    pub fn unsaved(&self, now: Micros) -> Vec<(String, HostOverride)> {
         let unsaved = self.entries.iter().filter(|(_, entry)| entry.needs_saving(now));
         unsaved.filter_map(|(host, entry)| Some((host.clone(), entry.order?))).collect()
     }
--- a/tests/backoff.rs
+++ b/tests/backoff.rs
@@ -1,7 +1,7 @@
 //! The waits between calls to discovery, pure.
 
 use sillfold::ListMode::{OnRequest, Pushed};
-use sillfold::net::backoff::{Backoff, TOLD};
+use sillfold::net::backoff::{Backoff, NOTIFIED_AFTER};
 use std::time::Duration;
 
 /// Most calls that fall into one second, of those that so many proxies make after one failure and after
@@ -59,7 +59,7 @@
             let mut backoff = Backoff::new(mode, proxies, 7);
             let worst = (0..1_000).map(|_| backoff.failed()).max().unwrap_or_default();
             assert!(
-                backoff.answer + worst + Duration::from_millis(400) <= TOLD,
+                backoff.answer + worst + Duration::from_millis(400) <= NOTIFIED_AFTER,
                 "{mode:?} {proxies}: {worst:?}"
             );
             assert!((0..100).all(|_| backoff.soon() <= Duration::from_millis(250)));
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -6,7 +6,9 @@
 use async_signal::Signal;
 use futures_lite::{future, stream};
 use sillfold::net::signals;
-use sillfold::net::world::{Door, Listener, Mail, Post, Stream, Wire};
+use sillfold::net::world::{
+    DatagramSocket, Listener, SimulatedConnection, SimulatedDatagramSocket, SimulatedListener, Stream,
+};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::io::{self, ErrorKind};
@@ -35,7 +37,7 @@
     }
 }
 
-impl Wire for InterruptedWire {
+impl SimulatedConnection for InterruptedWire {
     fn poll_read(&self, _: &mut Context<'_>, into: &mut [u8]) -> Poll<io::Result<usize>> {
         if self.is_interrupted() {
             return Poll::Ready(Err(ErrorKind::Interrupted.into()));
@@ -50,7 +52,7 @@
         self.written.borrow_mut().extend(&bytes[..1]);
         Poll::Ready(Ok(1))
     }
-    fn quiet(&self) -> bool {
+    fn is_idle(&self) -> bool {
         true
     }
     fn is_hung_up(&self) -> bool {
@@ -65,7 +67,7 @@
 #[test]
 fn an_interrupted_call_on_a_connection_is_made_again() {
     let (wire, written) = InterruptedWire::new(3);
-    let stream = Stream::Other(Box::new(wire));
+    let stream = Stream::Simulated(Box::new(wire));
     future::block_on(async {
         let mut came = Vec::new();
         let read = stream.read_with(|bytes| came.extend(bytes)).await;
@@ -87,7 +89,7 @@
     }
 }
 
-impl Mail for InterruptedMail {
+impl SimulatedDatagramSocket for InterruptedMail {
     fn poll_receive(&self, _: &mut Context<'_>, _: &mut [u8]) -> Poll<io::Result<(usize, SocketAddr)>> {
         if self.is_interrupted() {
             return Poll::Ready(Err(ErrorKind::Interrupted.into()));
@@ -102,7 +104,7 @@
 /// The talk between proxies.
 #[test]
 fn an_interrupted_call_for_a_datagram_is_made_again() {
-    let post = Post::Other(Box::new(InterruptedMail(Cell::new(false))));
+    let post = DatagramSocket::Simulated(Box::new(InterruptedMail(Cell::new(false))));
     assert!(future::block_on(post.receive(&mut [0; 8])).is_ok());
     assert!(post.send_now(b"x", SocketAddr::from(([127, 0, 0, 1], 1))).is_ok());
 }
@@ -112,15 +114,15 @@
 
 impl ScriptedDoor {
     fn listener(script: &[Result<(), ErrorKind>]) -> Listener {
-        Listener::Other(Box::new(ScriptedDoor(RefCell::new(script.iter().copied().collect()))))
+        Listener::Simulated(Box::new(ScriptedDoor(RefCell::new(script.iter().copied().collect()))))
     }
 }
 
-impl Door for ScriptedDoor {
+impl SimulatedListener for ScriptedDoor {
     fn listen(&self) -> io::Result<()> {
         Ok(())
     }
-    fn poll_accept(&self, _: &mut Context<'_>) -> Poll<io::Result<Box<dyn Wire>>> {
+    fn poll_accept(&self, _: &mut Context<'_>) -> Poll<io::Result<Box<dyn SimulatedConnection>>> {
         match self.0.borrow_mut().pop_front() {
             Some(Ok(())) => Poll::Ready(Ok(Box::new(InterruptedWire::new(0).0))),
             Some(Err(kind)) => Poll::Ready(Err(kind.into())),
