--- a/src/net/hosts.rs
+++ b/src/net/hosts.rs
@@ -1,7 +1,8 @@
-//! Connections to database hosts: dialling, the idle pool, attempts and probes. It owns every such
-//! connection and its descriptor, which is given back in one place, the drop of a `Slot`. It must
-//! never choose a host, never send anything a second time by itself, and never put a connection
-//! back before the host has said that it is ready for the next query.
+//! Connections to database hosts: connecting, the pools of idle connections, attempts and probes. This module owns every
+//! such connection and its descriptor, which is released in one place, the drop of a `ConnectionPermit`. It calls the core
+//! for the time and the lists of hosts, and reports to it what hosts say about themselves. It must never choose a host,
+//! must never send a statement a second time by itself, and must never return a connection to its pool before the host has
+//! reported that it is ready for the next query.
 
 mod connection;
 
@@ -15,7 +16,7 @@
 use crate::{HostId, HostReport, Micros, Outcome, Role};
 use async_channel::Receiver;
 pub use connection::CompletedAttempt;
-use connection::{AFTERMATH, Answered, Broken, Connection, Slot, note_from};
+use connection::{Answer, Connection, ConnectionPermit, READY_TIMEOUT, ReadError, apply_parameter};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind};
@@ -24,52 +25,55 @@
 use std::time::{Duration, Instant};
 use tracing::debug;
 
-/// The pool is looked through this often for connections that ended or grew old.
-const UPKEEP: Duration = Duration::from_millis(500);
-/// Share of the idle limit after which a connection is no longer used: a request written to it as
-/// the host closes it would end as a reset.
-const FRESH: f64 = 0.8;
-/// A host that gives or takes nothing of a long value for this long has broken off.
-const STALLED: Duration = Duration::from_secs(15);
-/// So much of the answer to a plain statement is held: what fits is passed on whole, and may still be asked for
-/// elsewhere if it breaks off.
+/// The interval at which pools are searched for connections that ended or are too old.
+const POOL_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// The share of a host's idle limit after which an idle connection is no longer used. A request that is written as the
+/// host closes the connection would end as a reset.
+const USABLE_IDLE_SHARE: f64 = 0.8;
+/// A host that sends or accepts nothing of a long value for this long has broken it off.
+const STALL_TIMEOUT: Duration = Duration::from_secs(15);
+/// The part of an answer to a plain statement that is held in memory. An answer that fits is passed on only when it is
+/// complete, so that another attempt is still possible if it breaks off.
 const MAX_PLAIN_ANSWER_BYTES: usize = 64 * 1024;
-/// A dial that got no answer for this long tells that its host is out of reach, whatever time-out dials have: a
-/// handshake takes some round trips, and reads that end before half of a long time-out would never find out.
-const TELLS: Duration = Duration::from_millis(100);
+/// A connect without an answer for this long shows that its host is out of reach, however long the connect timeout is. A
+/// handshake takes a few round trips. With half of a long timeout as the only bound, reads with shorter deadlines would
+/// never detect such a host.
+const CONCLUSIVE_CONNECT: Duration = Duration::from_millis(100);
 
-struct Host {
+/// The connections to one database host.
+struct HostPool {
     address: SocketAddr,
+    /// Idle connections, the longest idle first.
     idle: Vec<Connection>,
-    /// When discovery first told that it drains or is gone.
+    /// When discovery first reported that the host drains or is removed.
     off_since: Option<Instant>,
 }
 
-/// What a request's task knows as its attempt is about to start.
+/// What the request's handler knows as an attempt is about to start.
 #[derive(Clone, Copy)]
 pub struct AttemptContext {
-    /// Its client has closed the connection.
+    /// Whether the client has closed its connection.
     pub client_disconnected: bool,
     pub request: RequestStart,
 }
 
 /// A connection on which one attempt may be written.
 pub struct AttemptConnection {
-    host_id: HostId,
+    host: HostId,
     connection: Connection,
 }
 
-/// What the start of an attempt rests on, and when that was asked.
+/// The conditions under which the start of an attempt was allowed, and when they were checked.
 pub struct ApprovedStart {
     start: Start,
     at: Micros,
 }
 
 impl AttemptConnection {
-    /// Writes a piece of a statement; an error also where the host takes nothing for long.
+    /// Writes a piece of a statement. Fails too if the host accepts nothing for `STALL_TIMEOUT`.
     pub async fn write(&mut self, mut piece: &[u8]) -> io::Result<()> {
         while !piece.is_empty() {
-            let written = timeout_at(world::now() + STALLED, self.connection.stream.write(piece)).await;
+            let written = timeout_at(world::now() + STALL_TIMEOUT, self.connection.stream.write(piece)).await;
             match written.unwrap_or_else(|| Err(ErrorKind::TimedOut.into()))? {
                 0 => return Err(ErrorKind::WriteZero.into()),
                 n => piece = &piece[n..],
@@ -79,264 +83,289 @@
     }
 }
 
-/// An answer whose value is read as fast as its reader takes it.
+/// An answer with one long value, which is read from the host as fast as the client takes it.
 pub struct StreamedValue {
-    opened: AttemptConnection,
+    attempt: AttemptConnection,
     pub column: Column,
-    /// Bytes of the value, and those still to come.
+    /// The length of the value.
     pub value_bytes: usize,
-    left: usize,
-    /// Until when its client waits, as long as nothing of it has come.
-    until: Instant,
-    /// Where it is that to a write.
+    /// The part of the value that is not read yet.
+    remaining: usize,
+    /// The deadline of the client for the first byte.
+    first_byte_deadline: Instant,
+    /// The write that this is the answer to, if any.
     pub write: Option<StreamedWrite>,
 }
 
 impl StreamedValue {
-    /// Bytes of the value that are still to come.
+    /// The number of bytes of the value that are not read yet.
     pub fn remaining_bytes(&self) -> usize {
-        self.left
+        self.remaining
     }
 
-    /// Appends what has come of the value; 0 at its end, an error where it breaks off.
+    /// Appends the next piece of the value and returns its length, 0 at the value's end. Fails if the value breaks off.
     pub async fn read_piece(&mut self, out: &mut Vec<u8>) -> io::Result<usize> {
-        let c = &mut self.opened.connection;
-        if self.left > 0 && c.inbox.is_empty() {
-            let stalled = world::now() + STALLED;
-            let until = if self.left == self.value_bytes { stalled.min(self.until) } else { stalled };
-            let read = timeout_at(until, read_into(&c.stream, &mut c.inbox)).await;
+        let c = &mut self.attempt.connection;
+        if self.remaining > 0 && c.inbox.is_empty() {
+            let stall_deadline = world::now() + STALL_TIMEOUT;
+            let deadline = if self.remaining == self.value_bytes {
+                stall_deadline.min(self.first_byte_deadline)
+            } else {
+                stall_deadline
+            };
+            let read = timeout_at(deadline, read_into(&c.stream, &mut c.inbox)).await;
             if read.unwrap_or_else(|| Err(ErrorKind::TimedOut.into()))? == 0 {
                 return Err(ErrorKind::UnexpectedEof.into());
             }
         }
-        let n = c.inbox.move_to(out, self.left);
-        self.left -= n;
+        let n = c.inbox.move_to(out, self.remaining);
+        self.remaining -= n;
         Ok(n)
     }
 }
 
-/// The answer to a plain statement, of which a part is still to come.
+/// The answer to a plain statement, of which a part is not read yet.
 pub struct StreamedAnswer {
-    opened: AttemptConnection,
+    attempt: AttemptConnection,
     passing: Passing,
-    /// What the answer tells of its server, so far.
+    /// What the answer has reported about its host so far.
     pub report: HostReport,
-    /// What has come and is for the client.
+    /// The beginning of the answer, for the client.
     pub beginning: Vec<u8>,
-    /// Its session is not as it was.
-    changed: bool,
+    /// Whether the state of the database session differs from what it was before the statement.
+    is_session_changed: bool,
 }
 
-/// Why an answer to a plain statement goes on, or does not.
-enum Step {
-    /// Something came, or what is held is enough.
-    On,
-    Ready,
-    Refused(ErrorFields),
+/// The result of reading a part of the answer to a plain statement.
+enum AnswerStep {
+    /// Something was read, or the buffer is full.
+    Progress,
+    /// The answer is complete.
+    Complete,
+    /// The host rejected the statement.
+    Rejected(ErrorFields),
 }
 
 impl StreamedAnswer {
-    fn new(opened: AttemptConnection) -> StreamedAnswer {
+    fn new(attempt: AttemptConnection) -> StreamedAnswer {
         let (passing, report, beginning) = Default::default();
-        StreamedAnswer { opened, passing, report, beginning, changed: false }
+        StreamedAnswer { attempt, passing, report, beginning, is_session_changed: false }
     }
 
-    /// Takes what is here of the answer, or waits for more where nothing is; up to so many bytes in `out`.
-    async fn step(&mut self, out: &mut Vec<u8>, most: usize) -> Result<Step, Broken> {
-        let c = &mut self.opened.connection;
-        let mut some = false;
-        while out.len() < most {
-            match self.passing.pass(&mut c.inbox, out).map_err(|e| Broken::Nonsense(e.0))? {
-                Passed::Some => some = true,
-                Passed::Starved if some => break,
+    /// Appends what has arrived of the answer, up to `max_bytes` in `out`. Waits only if nothing has arrived.
+    async fn read_step(&mut self, out: &mut Vec<u8>, max_bytes: usize) -> Result<AnswerStep, ReadError> {
+        let c = &mut self.attempt.connection;
+        let mut has_progress = false;
+        while out.len() < max_bytes {
+            match self.passing.pass(&mut c.inbox, out).map_err(|e| ReadError::Protocol(e.0))? {
+                Passed::Some => has_progress = true,
+                Passed::Starved if has_progress => break,
                 Passed::Starved => match read_into(&c.stream, &mut c.inbox).await {
-                    Ok(1..) => some = true,
-                    _ => return Err(Broken::Ended),
+                    Ok(1..) => has_progress = true,
+                    _ => return Err(ReadError::Disconnected),
                 },
-                Passed::Note { name, value } => self.changed |= !note_from(&mut self.report, &name, &value),
-                Passed::Refused(e) => return Ok(Step::Refused(e)),
+                Passed::Note { name, value } => {
+                    self.is_session_changed |= !apply_parameter(&mut self.report, &name, &value);
+                }
+                Passed::Refused(e) => return Ok(AnswerStep::Rejected(e)),
                 Passed::Ready(idle) => {
-                    self.changed |= !idle;
-                    return Ok(Step::Ready);
+                    self.is_session_changed |= !idle;
+                    return Ok(AnswerStep::Complete);
                 }
             }
         }
-        Ok(Step::On)
+        Ok(AnswerStep::Progress)
     }
 
-    /// Appends what has come since; false at the end of the answer, an error where it breaks off.
+    /// Appends the next piece of the answer. Returns false at the answer's end. Fails if the answer breaks off.
     pub async fn read_piece(&mut self, out: &mut Vec<u8>) -> io::Result<bool> {
-        let step = timeout_at(world::now() + STALLED, self.step(out, MAX_PLAIN_ANSWER_BYTES)).await;
-        match step.unwrap_or(Err(Broken::Ended)) {
-            Ok(Step::On) => Ok(true),
-            Ok(Step::Ready) => Ok(false),
-            Ok(Step::Refused(_)) => Err(ErrorKind::InvalidData.into()),
-            Err(Broken::Ended | Broken::Silent) => Err(ErrorKind::UnexpectedEof.into()),
-            Err(Broken::Nonsense(what)) => {
-                warn_rate_limited(|| format!("hosts: {}: {what}", self.opened.connection.address));
+        let step =
+            timeout_at(world::now() + STALL_TIMEOUT, self.read_step(out, MAX_PLAIN_ANSWER_BYTES)).await;
+        match step.unwrap_or(Err(ReadError::Disconnected)) {
+            Ok(AnswerStep::Progress) => Ok(true),
+            Ok(AnswerStep::Complete) => Ok(false),
+            Ok(AnswerStep::Rejected(_)) => Err(ErrorKind::InvalidData.into()),
+            Err(ReadError::Disconnected | ReadError::TimedOut) => Err(ErrorKind::UnexpectedEof.into()),
+            Err(ReadError::Protocol(error)) => {
+                warn_rate_limited(|| {
+                    format!("hosts: {}: {error}; the answer breaks off", self.attempt.connection.address)
+                });
                 Err(ErrorKind::InvalidData.into())
             }
         }
     }
 }
 
-/// Owner of all connections to database hosts.
+/// The owner of all connections to database hosts.
 pub struct Hosts {
     core: Rc<Core>,
-    hosts: RefCell<BTreeMap<HostId, Host>>,
+    pools: RefCell<BTreeMap<HostId, HostPool>>,
+    /// The number of open connections, idle ones included.
     open: Rc<Cell<usize>>,
-    most: SharedLimit,
-    dial_timeout: Duration,
-    fresh: Duration,
+    limit: SharedLimit,
+    connect_timeout: Duration,
+    /// How long a connection may be idle and still be used.
+    max_idle: Duration,
     drain_grace: Micros,
     /// The startup message of every session.
     startup: Vec<u8>,
 }
 
 impl Hosts {
-    /// An owner of none yet, which opens sessions as this user in this database.
-    pub fn new(core: Rc<Core>, most: usize, drain_grace: Micros, user: &str, database: &str) -> Hosts {
+    /// An owner without connections. It will open at most `limit` of them, with sessions as `user` in `database`.
+    pub fn new(core: Rc<Core>, limit: usize, drain_grace: Micros, user: &str, database: &str) -> Hosts {
         let mut startup = Vec::new();
         pg::put_startup(&mut startup, user, database);
         Hosts {
             startup,
-            hosts: RefCell::default(),
+            pools: RefCell::default(),
             open: Rc::default(),
-            most: SharedLimit::new(most),
-            dial_timeout: Duration::from_micros(core.dialect.dial_timeout_us),
-            fresh: Duration::from_micros(core.dialect.keepalive_us).mul_f64(FRESH),
+            limit: SharedLimit::new(limit),
+            connect_timeout: Duration::from_micros(core.dialect.dial_timeout_us),
+            max_idle: Duration::from_micros(core.dialect.keepalive_us).mul_f64(USABLE_IDLE_SHARE),
             drain_grace,
             core,
         }
     }
 
-    /// Connections that are open.
+    /// The number of open connections.
     pub fn open_connections(&self) -> usize {
         self.open.get()
     }
 
-    /// Connections that may be open.
+    /// The maximum number of open connections.
     pub fn max_connections(&self) -> usize {
-        self.most.get()
+        self.limit.get()
     }
 
-    /// Another process holds so much of the limits, or none does any more.
-    pub fn share_limit(&self, other: Option<ResourceUsage>) {
-        self.most.share(self.open.get(), other.map(|o| o.hosts));
+    /// Shares the limit with the other processes on this machine, which together hold `others`; `None` if there are none.
+    pub fn share_limit(&self, others: Option<ResourceUsage>) {
+        self.limit.share(self.open.get(), others.map(|o| o.hosts));
     }
 
-    /// News of the list; `ids` are the numbers of its entries.
+    /// Applies a message of discovery. `ids` are the numbers of its entries.
     pub fn listed(&self, ids: &[HostId], listing: &Listing) {
-        let mut hosts = self.hosts.borrow_mut();
-        for gone in self.core.forget() {
-            hosts.remove(&gone);
+        let mut pools = self.pools.borrow_mut();
+        for forgotten in self.core.forget() {
+            pools.remove(&forgotten);
         }
         let now = world::now();
         if listing.full {
-            for (id, host) in hosts.iter_mut().filter(|(id, _)| !ids.contains(id)) {
-                if host.off_since.is_none() {
-                    debug!(target: "hosts", address = %host.address, number = id, "not listed any more");
+            for (id, pool) in pools.iter_mut().filter(|(id, _)| !ids.contains(id)) {
+                if pool.off_since.is_none() {
+                    debug!(target: "hosts", address = %pool.address, number = id, "not in the list any more; \
+                        gets no new attempts");
                 }
-                host.off_since.get_or_insert(now);
-                host.idle.clear();
+                pool.off_since.get_or_insert(now);
+                pool.idle.clear();
             }
         }
         for (&id, e) in ids.iter().zip(&listing.entries) {
             if let Some(address) = e.socket.filter(|_| e.status != Status::Deleted) {
-                let host =
-                    hosts.entry(id).or_insert_with(|| Host { address, idle: Vec::new(), off_since: None });
-                if host.address != address {
-                    host.idle.clear();
-                    host.address = address;
+                let pool = pools.entry(id).or_insert_with(|| HostPool {
+                    address,
+                    idle: Vec::new(),
+                    off_since: None,
+                });
+                if pool.address != address {
+                    pool.idle.clear();
+                    pool.address = address;
                 }
             }
-            let Some(host) = hosts.get_mut(&id) else { continue };
-            if host.off_since.is_some() != (e.status != Status::Serving) {
-                debug!(target: "hosts", host = %e.name, status = ?e.status, "listed anew");
+            let Some(pool) = pools.get_mut(&id) else { continue };
+            if pool.off_since.is_some() != (e.status != Status::Serving) {
+                debug!(target: "hosts", host = %e.name, status = ?e.status, "the host's status in the list changed");
             }
             match e.status {
-                Status::Serving => host.off_since = None,
-                Status::Draining => drop(host.off_since.get_or_insert(now)),
+                Status::Serving => pool.off_since = None,
+                Status::Draining => drop(pool.off_since.get_or_insert(now)),
                 Status::Deleted => {
-                    host.off_since.get_or_insert(now);
-                    host.idle.clear();
+                    pool.off_since.get_or_insert(now);
+                    pool.idle.clear();
                 }
             }
         }
     }
 
-    /// One attempt at a statement that is whole, from the choice of a connection to the answer. `asks` is called once its
-    /// connection is up. It ends at `until` at the latest; dropping the future closes the connection, which withdraws
-    /// the attempt. `written` is called once the last byte is, and `heard` holds what its answer has told of the server
-    /// so far.
+    /// Makes one attempt at a complete statement, from the choice of a connection to the answer. The attempt ends by
+    /// `deadline`. Dropping the future closes the connection, which withdraws the attempt.
+    ///
+    /// `context` is called once the connection is open. `on_written` is called once the last byte is written. `partial`
+    /// holds what the answer has reported about the host so far.
     #[allow(clippy::too_many_arguments, reason = "all that an attempt depends on")]
     pub async fn attempt(
-        &self, host_id: HostId, statement: &Statement, writes: bool, until: Micros,
-        asks: impl Fn(Micros) -> AttemptContext, written: impl FnOnce(), heard: &Cell<HostReport>,
+        &self, host: HostId, statement: &Statement, writes: bool, deadline: Micros,
+        context: impl Fn(Micros) -> AttemptContext, on_written: impl FnOnce(), partial: &Cell<HostReport>,
     ) -> CompletedAttempt {
-        let deadline = self.core.clock.instant(until);
-        let (opened, start) = match self.open(host_id, &statement.id, until, asks).await {
+        let deadline_instant = self.core.clock.instant(deadline);
+        let (attempt, start) = match self.open(host, &statement.id, deadline, context).await {
             Ok(opened) => opened,
             Err(outcome) => return CompletedAttempt::without_answer(outcome),
         };
-        let extra = if mutants::on("patience grows") { 1_000 } else { 0 };
-        let patience_ms = until.saturating_sub(start.at).div_ceil(1_000).max(1) + extra;
+        let extra_ms = if mutants::on("patience grows") { 1_000 } else { 0 };
+        let patience_ms = deadline.saturating_sub(start.at).div_ceil(1_000).max(1) + extra_ms;
         let mut query = Vec::new();
         pg::put_query(&mut query, &statement.with_patience(patience_ms));
-        // Its last byte must not go when the time that its head tells is true no longer; without it, nothing has run.
-        let told_until = self.core.clock.instant(invariants::write_until(start.at));
-        match timeout_at(deadline.min(told_until), opened.connection.stream.write_all(&query)).await {
-            Some(Ok(())) => written(),
+        // The statement's head holds the time that is left. The last byte must not be written once that is outdated.
+        // Without its last byte nothing of the statement has run.
+        let write_deadline = self.core.clock.instant(invariants::write_until(start.at));
+        match timeout_at(deadline_instant.min(write_deadline), attempt.connection.stream.write_all(&query))
+            .await
+        {
+            Some(Ok(())) => on_written(),
             Some(Err(_)) | None => return CompletedAttempt::without_answer(Outcome::ConnectFailed),
         }
-        self.check_started(&opened, &start, &statement.id, patience_ms * 1_000, until);
+        self.check_started(&attempt, &start, &statement.id, patience_ms * 1_000, deadline);
         if statement.is_plain() {
-            return self.plain_answer(opened, until, writes).await;
+            return self.read_plain_answer(attempt, deadline, writes).await;
         }
-        self.read_answer(opened, until, heard).await
+        self.read_answer(attempt, deadline, partial).await
     }
 
-    /// Tells where an attempt that has been written must not have been.
+    /// Reports an invariant that a written attempt has broken, if any. `patience` is the time that the statement tells
+    /// its host, and `give_up_at` is when the attempt ends.
     pub fn check_started(
-        &self, opened: &AttemptConnection, start: &ApprovedStart, id: &str, patience: Micros,
+        &self, attempt: &AttemptConnection, start: &ApprovedStart, id: &str, patience: Micros,
         give_up_at: Micros,
     ) {
         let now = self.core.clock.now();
         let off_for = start.start.off_for.map(|off| off + now.saturating_sub(start.at));
         let started = Started { off_for, patience, give_up_at };
         if let Some(violation) = invariants::check_started(&start.start, &started, now) {
-            let address = opened.connection.address;
+            let address = attempt.connection.address;
             self.core.events.violated(violation, &format_args!("id {id:?} at {address}"));
         }
     }
 
-    /// The answer to a plain statement: whole where it fits into what is held, else its beginning. Until then
-    /// nothing of it is the client's, and the module may still ask elsewhere.
-    async fn plain_answer(&self, opened: AttemptConnection, until: Micros, writes: bool) -> CompletedAttempt {
-        let mut answer = StreamedAnswer::new(opened);
+    /// Reads the answer to a plain statement: the complete answer if it fits into `MAX_PLAIN_ANSWER_BYTES`, otherwise its
+    /// beginning. Nothing is passed to the client before this returns, so that another attempt is still possible.
+    async fn read_plain_answer(
+        &self, attempt: AttemptConnection, deadline: Micros, writes: bool,
+    ) -> CompletedAttempt {
+        let mut answer = StreamedAnswer::new(attempt);
         let mut held = Vec::new();
-        let whole = async {
+        let read_held = async {
             loop {
-                match answer.step(&mut held, MAX_PLAIN_ANSWER_BYTES).await {
-                    Ok(Step::On) if held.len() < MAX_PLAIN_ANSWER_BYTES => {}
+                match answer.read_step(&mut held, MAX_PLAIN_ANSWER_BYTES).await {
+                    Ok(AnswerStep::Progress) if held.len() < MAX_PLAIN_ANSWER_BYTES => {}
                     other => return other,
                 }
             }
         };
-        let Some(ended) = timeout_at(self.core.clock.instant(until), whole).await else {
+        let Some(end) = timeout_at(self.core.clock.instant(deadline), read_held).await else {
             return CompletedAttempt {
                 report: answer.report,
                 ..CompletedAttempt::without_answer(Outcome::Timeout)
             };
         };
-        let (address, report) = (answer.opened.connection.address, answer.report);
-        match ended {
-            Ok(Step::On) => {
+        let (address, report) = (answer.attempt.connection.address, answer.report);
+        match end {
+            Ok(AnswerStep::Progress) => {
                 answer.beginning = held;
                 let plain_stream = Some(Box::new(answer));
                 CompletedAttempt { report, plain_stream, ..CompletedAttempt::without_answer(Outcome::Ok) }
             }
-            Ok(Step::Ready) if answer.passing.begun() => {
+            Ok(AnswerStep::Complete) if answer.passing.begun() => {
                 self.return_plain_connection(answer);
                 CompletedAttempt {
                     report,
@@ -344,21 +373,21 @@
                     ..CompletedAttempt::without_answer(Outcome::Ok)
                 }
             }
-            Ok(Step::Ready) => {
-                warn_rate_limited(|| format!("hosts: {address}: an answer that holds nothing"));
+            Ok(AnswerStep::Complete) => {
+                warn_rate_limited(|| format!("hosts: {address}: an empty answer; the attempt has failed"));
                 CompletedAttempt { report, ..CompletedAttempt::without_answer(Outcome::Error) }
             }
-            Ok(Step::Refused(e)) => {
-                // The session goes on behind its error, if it says so soon.
+            Ok(AnswerStep::Rejected(e)) => {
+                // The session continues after the error if the host soon reports that it is ready.
                 let ready = async {
                     loop {
-                        match answer.step(&mut held, MAX_PLAIN_ANSWER_BYTES).await {
-                            Ok(Step::On) => {}
-                            other => return matches!(other, Ok(Step::Ready)),
+                        match answer.read_step(&mut held, MAX_PLAIN_ANSWER_BYTES).await {
+                            Ok(AnswerStep::Progress) => {}
+                            other => return matches!(other, Ok(AnswerStep::Complete)),
                         }
                     }
                 };
-                if timeout_at(world::now() + AFTERMATH, ready).await == Some(true) {
+                if timeout_at(world::now() + READY_TIMEOUT, ready).await == Some(true) {
                     self.return_plain_connection(answer);
                 }
                 let outcome = match pg::plain_error(&e.code, writes) {
@@ -376,150 +405,164 @@
                 };
                 CompletedAttempt { report, ..CompletedAttempt::without_answer(outcome) }
             }
-            Err(Broken::Nonsense(what)) => {
-                warn_rate_limited(|| format!("hosts: {address}: {what}"));
+            Err(ReadError::Protocol(error)) => {
+                warn_rate_limited(|| format!("hosts: {address}: {error}; the attempt has failed"));
                 CompletedAttempt { report, ..CompletedAttempt::without_answer(Outcome::Error) }
             }
-            Err(Broken::Ended | Broken::Silent) => {
+            Err(ReadError::Disconnected | ReadError::TimedOut) => {
                 CompletedAttempt { report, ..CompletedAttempt::without_answer(Outcome::Reset) }
             }
         }
     }
 
-    /// Keeps the connection of an answer that has ended, if its session is as it was.
+    /// Returns the connection of a complete answer to its pool, if its session is unchanged.
     pub fn return_plain_connection(&self, answer: StreamedAnswer) {
-        // Guards against a setting, or an open transaction, that the next client's statement would meet.
-        if !answer.changed && answer.opened.connection.inbox.is_empty() {
-            self.give_back(answer.opened.host_id, answer.opened.connection);
+        // Guards against a setting or an open transaction that would affect the next client's statement.
+        if !answer.is_session_changed && answer.attempt.connection.inbox.is_empty() {
+            self.return_to_pool(answer.attempt.host, answer.attempt.connection);
         }
     }
 
-    /// A connection on which an attempt may be written, or the outcome that its lack amounts to. `asks` is called once it
-    /// is up, however late: what the choice of the server rested on may be true no longer.
+    /// Opens a connection on which an attempt may be written, or returns the outcome of the attempt that has none.
+    /// `context` is called once the connection is open, however late: the conditions under which the host was chosen may
+    /// have changed.
     pub async fn open(
-        &self, host_id: HostId, id: &str, until: Micros, asks: impl Fn(Micros) -> AttemptContext,
+        &self, host: HostId, id: &str, deadline: Micros, context: impl Fn(Micros) -> AttemptContext,
     ) -> Result<(AttemptConnection, ApprovedStart), Outcome> {
-        let deadline = self.core.clock.instant(until);
+        let deadline = self.core.clock.instant(deadline);
         let begun = world::now();
-        let dialled = (begun + self.dial_timeout).min(deadline);
+        let connect_deadline = (begun + self.connect_timeout).min(deadline);
         let shortage = Cell::new(false);
-        let connection = match timeout_at(dialled, self.connection(host_id, &shortage)).await {
+        let connection = match timeout_at(connect_deadline, self.connection(host, &shortage)).await {
             Some(connection) => connection?,
-            // What this machine lacks says nothing of the host.
+            // A resource that this machine lacks says nothing about the host.
             None if shortage.get() => return Err(Outcome::NotSent),
-            // Nothing was written, so it is no time-out. Guards against a lost host passing for a slow
-            // one: a class whose time is shorter than the dial's would never show that it is out of
-            // reach. A dial that was given too little time to tell proves nothing of the host.
-            None if world::since(begun) < TELLS.min(self.dial_timeout / 2) => return Err(Outcome::NotSent),
+            // Nothing was written, so this is not a timeout of the host. Guards against an unreachable host that passes
+            // for a slow one: a class whose deadlines are shorter than the connect timeout would never show that the host
+            // is out of reach. A connect that had too little time proves nothing about the host.
+            None if world::since(begun) < CONCLUSIVE_CONNECT.min(self.connect_timeout / 2) => {
+                return Err(Outcome::NotSent);
+            }
             None => return Err(Outcome::ConnectFailed),
         };
         let at = self.core.clock.now();
-        let AttemptContext { client_disconnected: client_left, request } = asks(at);
-        let (off_for, drain_grace) = (self.off_for(host_id), self.drain_grace);
+        let AttemptContext { client_disconnected: client_left, request } = context(at);
+        let (off_for, drain_grace) = (self.off_for(host), self.drain_grace);
         let start = Start { off_for, drain_grace, client_left, request };
         if let Err(denial) = invariants::may_start(&start, at) {
             self.core.events.denied(id, denial);
             if denial != Denial::HostOff {
-                self.give_back(host_id, connection);
+                self.return_to_pool(host, connection);
             }
             return Err(Outcome::NotSent);
         }
-        Ok((AttemptConnection { host_id, connection }, ApprovedStart { start, at }))
+        Ok((AttemptConnection { host, connection }, ApprovedStart { start, at }))
     }
 
-    /// The answer to what was written, by this time at the latest. What it has told of the server counts, also where it
-    /// does not end in time: guards against a primary that says it is none and is read from as one.
+    /// Reads the answer to a statement that was written, until `deadline` at the latest. What the answer has reported
+    /// about the host counts even if it does not end in time. Guards against a primary that reports that it is none and
+    /// is still used as one.
     pub async fn read_answer(
-        &self, mut opened: AttemptConnection, until: Micros, heard: &Cell<HostReport>,
+        &self, mut attempt: AttemptConnection, deadline: Micros, partial: &Cell<HostReport>,
     ) -> CompletedAttempt {
-        let soon = if mutants::on("an attempt is left behind") { 50_000 } else { Micros::MAX };
-        let until = until.min(self.core.clock.now().saturating_add(soon));
-        let (host_id, told) = (opened.host_id, Cell::new(false));
-        // What binds is told at once, though the rest of the answer may never come.
-        let waits = || {
-            if heard.get().role == Some(Role::Replica) && !told.replace(true) {
-                self.core.noted(host_id, heard.get());
+        let max_wait = if mutants::on("an attempt is left behind") { 50_000 } else { Micros::MAX };
+        let deadline = deadline.min(self.core.clock.now().saturating_add(max_wait));
+        let (host, is_reported) = (attempt.host, Cell::new(false));
+        // The report of a replica is passed to the core at once, since the rest of the answer may never come.
+        let on_wait = || {
+            if partial.get().role == Some(Role::Replica) && !is_reported.replace(true) {
+                self.core.noted(host, partial.get());
             }
         };
-        match timeout_at(self.core.clock.instant(until), opened.connection.answer(heard, waits)).await {
-            Some(Answered::Whole(attempted, reusable)) => {
+        match timeout_at(self.core.clock.instant(deadline), attempt.connection.read_answer(partial, on_wait))
+            .await
+        {
+            Some(Answer::Complete(completed, reusable)) => {
                 if reusable {
-                    self.give_back(opened.host_id, opened.connection);
+                    self.return_to_pool(attempt.host, attempt.connection);
                 }
-                attempted
+                completed
             }
-            Some(Answered::Long { report, column, value }) => {
-                let until = self.core.clock.instant(until);
-                let long =
-                    StreamedValue { opened, column, value_bytes: value, left: value, until, write: None };
-                let long_value = Some(Box::new(long));
+            Some(Answer::LongValue { report, column, value_bytes }) => {
+                let first_byte_deadline = self.core.clock.instant(deadline);
+                let long_value = StreamedValue {
+                    attempt,
+                    column,
+                    value_bytes,
+                    remaining: value_bytes,
+                    first_byte_deadline,
+                    write: None,
+                };
+                let long_value = Some(Box::new(long_value));
                 CompletedAttempt { report, long_value, ..CompletedAttempt::without_answer(Outcome::Ok) }
             }
-            // Guards against a host that answers late, into the next request's connection.
+            // Without this mutant the connection is closed. Guards against a late answer of the host, which the next
+            // request on the connection would take for its own.
             None if mutants::on("late answers stay") => {
-                self.give_back(opened.host_id, opened.connection);
+                self.return_to_pool(attempt.host, attempt.connection);
                 CompletedAttempt::without_answer(Outcome::Timeout)
             }
             None if mutants::on("an attempt is left behind") => {
-                std::mem::forget(opened);
+                std::mem::forget(attempt);
                 CompletedAttempt::without_answer(Outcome::Reset)
             }
-            None => {
-                CompletedAttempt { report: heard.get(), ..CompletedAttempt::without_answer(Outcome::Timeout) }
-            }
+            None => CompletedAttempt {
+                report: partial.get(),
+                ..CompletedAttempt::without_answer(Outcome::Timeout)
+            },
         }
     }
 
-    /// What comes behind the value of a long answer: the command's tag, if it ends as it should.
-    pub async fn finish_value(&self, long: Box<StreamedValue>) -> Option<String> {
-        let StreamedValue { opened: AttemptConnection { host_id, mut connection }, write, .. } = *long;
+    /// Reads what follows the value of a long answer. Returns the command's tag, or `None` if the answer breaks off.
+    pub async fn finish_value(&self, value: Box<StreamedValue>) -> Option<String> {
+        let StreamedValue { attempt: AttemptConnection { host, mut connection }, write, .. } = *value;
         let mut report = HostReport::default();
         let Backend::CommandComplete(tag) =
-            timeout_at(world::now() + STALLED, connection.next(&mut report)).await??
+            timeout_at(world::now() + STALL_TIMEOUT, connection.next(&mut report)).await??
         else {
             return None;
         };
-        // The client waits for this only as long as it makes no difference.
-        let ready = timeout_at(world::now() + AFTERMATH, connection.next(&mut report)).await.flatten();
+        // The client waits for this too, so the wait is too short to matter.
+        let ready = timeout_at(world::now() + READY_TIMEOUT, connection.next(&mut report)).await.flatten();
         if let Some(mut write) = write {
             write.commit = report.position;
         }
         if report.role == Some(Role::Replica) {
-            // The value was read long before: where it stood then says nothing of how far it is behind.
-            self.core.noted(host_id, HostReport { position: None, ..report });
+            // The value was read long before, so the position of that time does not show how far the host lags now.
+            self.core.noted(host, HostReport { position: None, ..report });
         }
         if ready == Some(Backend::ReadyForQuery) && connection.inbox.is_empty() {
-            self.give_back(host_id, connection);
+            self.return_to_pool(host, connection);
         }
         Some(tag)
     }
 
-    /// Asks a host for its report.
-    async fn probe(&self, host_id: HostId) {
-        let by_when = world::now() + self.dial_timeout;
-        let report = timeout_at(by_when, async {
-            let mut connection = self.connection(host_id, &Cell::default()).await.ok()?;
-            if !invariants::takes_new(self.off_for(host_id), self.drain_grace) {
+    /// Asks a host for a report about itself and passes it to the core.
+    async fn probe(&self, host: HostId) {
+        let deadline = world::now() + self.connect_timeout;
+        let report = timeout_at(deadline, async {
+            let mut connection = self.connection(host, &Cell::default()).await.ok()?;
+            if !invariants::takes_new(self.off_for(host), self.drain_grace) {
                 return None;
             }
             let mut query = Vec::new();
             pg::put_query(&mut query, "SHOW usage");
             connection.stream.write_all(&query).await.ok()?;
-            let heard = Cell::default();
-            let Answered::Whole(attempted, reusable) = connection.answer(&heard, || {}).await else {
+            let partial = Cell::default();
+            let Answer::Complete(completed, reusable) = connection.read_answer(&partial, || {}).await else {
                 return None;
             };
             if reusable {
-                self.give_back(host_id, connection);
+                self.return_to_pool(host, connection);
             }
-            let value = attempted.row?.value?;
+            let value = completed.row?.value?;
             Some(self.parse_report(std::str::from_utf8(&value).ok()?))
         });
         let report = report.await.flatten();
-        self.core.probed(host_id, report);
+        self.core.probed(host, report);
     }
 
-    /// Reads `x0=1767225600.123,x1=1,util=0.61`.
+    /// Parses the answer to `SHOW usage`, such as `x0=1767225600.123,x1=1,util=0.61`. The settings name the fields.
     fn parse_report(&self, text: &str) -> HostReport {
         let d = &self.core.dialect;
         let get = |index: Option<usize>| {
@@ -534,80 +577,83 @@
         }
     }
 
-    /// For how long the host has been known to drain, to be gone or to be left out, if it is.
-    fn off_for(&self, host_id: HostId) -> Option<Micros> {
-        let told = self.hosts.borrow().get(&host_id).and_then(|h| h.off_since);
-        let told = told.map(|at| world::since(at).as_micros() as Micros);
-        let since = self.core.out_since(host_id);
-        let by_hand = since.map(|at| self.core.clock.now().saturating_sub(at));
-        told.max(by_hand)
+    /// How long it has been known that the host drains, is removed or is left out by a manual override. `None` if none of
+    /// these is true.
+    fn off_for(&self, host: HostId) -> Option<Micros> {
+        let off_since = self.pools.borrow().get(&host).and_then(|pool| pool.off_since);
+        let off_by_list = off_since.map(|at| world::since(at).as_micros() as Micros);
+        let override_since = self.core.out_since(host);
+        let off_by_override = override_since.map(|at| self.core.clock.now().saturating_sub(at));
+        off_by_list.max(off_by_override)
     }
 
-    /// An idle connection that still stands, or a new one; or the outcome that its lack amounts to.
-    /// `shortage` tells whether one could not be dialled for want of something on this machine.
-    async fn connection(&self, host_id: HostId, shortage: &Cell<bool>) -> Result<Connection, Outcome> {
+    /// Returns an idle connection that is still usable, or a new one, or the outcome of an attempt that gets none. Sets
+    /// `shortage` to whether the connect waits because this machine lacks a resource.
+    async fn connection(&self, host: HostId, shortage: &Cell<bool>) -> Result<Connection, Outcome> {
         let address = {
-            let mut hosts = self.hosts.borrow_mut();
-            let host = hosts.get_mut(&host_id).ok_or(Outcome::ConnectFailed)?;
-            while let Some(connection) = host.idle.pop() {
-                if connection.usable(self.fresh) {
+            let mut pools = self.pools.borrow_mut();
+            let pool = pools.get_mut(&host).ok_or(Outcome::ConnectFailed)?;
+            while let Some(connection) = pool.idle.pop() {
+                if connection.is_usable(self.max_idle) {
                     return Ok(connection);
                 }
             }
-            host.address
+            pool.address
         };
-        // Our own want of a descriptor says nothing of the host's health.
-        let slot = self.slot().ok_or(Outcome::NotSent)?;
-        Connection::dial(address, slot, &self.startup, shortage).await
+        // A lack of descriptors in this process says nothing about the host's health.
+        let permit = self.acquire_permit().ok_or(Outcome::NotSent)?;
+        Connection::connect(address, permit, &self.startup, shortage).await
     }
 
-    /// A descriptor for one more connection; where none is left, that of the longest idle one.
-    fn slot(&self) -> Option<Slot> {
-        if self.open.get() >= self.most.get() {
-            let mut hosts = self.hosts.borrow_mut();
-            let waiting = hosts.values_mut().filter(|h| !h.idle.is_empty());
-            // The first of a pool has waited longest: the last is taken first.
-            waiting.min_by_key(|h| h.idle[0].idle_since)?.idle.remove(0);
+    /// Acquires a permit for one more connection. If the limit is reached, the connection that has been idle for longest is
+    /// closed first.
+    fn acquire_permit(&self) -> Option<ConnectionPermit> {
+        if self.open.get() >= self.limit.get() {
+            let mut pools = self.pools.borrow_mut();
+            let with_idle = pools.values_mut().filter(|pool| !pool.idle.is_empty());
+            // The first connection of a pool has been idle for longest, since connections are taken from the end.
+            with_idle.min_by_key(|pool| pool.idle[0].idle_since)?.idle.remove(0);
         }
         self.open.set(self.open.get() + 1);
-        Some(Slot(self.open.clone()))
+        Some(ConnectionPermit(self.open.clone()))
     }
 
-    fn give_back(&self, host_id: HostId, mut connection: Connection) {
-        if self.off_for(host_id).is_some() {
+    /// Returns a connection to its host's pool, unless the host is off.
+    fn return_to_pool(&self, host: HostId, mut connection: Connection) {
+        if self.off_for(host).is_some() {
             return;
         }
-        let mut hosts = self.hosts.borrow_mut();
-        let Some(host) = hosts.get_mut(&host_id) else { return };
+        let mut pools = self.pools.borrow_mut();
+        let Some(pool) = pools.get_mut(&host) else { return };
         connection.idle_since = world::now();
-        // Guards against keeping a connection to where the host no longer is.
-        if connection.address == host.address {
-            host.idle.push(connection);
+        // Guards against keeping a connection to an address that the host has left.
+        if connection.address == pool.address {
+            pool.idle.push(connection);
         }
     }
 
-    fn close_idle(&self, host_id: HostId) {
-        self.hosts.borrow_mut().get_mut(&host_id).into_iter().for_each(|h| h.idle.clear());
+    fn close_idle(&self, host: HostId) {
+        self.pools.borrow_mut().get_mut(&host).into_iter().for_each(|pool| pool.idle.clear());
     }
 
-    /// Closes idle connections that ended or grew old, for as long as the program runs.
+    /// Closes idle connections that ended or are too old, for as long as the program runs.
     pub async fn run_pool_maintenance(&self) {
         loop {
-            world::after(UPKEEP).await;
-            for host in self.hosts.borrow_mut().values_mut() {
-                host.idle.retain(|c| c.usable(self.fresh));
+            world::after(POOL_CHECK_INTERVAL).await;
+            for pool in self.pools.borrow_mut().values_mut() {
+                pool.idle.retain(|c| c.is_usable(self.max_idle));
             }
         }
     }
 
-    /// Does what the module asks for beside requests, for as long as the program runs.
+    /// Does the decision module's tasks that belong to no request, for as long as the program runs.
     pub async fn run_chores(self: Rc<Hosts>, todo: Receiver<Chore>, executor: Spawner) {
         while let Ok(chore) = todo.recv().await {
             match chore {
-                Chore::CloseIdle(host_id) => self.close_idle(host_id),
-                Chore::Probe(host_id) => {
+                Chore::CloseIdle(host) => self.close_idle(host),
+                Chore::Probe(host) => {
                     let hosts = self.clone();
-                    executor.spawn(async move { hosts.probe(host_id).await });
+                    executor.spawn(async move { hosts.probe(host).await });
                 }
             }
         }
--- a/src/net/hosts/connection.rs
+++ b/src/net/hosts/connection.rs
@@ -1,5 +1,6 @@
-//! One connection to a database host: its dial, its messages, and what an answer amounts to. It owns the descriptor, which
-//! is given back in one place, the drop of a `Slot`. It must never choose a host, nor know of the pool.
+//! One connection to a database host: how it is opened, its messages, and the outcome that an answer amounts to. It owns
+//! the descriptor, which is released in one place, the drop of a `ConnectionPermit`. It must never choose a host, and must
+//! not use the pool.
 
 use super::{StreamedAnswer, StreamedValue};
 use crate::mutants;
@@ -13,15 +14,15 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Behind the end of an answer this long is waited for the word that the host is ready again.
-pub(super) const AFTERMATH: Duration = Duration::from_millis(100);
-/// The wait before a connection is dialled again that could not be made for want of something on this machine.
+/// How long to wait, after the end of an answer, for the host's message that it is ready for the next query.
+pub(super) const READY_TIMEOUT: Duration = Duration::from_millis(100);
+/// The wait before another connect after this machine lacked a resource for one.
 const SHORTAGE_WAIT: Duration = Duration::from_millis(10);
 
-/// A descriptor in the budget; dropping it gives it back.
-pub(super) struct Slot(pub(super) Rc<Cell<usize>>);
+/// The permit for one open connection. Its drop decrements the number of open connections.
+pub(super) struct ConnectionPermit(pub(super) Rc<Cell<usize>>);
 
-impl Drop for Slot {
+impl Drop for ConnectionPermit {
     fn drop(&mut self) {
         if mutants::on("descriptors are kept") {
             return;
@@ -30,37 +31,39 @@
     }
 }
 
-/// A connection to a database host.
+/// An open connection to a database host, whose session has started.
 pub(super) struct Connection {
     pub(super) stream: Stream,
     pub(super) address: SocketAddr,
     pub(super) inbox: Inbox,
+    /// When the connection was opened, or last returned to its pool.
     pub(super) idle_since: Instant,
-    _slot: Slot,
+    _permit: ConnectionPermit,
 }
 
-/// Why there was no usable message.
-pub(super) enum Broken {
+/// Why no usable message was read.
+pub(super) enum ReadError {
     /// The connection ended or failed.
-    Ended,
-    /// Nothing came in time.
-    Silent,
-    /// The host sent what is no message, or none that belongs here.
-    Nonsense(String),
+    Disconnected,
+    /// No message came before the deadline.
+    TimedOut,
+    /// The host sent something that is not a message, or not one that is valid here.
+    Protocol(String),
 }
 
-/// What came of an attempt.
+/// The result of an attempt.
 pub struct CompletedAttempt {
     pub outcome: Outcome,
+    /// What the answer reported about the host.
     pub report: HostReport,
     pub row: Option<Row>,
-    /// What the host holds against the statement itself, as any other host would.
+    /// An error of the statement itself, which any other host would return too.
     pub statement_error: Option<ErrorFields>,
-    /// A row that is served, and whose value is still to come.
+    /// A row whose value is too long to hold in memory and is not read yet.
     pub long_value: Option<Box<StreamedValue>>,
-    /// The whole answer to a plain statement.
+    /// The complete answer to a plain statement.
     pub plain_answer: Option<Vec<u8>>,
-    /// The beginning of one, and where the rest comes from.
+    /// The beginning of the answer to a plain statement, with the connection on which the rest comes.
     pub plain_stream: Option<Box<StreamedAnswer>>,
 }
 
@@ -71,15 +74,15 @@
     }
 }
 
-/// Takes in a report of a host's; false if it is none of those that answers carry, but says that a setting of the
-/// session has changed.
-pub(super) fn note_from(report: &mut HostReport, name: &str, value: &str) -> bool {
+/// Adds a parameter that a host has sent to the report about it. Returns false if it is none of the parameters that answers
+/// carry, and so shows that a setting of the session has changed.
+pub(super) fn apply_parameter(report: &mut HostReport, name: &str, value: &str) -> bool {
     match (name, value) {
         ("server_role", "writer") => report.role = Some(Role::Primary),
         ("server_role", "reader") => report.role = Some(Role::Replica),
         ("commit_clock", ms) => {
-            let ahead = if mutants::on("positions run ahead") { 3_000 } else { 0 };
-            report.position = ms.parse().ok().map(|ms: u64| Clock::from_unix_ms(ms + ahead));
+            let ahead_ms = if mutants::on("positions run ahead") { 3_000 } else { 0 };
+            report.position = ms.parse().ok().map(|ms: u64| Clock::from_unix_ms(ms + ahead_ms));
         }
         ("usage" | "server_role", _) => {}
         _ => return false,
@@ -87,29 +90,26 @@
     true
 }
 
-/// What an answer turned out to be.
-pub(super) enum Answered {
-    /// With whether the connection may serve another.
-    Whole(CompletedAttempt, bool),
-    Long {
-        report: HostReport,
-        column: Column,
-        value: usize,
-    },
+/// The answer to a query.
+pub(super) enum Answer {
+    /// The result of the attempt, and whether the connection may serve another one.
+    Complete(CompletedAttempt, bool),
+    /// A row with one long value, of which nothing is read yet.
+    LongValue { report: HostReport, column: Column, value_bytes: usize },
 }
 
 impl Connection {
-    /// Opens a connection and its session. Nothing of a request is written here, so whatever goes
-    /// wrong, the request has not run.
-    pub(super) async fn dial(
-        address: SocketAddr, slot: Slot, startup: &[u8], shortage: &Cell<bool>,
+    /// Opens a connection and its session. Nothing of a request is written here, so the request has not run, whatever
+    /// fails. While this machine lacks a resource for the connect, sets `shortage` and tries again.
+    pub(super) async fn connect(
+        address: SocketAddr, permit: ConnectionPermit, startup: &[u8], shortage: &Cell<bool>,
     ) -> Result<Connection, Outcome> {
         let stream = loop {
             match Stream::connect(address).await {
                 Ok(stream) => break stream,
                 Err(e) if world::is_local_shortage(&e) => {
                     shortage.set(true);
-                    warn_rate_limited(|| format!("hosts: {address}: connecting: {e}"));
+                    warn_rate_limited(|| format!("hosts: {address}: connecting: {e}; trying again"));
                     world::after(SHORTAGE_WAIT).await;
                 }
                 Err(_) => return Err(Outcome::ConnectFailed),
@@ -119,7 +119,7 @@
         stream.no_delay().map_err(|_| Outcome::ConnectFailed)?;
         stream.limit_receive_buffer();
         let (inbox, idle_since) = (Inbox::default(), world::now());
-        let mut connection = Connection { stream, address, inbox, idle_since, _slot: slot };
+        let mut connection = Connection { stream, address, inbox, idle_since, _permit: permit };
         connection.stream.write_all(startup).await.map_err(|_| Outcome::ConnectFailed)?;
         loop {
             match connection.message().await {
@@ -129,76 +129,81 @@
                 }
                 Ok(Backend::AuthenticationOk | Backend::ParameterStatus { .. } | Backend::Skipped) => {}
                 Ok(other) => {
-                    warn_rate_limited(|| format!("hosts: {address}: {other:?} at a session's start"));
+                    warn_rate_limited(|| {
+                        format!("hosts: {address}: {other:?} at a session's start; the connect has failed")
+                    });
                     return Err(Outcome::ConnectFailed);
                 }
-                Err(Broken::Nonsense(what)) => {
-                    warn_rate_limited(|| format!("hosts: {address}: {what}"));
+                Err(ReadError::Protocol(error)) => {
+                    warn_rate_limited(|| format!("hosts: {address}: {error}; the connect has failed"));
                     return Err(Outcome::ConnectFailed);
                 }
-                Err(Broken::Ended | Broken::Silent) => return Err(Outcome::ConnectFailed),
+                Err(ReadError::Disconnected | ReadError::TimedOut) => return Err(Outcome::ConnectFailed),
             }
         }
     }
 
-    /// Whether it is young enough, and neither ended nor spoken on while nobody asked.
-    pub(super) fn usable(&self, fresh: Duration) -> bool {
-        self.stream.is_idle() && self.inbox.is_empty() && world::since(self.idle_since) < fresh
+    /// Whether the connection has been idle for less than `max_idle`, has not ended, and has received nothing that no query
+    /// asked for.
+    pub(super) fn is_usable(&self, max_idle: Duration) -> bool {
+        self.stream.is_idle() && self.inbox.is_empty() && world::since(self.idle_since) < max_idle
     }
 
-    pub(super) async fn message(&mut self) -> Result<Backend, Broken> {
-        self.message_by(None, || {}).await
+    pub(super) async fn message(&mut self) -> Result<Backend, ReadError> {
+        self.message_before(None, || {}).await
     }
 
-    /// The next message, where one comes by this time; `waits` is called before each wait for more of it.
-    pub(super) async fn message_by(
-        &mut self, when: Option<Instant>, waits: impl Fn(),
-    ) -> Result<Backend, Broken> {
+    /// Reads the next message, before the deadline if there is one. `on_wait` is called before each wait for more bytes.
+    pub(super) async fn message_before(
+        &mut self, deadline: Option<Instant>, on_wait: impl Fn(),
+    ) -> Result<Backend, ReadError> {
         loop {
             match pg::decode_backend(&mut self.inbox) {
                 Ok(Some(message)) => return Ok(message),
-                Ok(None) => waits(),
-                Err(e) => return Err(Broken::Nonsense(e.0)),
+                Ok(None) => on_wait(),
+                Err(e) => return Err(ReadError::Protocol(e.0)),
             }
-            let more = read_into(&self.stream, &mut self.inbox);
-            let more = match when {
-                Some(when) => timeout_at(when, more).await.ok_or(Broken::Silent)?,
-                None => more.await,
+            let read = read_into(&self.stream, &mut self.inbox);
+            let read = match deadline {
+                Some(deadline) => timeout_at(deadline, read).await.ok_or(ReadError::TimedOut)?,
+                None => read.await,
             };
-            if !matches!(more, Ok(1..)) {
-                return Err(Broken::Ended);
+            if !matches!(read, Ok(1..)) {
+                return Err(ReadError::Disconnected);
             }
         }
     }
 
-    /// The next message that is more than a report; notes are taken in.
+    /// Reads messages up to the next one that is not a parameter. Adds parameters to the report.
     pub(super) async fn next(&mut self, report: &mut HostReport) -> Option<Backend> {
         loop {
             match self.message().await.ok()? {
-                Backend::ParameterStatus { name, value } => drop(note_from(report, &name, &value)),
+                Backend::ParameterStatus { name, value } => drop(apply_parameter(report, &name, &value)),
                 Backend::Skipped => {}
                 other => return Some(other),
             }
         }
     }
 
-    /// Reads the answer to the query that is out: what it amounts to, and whether the connection may serve another.
-    /// `waits` is called before each wait for more of it. Once it is complete but for the word that the host is ready
-    /// again, that is waited for only as long as it makes no difference.
-    pub(super) async fn answer(&mut self, heard: &Cell<HostReport>, waits: impl Fn()) -> Answered {
+    /// Reads the answer to the query that was written. `on_wait` is called before each wait for more bytes, and `partial`
+    /// holds what the answer has reported about the host so far. Once the answer is complete except for the message that
+    /// the host is ready again, waits at most `READY_TIMEOUT` for that message.
+    pub(super) async fn read_answer(&mut self, partial: &Cell<HostReport>, on_wait: impl Fn()) -> Answer {
         let (mut report, mut statement_error) = (HostReport::default(), None);
-        let (mut column, mut value, mut row, mut refused) = (None, None, None, None);
+        let (mut column, mut value, mut row, mut error) = (None, None, None, None);
         let mut complete_since = None;
-        let ended = loop {
-            if complete_since.is_none() && (row.is_some() || refused.is_some()) {
+        let read_error = loop {
+            if complete_since.is_none() && (row.is_some() || error.is_some()) {
                 complete_since = Some(world::now()).filter(|_| !mutants::on("answers wait for readiness"));
             }
-            match self.message_by(complete_since.map(|since| since + AFTERMATH), &waits).await {
+            let deadline = complete_since.map(|since| since + READY_TIMEOUT);
+            match self.message_before(deadline, &on_wait).await {
                 Ok(Backend::ReadyForQuery) => break None,
                 Ok(Backend::ParameterStatus { name, value }) => {
-                    note_from(&mut report, &name, &value);
-                    // Heard at the end of an attempt that waits out its time, a claim to be the primary is an old one.
-                    heard.set(HostReport {
+                    apply_parameter(&mut report, &name, &value);
+                    // The caller uses `partial` when the attempt has timed out. A claim to be the primary is outdated by
+                    // then, so only a replica's role is kept.
+                    partial.set(HostReport {
                         role: report.role.filter(|role| *role == Role::Replica),
                         ..report
                     });
@@ -207,47 +212,49 @@
                 Ok(Backend::DataRow(mut values)) if values.len() == 1 && value.is_none() => {
                     value = values.pop();
                 }
-                Ok(Backend::LongRow(length)) if column.is_some() && value.is_none() && refused.is_none() => {
-                    // Checked up to here; from its first byte on there is no second try.
+                Ok(Backend::LongRow(length)) if column.is_some() && value.is_none() && error.is_none() => {
+                    // The answer is valid up to here. From the value's first byte on no further attempt is possible.
                     let Some(column) = column.take() else { continue };
-                    return Answered::Long { report, column, value: length };
+                    return Answer::LongValue { report, column, value_bytes: length };
                 }
                 Ok(Backend::CommandComplete(tag)) => match (column.take(), value.take()) {
                     (Some(column), Some(value)) => row = Some(Row { column, value, tag }),
-                    _ => break Some(Broken::Nonsense(format!("{tag} without one row of one column"))),
+                    _ => break Some(ReadError::Protocol(format!("{tag} without one row of one column"))),
                 },
-                Ok(Backend::Error(e)) => refused = Some(e),
+                Ok(Backend::Error(e)) => error = Some(e),
                 Ok(Backend::Skipped) => {}
-                Ok(other) => break Some(Broken::Nonsense(format!("{other:?} in an answer"))),
-                Err(broken) => break Some(broken),
+                Ok(other) => break Some(ReadError::Protocol(format!("{other:?} in an answer"))),
+                Err(e) => break Some(e),
             }
         };
-        if let Some(Broken::Nonsense(what)) = &ended {
-            warn_rate_limited(|| format!("hosts: {}: {what}", self.address));
+        if let Some(ReadError::Protocol(error)) = &read_error {
+            warn_rate_limited(|| format!("hosts: {}: {error}; the connection is closed", self.address));
         }
-        let outcome = match (&refused, &row, &ended) {
+        let outcome = match (&error, &row, &read_error) {
             (Some(e), ..) => match e.code.as_str() {
                 code::READ_ONLY | code::SNAPSHOT_TOO_OLD => Outcome::Unsuitable,
                 code::TOO_MANY_CONNECTIONS => Outcome::Overloaded,
-                // Guards against a statement that makes no sense being tried at one host after the
-                // other, and being held against each of them.
+                // Guards against an invalid statement that is tried at one host after the other, and counts as a failure
+                // of each.
                 other if code::blames_statement(other) => {
-                    statement_error = refused.take();
+                    statement_error = error.take();
                     Outcome::NotSent
                 }
                 _ => Outcome::Error,
             },
-            // Whole up to its end: what comes behind it spoils the connection only.
+            // The answer is complete up to its tag. What follows makes only the connection unusable.
             (None, Some(_), _) => Outcome::Ok,
-            (None, None, Some(Broken::Nonsense(_))) => Outcome::Error,
-            (None, None, Some(Broken::Ended)) if mutants::on("a reset never ran") => Outcome::ConnectFailed,
-            (None, None, Some(Broken::Ended)) => Outcome::Reset,
-            (None, None, None | Some(Broken::Silent)) => Outcome::Error,
+            (None, None, Some(ReadError::Protocol(_))) => Outcome::Error,
+            (None, None, Some(ReadError::Disconnected)) if mutants::on("a reset never ran") => {
+                Outcome::ConnectFailed
+            }
+            (None, None, Some(ReadError::Disconnected)) => Outcome::Reset,
+            (None, None, None | Some(ReadError::TimedOut)) => Outcome::Error,
         };
         let row = row.filter(|_| outcome == Outcome::Ok);
-        // Guards against something unasked passing for the answer to the next request.
-        let reusable = ended.is_none() && self.inbox.is_empty();
-        Answered::Whole(
+        // Guards against unrequested bytes that pass for the answer to the next request.
+        let reusable = read_error.is_none() && self.inbox.is_empty();
+        Answer::Complete(
             CompletedAttempt { report, row, statement_error, ..CompletedAttempt::without_answer(outcome) },
             reusable,
         )
