--- a/src/net/host_overrides.rs
+++ b/src/net/host_overrides.rs
@@ -1,6 +1,6 @@
-//! Orders by hand in one process: takes them from operators, from other processes and from the folder, hands those that
-//! count to the core, and sees to it that each gets into its file. Which order counts is `crate::overrides`' to say. It must
-//! never hinder a start: what cannot be read is logged, and read again.
+//! Manual overrides in one process. `HostOverrides` takes them from operators, from other processes and from the folder,
+//! passes those that are in effect to the core, and makes sure that each gets into its file. `crate::overrides` decides
+//! which override is in effect. This module must never prevent a start: what cannot be read is logged and read again.
 
 use super::core::Core;
 use super::override_files::OverrideFiles;
@@ -12,160 +12,168 @@
 use std::rc::Rc;
 use tracing::info;
 
-/// An order that operators gave, and that holds.
+/// The result of an operator's override that is in effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AppliedOverride {
-    /// Whether it is in its file, and so binds later processes too.
+    /// Whether it is in its file, so that it binds later processes too.
     pub outlasts_process: bool,
 }
 
-/// The orders that this process knows.
+/// The manual overrides that this process knows.
 pub struct HostOverrides {
     core: Rc<Core>,
     files: Option<OverrideFiles>,
-    book: RefCell<OverrideTable>,
-    /// Something in the folder could not be read, and has to be.
-    unread: Cell<bool>,
+    table: RefCell<OverrideTable>,
+    /// Whether the folder, or a file in it, could not be read and must be read again.
+    has_unread_files: Cell<bool>,
 }
 
 impl HostOverrides {
-    /// Those that the folder holds, if there is one.
+    /// Starts with the overrides in the folder, if there is one.
     pub fn new(dir: Option<&Path>, core: Rc<Core>) -> HostOverrides {
-        let files = dir.map(OverrideFiles::within);
-        let orders = HostOverrides { core, files, book: RefCell::default(), unread: Cell::default() };
-        if let Some(files) = &orders.files
-            && let Err(e) = files.make()
+        let files = dir.map(OverrideFiles::in_directory);
+        let overrides =
+            HostOverrides { core, files, table: RefCell::default(), has_unread_files: Cell::default() };
+        if let Some(files) = &overrides.files
+            && let Err(e) = files.create_folder()
         {
             let path = files.path().display();
-            info!(target: "upgrade", "{path}: {e}; made again with the next order by hand");
+            info!(target: "upgrade", "{path}: {e}; the next manual override tries to create the folder again");
         }
-        orders.read_folder(true);
-        orders
+        overrides.read_folder(true);
+        overrides
     }
 
-    /// Leaves a database host out, or uses it again; the error is why not, and nothing has changed then. It is in its
-    /// file, where there is a folder, before this returns.
-    pub fn give(&self, host: &str, out: bool) -> Result<AppliedOverride, String> {
-        // Another process may have taken an order that was not heard of yet.
+    /// Leaves a database host out, or uses it again. If there is a folder, the override is in its file before this returns.
+    /// The error says why the override failed; nothing has changed then.
+    pub fn set(&self, host: &str, left_out: bool) -> Result<AppliedOverride, String> {
+        // Another process may have accepted an override that this one has not received yet.
         self.read_folder(false);
-        if self.core.is_out(host) != out {
-            self.give_anew(host, out)?;
+        if self.core.is_out(host) != left_out {
+            self.set_new(host, left_out)?;
         }
-        let is_saved = self.book.borrow().is_saved(host, self.core.clock.now());
+        let is_saved = self.table.borrow().is_saved(host, self.core.clock.now());
         Ok(AppliedOverride { outlasts_process: self.files.is_some() && is_saved })
     }
 
-    fn give_anew(&self, host: &str, out: bool) -> Result<(), String> {
+    fn set_new(&self, host: &str, left_out: bool) -> Result<(), String> {
         let now = self.core.clock.now();
-        let order = self.book.borrow().create(host, out, now);
-        self.book.borrow().check(host, order, order.stamp).map_err(|why| format!("{host:?}: {why}"))?;
+        let value = self.table.borrow().create(host, left_out, now);
+        self.table.borrow().check(host, value, value.stamp).map_err(|why| format!("{host:?}: {why}"))?;
         if let Some(files) = &self.files {
-            let text = files.write(host, order)?;
-            self.book.borrow_mut().set_file(host, FileState::Text(text));
+            let text = files.write(host, value)?;
+            self.table.borrow_mut().set_file(host, FileState::Text(text));
         }
-        self.book.borrow_mut().record(host, order);
-        info!(target: "upgrade", "{host} is {} by hand", if out { "left out" } else { "used again" });
-        self.core.by_hand(host, out, order.stamp);
+        self.table.borrow_mut().record(host, value);
+        let state = if left_out { "left out" } else { "used again" };
+        info!(target: "upgrade", "{host} is {state} by an operator's call to this process");
+        self.core.by_hand(host, left_out, value.stamp);
         Ok(())
     }
 
-    /// Takes what another process told, as far as it makes sense.
-    pub fn hear(&self, told: &serde_json::Value) {
-        let order = match serde_json::from_value::<OverrideMessage>(told.clone()) {
-            Ok(order) => order,
+    /// Accepts an override from another process if it is valid.
+    pub fn receive(&self, message: &serde_json::Value) {
+        let message = match serde_json::from_value::<OverrideMessage>(message.clone()) {
+            Ok(message) => message,
             Err(e) => {
-                return warn_rate_limited(|| format!("upgrade: an order that another process told: {e}"));
+                return warn_rate_limited(|| {
+                    format!("upgrade: an override from another process is ignored: {e}")
+                });
             }
         };
-        let heard = self.book.borrow_mut().receive(&order, self.core.clock.now());
-        match heard {
-            Ok(true) => self.apply(&order.host, order.order()),
+        let accepted = self.table.borrow_mut().receive(&message, self.core.clock.now());
+        match accepted {
+            Ok(true) => self.apply(&message.host, message.value()),
             Ok(false) => {}
-            Err(why) => {
-                warn_rate_limited(|| {
-                    format!("upgrade: {:?}: an order that another process told: {why}", order.host)
-                });
-            }
+            Err(why) => warn_rate_limited(|| {
+                format!("upgrade: {:?}: an override from another process is ignored: {why}", message.host)
+            }),
         }
     }
 
-    /// Orders that changed behind this change, as many as fit into so many bytes, and the last change among them.
-    pub fn changed_after(&self, change: u64, most_bytes: usize) -> (Vec<OverrideMessage>, u64) {
-        self.book.borrow().changed_after(change, most_bytes)
+    /// The overrides that changed after the change number `change`, as many as have `max_name_bytes` of host names
+    /// together, and the number of the last one returned.
+    pub fn changed_after(&self, change: u64, max_name_bytes: usize) -> (Vec<OverrideMessage>, u64) {
+        self.table.borrow().changed_after(change, max_name_bytes)
     }
 
     /// The number of the last change.
     pub fn last_change(&self) -> u64 {
-        self.book.borrow().last_change()
+        self.table.borrow().last_change()
     }
 
-    /// Whether something in the folder could not be read.
-    pub fn is_unread(&self) -> bool {
-        self.unread.get()
+    /// Whether the folder, or a file in it, could not be read.
+    pub fn has_unread_files(&self) -> bool {
+        self.has_unread_files.get()
     }
 
-    /// Whether an order is not in its file.
-    pub fn is_unsaved(&self) -> bool {
-        self.files.is_some() && !self.book.borrow().unsaved(self.core.clock.now()).is_empty()
+    /// Whether an override is not in its file.
+    pub fn has_unsaved(&self) -> bool {
+        self.files.is_some() && !self.table.borrow().unsaved(self.core.clock.now()).is_empty()
     }
 
-    /// Takes in what the files say that was not seen yet.
-    pub fn read_folder(&self, starting: bool) {
+    /// Reads the folder, and applies the overrides in it that are new.
+    pub fn read_folder(&self, is_starting: bool) {
         let Some(files) = self.files.as_ref().filter(|_| !mutants::on("files are not read")) else { return };
         let folder = match files.read() {
             Ok(folder) => folder,
             Err(e) => {
-                warn_rate_limited(|| format!("upgrade: {}: {e}; read again", files.path().display()));
-                return self.unread.set(true);
+                let path = files.path().display();
+                warn_rate_limited(|| format!("upgrade: {path}: {e}; the folder is read again soon"));
+                return self.has_unread_files.set(true);
             }
         };
-        self.unread.set(folder.files.iter().any(|(_, read)| read.is_err()));
-        for path in folder.strangers.iter().filter(|_| starting) {
-            info!(target: "upgrade", "{}: unreadable, left as it is", path.display());
+        self.has_unread_files.set(folder.files.iter().any(|(_, read)| read.is_err()));
+        for path in folder.unknown_files.iter().filter(|_| is_starting) {
+            info!(target: "upgrade", "{}: the file is named after no host and is left as it is", path.display());
         }
         let hosts = folder.hosts();
         for (host, read) in folder.files {
             match read {
-                Ok(text) => self.find(files, &host, &text, starting),
+                Ok(text) => self.observe_file(files, &host, &text, is_starting),
                 Err(e) => {
-                    warn_rate_limited(|| format!("upgrade: the order of {host}: {e}; read again"));
-                    self.book.borrow_mut().set_file(&host, FileState::Unreadable);
+                    warn_rate_limited(|| {
+                        format!("upgrade: the override of {host}: {e}; its file is read again soon")
+                    });
+                    self.table.borrow_mut().set_file(&host, FileState::Unreadable);
                 }
             }
         }
-        self.book.borrow_mut().finish_folder_read(&hosts);
+        self.table.borrow_mut().finish_folder_read(&hosts);
     }
 
-    /// The file of a host says this.
-    fn find(&self, files: &OverrideFiles, host: &str, text: &str, starting: bool) {
-        let finding = self.book.borrow_mut().observe_file(host, text, self.core.clock.now());
+    /// Takes in the text of a host's file.
+    fn observe_file(&self, files: &OverrideFiles, host: &str, text: &str, is_starting: bool) {
+        let finding = self.table.borrow_mut().observe_file(host, text, self.core.clock.now());
         match finding {
-            Finding::Override(order) => self.apply(host, order),
-            Finding::Invalid if starting => {
-                info!(target: "upgrade", "the order of {host}: unreadable, left as it is");
+            Finding::Override(value) => self.apply(host, value),
+            Finding::Invalid if is_starting => {
+                info!(target: "upgrade", "the override of {host} is invalid; its file is left as it is");
             }
             Finding::Expired => files.remove(host),
             Finding::Nothing | Finding::Invalid => {}
         }
     }
 
-    /// Puts orders into their files that were heard, or could not be written.
+    /// Writes overrides to their files that came from other processes, or that could not be written before.
     pub fn save(&self) {
-        let Some(files) = self.files.as_ref().filter(|_| !self.unread.get()) else { return };
-        let unsaved = self.book.borrow().unsaved(self.core.clock.now());
-        for (host, order) in unsaved {
-            match files.write(&host, order) {
+        let Some(files) = self.files.as_ref().filter(|_| !self.has_unread_files.get()) else { return };
+        let unsaved = self.table.borrow().unsaved(self.core.clock.now());
+        for (host, value) in unsaved {
+            match files.write(&host, value) {
                 Ok(text) => {
-                    info!(target: "upgrade", "the order of {host} is in its file again");
-                    self.book.borrow_mut().set_file(&host, FileState::Text(text));
+                    info!(target: "upgrade", "the override of {host} is in its file again");
+                    self.table.borrow_mut().set_file(&host, FileState::Text(text));
                 }
-                Err(e) => warn_rate_limited(|| format!("upgrade: {e}; written again")),
+                Err(e) => warn_rate_limited(|| format!("upgrade: {e}; the file is written again soon")),
             }
         }
     }
 
-    fn apply(&self, host: &str, order: HostOverride) {
-        info!(target: "upgrade", "{host} was {} by hand", if order.out { "left out" } else { "used again" });
-        self.core.by_hand(host, order.out, order.stamp);
+    /// Passes an override from a file or another process to the core.
+    fn apply(&self, host: &str, value: HostOverride) {
+        let state = if value.left_out { "left out" } else { "used again" };
+        info!(target: "upgrade", "{host} was {state} by a manual override");
+        self.core.by_hand(host, value.left_out, value.stamp);
     }
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,12 +1,32 @@
-//! Everything that touches sockets, in parts each of which knows only those before it: `faults` makes system calls fail
-//! on order, in tests only, `world` is the door to the machine, `endpoints` plain configuration of the proxy's own sockets, `backoff` the waits between tries, `listing`
-//! the list as a message; `events` counts what happens by its reason; `core` owns the decision module, time and the figures; `capture` the record of load, `hosts`
-//! the connections to database hosts, `discovery` the watch of the list, `peers` the talk with other proxies,
-//! `statements` the desk for plain statements, `admission` clients' places, `line` their connections, `life` a request's
-//! life, `pipeline` the requests of a connection behind one another, `client` their sessions, `override_files` the files of orders by hand,
-//! `host_overrides` those orders in one process, `upgrade` what processes beside each other tell and share, `console` the operators' door, `proxy` all of them; `signals` what a
-//! running program follows.
-//! This file holds only what they share; it must never decide nor keep state beyond a moment.
+//! The proxy around the decision module: everything that uses sockets, timers and files. Each module uses only modules
+//! listed before it:
+//!
+//! - `faults`: system calls that fail on a schedule, in tests only;
+//! - `world`: clocks, timers, sockets and files, real or simulated;
+//! - `endpoints`: plain configuration of the proxy's own sockets;
+//! - `backoff`: the delays between calls to discovery;
+//! - `listing`: the list of database hosts as a message;
+//! - `events`: counts and logs of closes, refusals, retries and broken invariants, by reason;
+//! - `core`: owns the decision module, the clock and the metrics;
+//! - `capture`: the record of load for the planner;
+//! - `hosts`: connections to database hosts;
+//! - `discovery`: the watch of the list;
+//! - `peers`: datagrams from and to other proxies;
+//! - `statements`: classification of plain statements;
+//! - `admission`: limits on clients;
+//! - `line`: a client's connection;
+//! - `life`: one request from its arrival to its answer;
+//! - `pipeline`: the requests of a connection, answered in order;
+//! - `client`: clients' sessions;
+//! - `override_files`: the files of manual overrides;
+//! - `host_overrides`: the manual overrides of one process;
+//! - `upgrade`: the exchange between processes that run side by side;
+//! - `console`: HTTP for operators;
+//! - `proxy`: all of these together;
+//! - `signals`: the signals that a running program handles.
+//!
+//! This file holds only what several of them share. It must never make a decision about a request, nor keep state beyond
+//! the rate of log lines.
 
 #![warn(clippy::disallowed_methods)]
 
@@ -44,26 +64,29 @@
 use tracing::warn;
 use world::Stream;
 
-/// Complaints about peers that are written in a second; of the others only the number is.
-const MAX_COMPLAINTS_PER_SECOND: u32 = 10;
+/// The maximum number of warnings that are written in a second. Further ones are only counted.
+const MAX_WARNINGS_PER_SECOND: u32 = 10;
 
 thread_local! {
-    /// Since when complaints are counted, and how many there were.
-    static COMPLAINED: Cell<(Option<Instant>, u32)> = const { Cell::new((None, 0)) };
+    /// The start of the second in which warnings are counted, and their number.
+    static WARNINGS: Cell<(Option<Instant>, u32)> = const { Cell::new((None, 0)) };
 }
 
 /// What a process holds of the limits, and whether it is ready to serve.
 #[derive(Clone, Copy, Default, Deserialize, Serialize)]
 pub struct ResourceUsage {
     pub ready: bool,
+    /// Open connections of clients.
     pub clients: usize,
+    /// Bytes received from clients and held in memory.
     pub bytes: usize,
+    /// Open connections to database hosts.
     pub hosts: usize,
 }
 
 impl ResourceUsage {
-    /// What two processes hold together; one of them that is ready is enough.
-    fn with(self, other: &ResourceUsage) -> ResourceUsage {
+    /// What two processes hold together. The sum is ready if one of them is.
+    fn combined_with(self, other: &ResourceUsage) -> ResourceUsage {
         ResourceUsage {
             ready: self.ready || other.ready,
             clients: self.clients.saturating_add(other.clients),
@@ -73,50 +96,55 @@
     }
 }
 
-/// A limit that two processes may have to share.
+/// A limit that this process may have to share with other processes.
 pub struct SharedLimit {
-    whole: usize,
-    mine: Cell<usize>,
+    total: usize,
+    own: Cell<usize>,
 }
 
 impl SharedLimit {
-    pub fn new(whole: usize) -> SharedLimit {
-        SharedLimit { whole, mine: Cell::new(whole) }
+    pub fn new(total: usize) -> SharedLimit {
+        SharedLimit { total, own: Cell::new(total) }
     }
+    /// The part of the limit that this process may use.
     pub fn get(&self) -> usize {
-        self.mine.get()
+        self.own.get()
     }
-    /// Beside a process that holds so much, this one may have half of what neither holds.
-    pub fn share(&self, mine: usize, theirs: Option<usize>) {
-        let shared = |theirs: usize| mine + self.whole.saturating_sub(mine.saturating_add(theirs)) / 2;
-        self.mine.set(theirs.map_or(self.whole, shared));
+    /// Shares the limit with other processes, which hold `other_held`: this process may use what it holds, and half of what
+    /// no process holds. Without other processes it may use the whole limit.
+    pub fn share(&self, own_held: usize, other_held: Option<usize>) {
+        let shared =
+            |other_held: usize| own_held + self.total.saturating_sub(own_held.saturating_add(other_held)) / 2;
+        self.own.set(other_held.map_or(self.total, shared));
     }
 }
 
-/// Waits for bytes and puts them into the inbox; 0 at the end of the connection.
+/// Waits for bytes and puts them into the inbox. Returns 0 at the end of the connection.
 async fn read_into(stream: &Stream, inbox: &mut Inbox) -> io::Result<usize> {
     stream.read_with(|bytes| inbox.put(bytes)).await
 }
 
-/// The future's result, or nothing once the time has come; the future is then dropped.
-pub async fn timeout_at<T>(when: Instant, work: impl Future<Output = T>) -> Option<T> {
+/// Returns the future's result, or `None` once the deadline has passed. The future is then dropped.
+pub async fn timeout_at<T>(deadline: Instant, work: impl Future<Output = T>) -> Option<T> {
     future::or(async { Some(work.await) }, async {
-        world::at(when).await;
+        world::at(deadline).await;
         None
     })
     .await
 }
 
-/// Writes a line about a peer's misbehaviour. Guards against a peer that fills the log.
+/// Logs a warning, at most `MAX_WARNINGS_PER_SECOND` of them in a second. Guards against a client or host whose errors
+/// fill the log.
 pub fn warn_rate_limited(line: impl FnOnce() -> String) {
-    let (since, count) = COMPLAINED.get();
-    let fresh = since.is_none_or(|since| world::since(since) > Duration::from_secs(1));
-    if fresh && count > MAX_COMPLAINTS_PER_SECOND {
-        warn!(target: "peers", "... and {} more such lines", count - MAX_COMPLAINTS_PER_SECOND);
+    let (since, count) = WARNINGS.get();
+    let is_new_second = since.is_none_or(|since| world::since(since) > Duration::from_secs(1));
+    if is_new_second && count > MAX_WARNINGS_PER_SECOND {
+        let omitted = count - MAX_WARNINGS_PER_SECOND;
+        warn!(target: "peers", "... and {omitted} more warnings, which are not logged");
     }
-    let (since, count) = if fresh { (Some(world::now()), 0) } else { (since, count) };
-    if count < MAX_COMPLAINTS_PER_SECOND {
+    let (since, count) = if is_new_second { (Some(world::now()), 0) } else { (since, count) };
+    if count < MAX_WARNINGS_PER_SECOND {
         warn!(target: "peers", "{}", line());
     }
-    COMPLAINED.set((since, count + 1));
+    WARNINGS.set((since, count + 1));
 }
--- a/src/net/override_files.rs
+++ b/src/net/override_files.rs
@@ -1,5 +1,6 @@
-//! The files in which orders by hand outlast a process: one for each database host, in `hosts` of the folder that
-//! processes on one machine share. It owns their names. It must never decide which order counts.
+//! The files in which manual overrides outlast a process: one file per database host, in the folder `hosts` of the
+//! directory that the processes on one machine share. This module owns the files' names. It must never decide which
+//! override is in effect.
 
 use super::world;
 use crate::overrides::{HostOverride, StoredOverride};
@@ -7,15 +8,15 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-const HOSTS: &str = "hosts";
+const HOSTS_FOLDER: &str = "hosts";
 
-/// What one look at the folder found.
+/// The contents of the folder at one moment.
 #[derive(Default)]
 pub struct Folder {
-    /// Each host's text, or why it could not be read.
+    /// Each host with the text of its file, or why it could not be read.
     pub files: Vec<(String, io::Result<String>)>,
-    /// Files that are named after no host.
-    pub strangers: Vec<PathBuf>,
+    /// Files whose names are not host names in hexadecimal.
+    pub unknown_files: Vec<PathBuf>,
 }
 
 impl Folder {
@@ -25,31 +26,31 @@
     }
 }
 
-/// The folder of the files.
+/// The folder of the override files, by its path.
 pub struct OverrideFiles(PathBuf);
 
 impl OverrideFiles {
-    /// Those in a folder that processes share.
-    pub fn within(dir: &Path) -> OverrideFiles {
-        OverrideFiles(dir.join(HOSTS))
+    /// The override files in a directory that processes share.
+    pub fn in_directory(dir: &Path) -> OverrideFiles {
+        OverrideFiles(dir.join(HOSTS_FOLDER))
     }
 
-    /// The folder, to name it.
+    /// The folder's path, for messages.
     pub fn path(&self) -> &Path {
         &self.0
     }
 
-    /// Makes the folder, where there is none.
-    pub fn make(&self) -> io::Result<()> {
+    /// Creates the folder if it does not exist.
+    pub fn create_folder(&self) -> io::Result<()> {
         world::make_dirs(&self.0)
     }
 
-    /// All files; the error is why the folder could not be read.
+    /// Reads all files. The error says why the folder could not be read.
     pub fn read(&self) -> io::Result<Folder> {
         let mut folder = Folder::default();
         for path in world::list(&self.0)? {
-            let Some(host) = host_named(&path) else {
-                folder.strangers.push(path);
+            let Some(host) = host_of_file(&path) else {
+                folder.unknown_files.push(path);
                 continue;
             };
             match world::read_text(&path) {
@@ -60,19 +61,20 @@
         Ok(folder)
     }
 
-    /// Puts an order in its file whole; the text that is there then, or why it cannot be.
-    pub fn write(&self, host: &str, order: HostOverride) -> Result<String, String> {
-        // It may not have been possible at the start.
-        let _ = self.make();
-        let (path, next) = (self.path_of(host), self.0.join(format!(".{}", world::unique_number())));
-        let text = StoredOverride::format(order);
-        match world::write_atomically(&path, &next, &text) {
+    /// Writes an override to its file atomically. Returns the file's text, or why it could not be written.
+    pub fn write(&self, host: &str, value: HostOverride) -> Result<String, String> {
+        // The folder may be missing because it could not be created at the start.
+        let _ = self.create_folder();
+        let path = self.path_of(host);
+        let temporary_path = self.0.join(format!(".{}", world::unique_number()));
+        let text = StoredOverride::format(value);
+        match world::write_atomically(&path, &temporary_path, &text) {
             Ok(()) => Ok(text),
             Err(e) => Err(format!("{}: {e}", path.display())),
         }
     }
 
-    /// Removes a host's file; one that cannot be removed is of no harm.
+    /// Removes a host's file. A file that cannot be removed does no harm.
     pub fn remove(&self, host: &str) {
         let _ = world::remove(&self.path_of(host));
     }
@@ -82,13 +84,13 @@
     }
 }
 
-/// A host's name as a file's: names are any text.
+/// A host's name in hexadecimal, since a host's name may be any text.
 fn file_name(host: &str) -> String {
     host.bytes().map(|b| format!("{b:02x}")).collect()
 }
 
-/// The host whose file this is.
-fn host_named(path: &Path) -> Option<String> {
+/// The host that a file is named after.
+fn host_of_file(path: &Path) -> Option<String> {
     let hex = path.file_name()?.to_str()?;
     let pairs = hex.as_bytes().chunks(2).map(|p| u8::from_str_radix(std::str::from_utf8(p).ok()?, 16).ok());
     String::from_utf8(pairs.collect::<Option<_>>()?).ok()
--- a/src/net/upgrade.rs
+++ b/src/net/upgrade.rs
@@ -1,6 +1,8 @@
-//! Versions of the program side by side: a Unix socket in `$TMPDIR`, by which each process knows from its end that another
-//! lives, what it holds of the limits and which orders by hand it knows. It must never hinder a start: what cannot be had
-//! is logged, and the program goes on without.
+//! The exchange between versions of the program that run side by side, during an upgrade or a rollback. The processes
+//! connect through a Unix socket in `$TMPDIR`. Each one sends what it holds of the limits and which manual overrides it
+//! knows, and learns from the end of a connection that the other process has ended. This module calls the admission of
+//! clients and the owner of host connections to share their limits, and `host_overrides` to exchange overrides. It must
+//! never prevent a start: what is not available is logged, and the program continues without it.
 
 use super::admission::Admission;
 use super::core::Core;
@@ -21,107 +23,114 @@
 use std::time::{Duration, Instant};
 use tracing::info;
 
-const SOCKET: &str = "sillfold.sock";
-/// Processes tell each other what they hold, and new orders, this often: well inside the grace of a drain.
-const EXCHANGE: Duration = Duration::from_millis(50);
-/// A process that has said nothing for this long is not counted on to serve. It still holds what it held.
-const SILENT: Duration = Duration::from_secs(2);
-/// A new process waits for so long to hear what those that it found hold, and which orders they know.
-const INTRODUCTION: Duration = Duration::from_secs(2);
-/// What another process may have said that is not read, in bytes: some lines.
+/// The name of the socket in `$TMPDIR`.
+const SOCKET_NAME: &str = "sillfold.sock";
+/// The interval at which processes send each other what they hold, and new overrides. It is well inside the grace of a
+/// drain.
+const SEND_INTERVAL: Duration = Duration::from_millis(50);
+/// A process that has sent nothing for this long is not relied on to serve. What it held still counts as held.
+const READY_EXPIRY: Duration = Duration::from_secs(2);
+/// How long a new process waits for the processes that it found to report what they hold and which overrides they know.
+const INTRODUCTION_TIMEOUT: Duration = Duration::from_secs(2);
+/// The maximum length of what another process has sent and this one has not parsed: several messages.
 const MAX_UNREAD_BYTES: usize = 64 * 1024;
-/// Orders in one line have names of so many bytes together: escaped as JSON, a line stays well inside the above.
-const MAX_NAME_BYTES_A_LINE: usize = 4 * 1024;
-/// The folder is read again this often while something in it could not be read, or a process of an earlier version,
-/// which tells no orders, runs beside this one.
-const READ_AGAIN: Duration = Duration::from_millis(50);
-/// An order that could not be written is written again this often.
-const WRITE_AGAIN: Duration = Duration::from_millis(500);
-/// The folder is read this often beside processes that tell their orders.
-const READ_BESIDE: Duration = Duration::from_secs(1);
-/// The wait before another process is accepted, or dialled, again where the machine lacks something.
+/// The maximum length of all host names in one message. Escaped as JSON, the message stays well below
+/// `MAX_UNREAD_BYTES`.
+const MAX_NAME_BYTES_PER_MESSAGE: usize = 4 * 1024;
+/// The interval at which the folder is read while something in it could not be read, or while a process of an earlier
+/// version runs beside this one, which sends no overrides.
+const UNREAD_FOLDER_INTERVAL: Duration = Duration::from_millis(50);
+/// The interval at which an override that could not be written is written again.
+const WRITE_RETRY_INTERVAL: Duration = Duration::from_millis(500);
+/// The interval at which the folder is read while other processes run that send their overrides.
+const SHARED_FOLDER_INTERVAL: Duration = Duration::from_secs(1);
+/// The wait before another accept or connect after this machine lacked a resource for one.
 const SHORTAGE_WAIT: Duration = Duration::from_millis(20);
-/// How often it is dialled then.
-const MAX_DIALS: u32 = 100;
+/// The maximum number of such connects to the process that may run already.
+const MAX_CONNECTS: u32 = 100;
 
-/// What processes tell each other, as a line. Later versions may add keys.
+/// What a process sends to another one, as one line of JSON. Later versions may add keys.
 #[derive(Serialize)]
-struct Line {
-    /// Tells processes apart.
+struct Message {
+    /// A number that differs from process to process.
     process: u64,
     #[serde(flatten)]
     held: ResourceUsage,
-    /// Orders by hand that changed since the line before.
-    orders: Vec<OverrideMessage>,
-    /// Whether all orders that this process knows, and those that it waits to hear, have been told.
+    /// Manual overrides that changed since the message before.
+    #[serde(rename = "orders")]
+    overrides: Vec<OverrideMessage>,
+    /// Whether this process has sent all overrides that it knows, and waits for none itself.
     complete: bool,
 }
 
-/// The same as it is heard.
+/// The same message as it is received, from any version.
 #[derive(Deserialize)]
-struct HeardLine {
-    /// 0 from a process of a version that does not say it.
+struct ReceivedMessage {
+    /// 0 from a process whose version does not send it.
     #[serde(default)]
     process: u64,
     #[serde(flatten)]
     held: ResourceUsage,
-    /// None from a process of a version that tells no orders. Each is read for itself: one that makes no sense hinders
-    /// no other.
-    orders: Option<Vec<serde_json::Value>>,
+    /// `None` from a process whose version sends no overrides. Each override is parsed separately, so that an invalid one
+    /// does not affect the others.
+    #[serde(rename = "orders")]
+    overrides: Option<Vec<serde_json::Value>>,
     #[serde(default)]
     complete: bool,
 }
 
-/// Another process, while it lives.
-struct Peer {
-    /// What it holds, with all that it knows of but this one.
+/// The state of a connection to another process.
+struct OtherProcess {
+    /// What it holds, together with all processes that it knows except this one.
     held: ResourceUsage,
-    /// When it last said so.
-    heard: Instant,
-    /// Whether it ran before this one, which then waits for its introduction.
+    /// When its last message came.
+    last_message: Instant,
+    /// Whether it ran before this one. This process then waits for its introduction.
     is_earlier: bool,
-    /// Whether it has told all that it holds and knows.
+    /// Whether it has sent everything that it holds and knows.
     is_introduced: bool,
-    /// Whether it tells orders by hand.
-    tells_orders: bool,
+    /// Whether its version sends manual overrides.
+    sends_overrides: bool,
 }
 
+/// This process's part of the exchange with other processes.
 pub struct Upgrade {
     dir: Option<PathBuf>,
     core: Rc<Core>,
     admission: Rc<Admission>,
     hosts: Rc<Hosts>,
-    orders: HostOverrides,
-    /// Tells this process from others.
+    overrides: HostOverrides,
+    /// A number that differs from process to process.
     process: u64,
-    /// The other processes, by the number of the meeting.
-    peers: RefCell<BTreeMap<u64, Peer>>,
-    meetings: Cell<u64>,
-    /// A later process has put its socket in the place of this one's.
+    /// The other processes, by the number of the connection.
+    others: RefCell<BTreeMap<u64, OtherProcess>>,
+    /// The number of the next connection.
+    next_connection: Cell<u64>,
+    /// Whether a later process has replaced this one's socket by its own.
     is_superseded: Cell<bool>,
-    /// Closed once this process listens at a new socket.
-    place: RefCell<Option<Sender<()>>>,
-    /// Told when another process has ended.
+    /// Replaced, and thereby closed, once this process listens at a new socket.
+    listening: RefCell<Option<Sender<()>>>,
+    /// Notified when another process has ended.
     ended: (Sender<()>, Receiver<()>),
-    /// Told when another process was heard for the first time, or has ended.
+    /// Notified when the first message of another process has come, or another process has ended.
     introduced: (Sender<()>, Receiver<()>),
-    /// Told when the folder is to be looked at.
+    /// Notified when the folder must be read.
     folder_due: (Sender<()>, Receiver<()>),
 }
 
 impl Upgrade {
     pub fn new(dir: Option<PathBuf>, core: Rc<Core>, admission: Rc<Admission>, hosts: Rc<Hosts>) -> Upgrade {
         Upgrade {
-            orders: HostOverrides::new(dir.as_deref(), core.clone()),
+            overrides: HostOverrides::new(dir.as_deref(), core.clone()),
             dir,
             core,
             admission,
             hosts,
             process: world::unique_number(),
-            peers: RefCell::default(),
-            meetings: Cell::default(),
+            others: RefCell::default(),
+            next_connection: Cell::default(),
             is_superseded: Cell::default(),
-            place: RefCell::default(),
+            listening: RefCell::default(),
             ended: async_channel::bounded(1),
             introduced: async_channel::bounded(1),
             folder_due: async_channel::bounded(1),
@@ -130,80 +139,81 @@
 
     // ---- The other processes ----
 
-    /// Finds the process that runs already, if there is one, and takes its place at the socket.
+    /// Connects to the process that runs already, if there is one, and replaces its socket by this process's.
     pub fn start(self: &Rc<Upgrade>, executor: &Spawner) {
         let Some(dir) = self.dir.clone() else { return };
         let upgrade = self.clone();
-        executor.spawn(async move { upgrade.keep_folder().await });
-        let (upgrade, spawner, path) = (self.clone(), executor.clone(), dir.join(SOCKET));
-        match self.dial(&path) {
-            Dialled::Met(stream) => self.begin_exchange(stream, true, executor),
-            Dialled::Nobody => {}
-            Dialled::Shortage => {
-                // Whoever is there is counted on until that is known.
-                let number = self.begin_meeting(true);
-                executor.spawn(async move { upgrade.meet_later(number, &path, &spawner).await });
+        executor.spawn(async move { upgrade.maintain_folder().await });
+        let (upgrade, spawner, path) = (self.clone(), executor.clone(), dir.join(SOCKET_NAME));
+        match self.connect(&path) {
+            ConnectResult::Connected(stream) => self.start_exchange(stream, true, executor),
+            ConnectResult::NoProcess => {}
+            ConnectResult::Shortage => {
+                // Assume that a process is there until a connect shows whether one is.
+                let number = self.add_connection(true);
+                executor.spawn(async move { upgrade.retry_start(number, &path, &spawner).await });
                 return;
             }
         }
-        self.take_place(&path, executor);
+        self.listen(&path, executor);
     }
 
-    fn dial(&self, path: &Path) -> Dialled {
+    fn connect(&self, path: &Path) -> ConnectResult {
         match Stream::connect_local(path) {
-            Ok(stream) => Dialled::Met(stream),
-            Err(e) if e.kind() == io::ErrorKind::NotFound => Dialled::Nobody,
-            Err(e) if world::is_local_shortage(&e) => Dialled::Shortage,
+            Ok(stream) => ConnectResult::Connected(stream),
+            Err(e) if e.kind() == io::ErrorKind::NotFound => ConnectResult::NoProcess,
+            Err(e) if world::is_local_shortage(&e) => ConnectResult::Shortage,
             Err(e) => {
-                info!(target: "upgrade", "{}: nobody is there: {e}", path.display());
-                Dialled::Nobody
+                info!(target: "upgrade", "{}: no process listens there: {e}; this one takes the socket over", path.display());
+                ConnectResult::NoProcess
             }
         }
     }
 
-    /// Goes on to dial the process that may be there; then takes its place, whatever came of it.
-    async fn meet_later(self: Rc<Upgrade>, number: u64, path: &Path, executor: &Spawner) {
-        for _ in 0..MAX_DIALS {
+    /// Connects again to the process that may run already, then listens, whatever the result.
+    async fn retry_start(self: Rc<Upgrade>, number: u64, path: &Path, executor: &Spawner) {
+        for _ in 0..MAX_CONNECTS {
             world::after(SHORTAGE_WAIT).await;
-            match self.dial(path) {
-                Dialled::Met(stream) => {
-                    self.begin_exchange(stream, true, executor);
+            match self.connect(path) {
+                ConnectResult::Connected(stream) => {
+                    self.start_exchange(stream, true, executor);
                     break;
                 }
-                Dialled::Nobody => break,
-                Dialled::Shortage => {}
+                ConnectResult::NoProcess => break,
+                ConnectResult::Shortage => {}
             }
         }
-        self.end_meeting(number);
-        self.take_place(path, executor);
+        self.remove_connection(number);
+        self.listen(path, executor);
     }
 
-    /// Puts a socket of its own in place whole, over what the process before has left there.
-    fn take_place(self: &Rc<Upgrade>, path: &Path, executor: &Spawner) {
-        let own = path.with_file_name(format!("{SOCKET}.{}", self.process));
-        let listener = match Listener::local(path, &own) {
+    /// Listens at a socket of its own, which atomically replaces the socket of the process before.
+    fn listen(self: &Rc<Upgrade>, path: &Path, executor: &Spawner) {
+        let own_path = path.with_file_name(format!("{SOCKET_NAME}.{}", self.process));
+        let listener = match Listener::local(path, &own_path) {
             Ok(listener) => listener,
             Err(e) => {
-                return info!(target: "upgrade", "{}: {e}; a new version will not find this one", own.display());
+                return info!(target: "upgrade", "{}: {e}; the program goes on, but a new version will not find \
+                    this process", own_path.display());
             }
         };
-        // Nobody can reach a listener that stood there before.
-        let (place, left) = async_channel::bounded(1);
-        self.place.replace(Some(place));
+        // The listener of an earlier socket of this process is out of reach, so its task ends.
+        let (listening, replaced) = async_channel::bounded(1);
+        self.listening.replace(Some(listening));
         let (upgrade, spawner) = (self.clone(), executor.clone());
         executor.spawn(async move {
-            future::or(upgrade.accept(&listener, &spawner), async { _ = left.recv().await }).await;
+            future::or(upgrade.accept(&listener, &spawner), async { _ = replaced.recv().await }).await;
         });
     }
 
-    /// Meets all later processes, for as long as the program runs.
+    /// Accepts connections of later processes, for as long as the program runs.
     async fn accept(self: Rc<Upgrade>, listener: &Listener, executor: &Spawner) {
         loop {
             match listener.accept().await {
                 Ok(stream) => {
                     info!(target: "upgrade", "a new process has started");
                     self.is_superseded.set(true);
-                    self.begin_exchange(stream, false, executor);
+                    self.start_exchange(stream, false, executor);
                 }
                 Err(e) => {
                     warn_rate_limited(|| format!("upgrade: accepting: {e}"));
@@ -213,153 +223,158 @@
         }
     }
 
-    fn begin_exchange(self: &Rc<Upgrade>, stream: Stream, is_earlier: bool, executor: &Spawner) {
-        let (upgrade, spawner, number) = (self.clone(), executor.clone(), self.begin_meeting(is_earlier));
+    fn start_exchange(self: &Rc<Upgrade>, stream: Stream, is_earlier: bool, executor: &Spawner) {
+        let (upgrade, spawner, number) = (self.clone(), executor.clone(), self.add_connection(is_earlier));
         info!(target: "upgrade", "another process runs");
         let exchange = async move {
-            let other = upgrade.exchange(&stream, number).await;
+            let end = upgrade.exchange(&stream, number).await;
             drop(stream);
-            upgrade.end_meeting(number);
-            if other == Ended::Gone {
-                upgrade.meet_again(&spawner);
+            upgrade.remove_connection(number);
+            if end == ExchangeEnd::Disconnected {
+                upgrade.connect_to_latest(&spawner);
             }
         };
         executor.spawn(exchange);
     }
 
-    /// Whoever stands between this process and the latest one has ended: the latest one is met directly. Where that is the
-    /// one that has ended, this process is found at its place again.
-    fn meet_again(self: &Rc<Upgrade>, executor: &Spawner) {
+    /// Connects to the latest process after a process between this one and the latest has ended. If no process listens,
+    /// the latest one has ended, and this process listens again.
+    fn connect_to_latest(self: &Rc<Upgrade>, executor: &Spawner) {
         let Some(dir) = self.dir.as_ref().filter(|_| self.is_superseded.get()) else { return };
-        let path = dir.join(SOCKET);
-        match self.dial(&path) {
-            Dialled::Met(stream) => self.begin_exchange(stream, false, executor),
-            Dialled::Nobody => {
+        let path = dir.join(SOCKET_NAME);
+        match self.connect(&path) {
+            ConnectResult::Connected(stream) => self.start_exchange(stream, false, executor),
+            ConnectResult::NoProcess => {
                 self.is_superseded.set(false);
-                self.take_place(&path, executor);
+                self.listen(&path, executor);
             }
-            Dialled::Shortage => {
+            ConnectResult::Shortage => {
                 let (upgrade, spawner) = (self.clone(), executor.clone());
                 executor.spawn(async move {
                     world::after(SHORTAGE_WAIT).await;
-                    upgrade.meet_again(&spawner);
+                    upgrade.connect_to_latest(&spawner);
                 });
             }
         }
     }
 
-    /// Another process is met: the number of the meeting.
-    fn begin_meeting(&self, is_earlier: bool) -> u64 {
-        let number = self.meetings.get();
-        self.meetings.set(number + 1);
-        let peer = Peer {
+    /// Adds a connection to another process. Returns the connection's number.
+    fn add_connection(&self, is_earlier: bool) -> u64 {
+        let number = self.next_connection.get();
+        self.next_connection.set(number + 1);
+        let other = OtherProcess {
             held: ResourceUsage::default(),
-            heard: world::now(),
+            last_message: world::now(),
             is_earlier,
             is_introduced: false,
-            tells_orders: true,
+            sends_overrides: true,
         };
-        self.peers.borrow_mut().insert(number, peer);
+        self.others.borrow_mut().insert(number, other);
         self.share_limits();
         self.core.other_process(true);
         let _ = self.folder_due.0.try_send(());
         number
     }
 
-    /// That meeting is over.
-    fn end_meeting(&self, number: u64) {
-        if self.peers.borrow_mut().remove(&number).is_none() {
+    /// Removes a connection whose other process has ended, if it was not removed before.
+    fn remove_connection(&self, number: u64) {
+        if self.others.borrow_mut().remove(&number).is_none() {
             return;
         }
         info!(target: "upgrade", "the other process has ended");
         self.share_limits();
         self.core.other_process(self.has_other_process());
-        self.orders.read_folder(false);
-        self.orders.save();
+        self.overrides.read_folder(false);
+        self.overrides.save();
         let _ = self.folder_due.0.try_send(());
         let _ = self.ended.0.try_send(());
         let _ = self.introduced.0.try_send(());
     }
 
-    /// Tells the other process what this one holds and hears the same of it, until it ends. A process that is stopped
-    /// for a while says nothing, and holds on to what it has.
-    async fn exchange(&self, stream: &Stream, number: u64) -> Ended {
-        future::or(self.hear(stream, number), self.tell(stream, number)).await
+    /// Sends messages to the other process and receives its messages, until it ends. A process that is stopped for a while
+    /// sends nothing, and what it held still counts as held.
+    async fn exchange(&self, stream: &Stream, number: u64) -> ExchangeEnd {
+        future::or(self.receive(stream, number), self.send(stream, number)).await
     }
 
-    async fn tell(&self, stream: &Stream, number: u64) -> Ended {
-        let mut told = 0;
+    async fn send(&self, stream: &Stream, number: u64) -> ExchangeEnd {
+        let mut sent_change = 0;
         loop {
-            let (orders, last) = match self.orders.last_change() {
-                last if last == told || mutants::on("orders are not told") => (Vec::new(), last),
-                _ => self.orders.changed_after(told, MAX_NAME_BYTES_A_LINE),
+            let (overrides, last) = match self.overrides.last_change() {
+                last if last == sent_change || mutants::on("orders are not told") => (Vec::new(), last),
+                _ => self.overrides.changed_after(sent_change, MAX_NAME_BYTES_PER_MESSAGE),
             };
-            told = last;
-            let all_told = told == self.orders.last_change();
-            let held = self.held_beside(number);
-            let complete = all_told && self.is_introduced();
-            let Ok(mut line) = serde_json::to_vec(&Line { process: self.process, held, orders, complete })
+            sent_change = last;
+            let all_sent = sent_change == self.overrides.last_change();
+            let held = self.held_except(number);
+            let complete = all_sent && self.is_introduced();
+            let Ok(mut line) =
+                serde_json::to_vec(&Message { process: self.process, held, overrides, complete })
             else {
-                return Ended::Gone;
+                return ExchangeEnd::Disconnected;
             };
             line.push(b'\n');
             if stream.write_all(&line).await.is_err() {
-                return Ended::Gone;
+                return ExchangeEnd::Disconnected;
             }
-            if all_told {
-                world::after(EXCHANGE).await;
+            if all_sent {
+                world::after(SEND_INTERVAL).await;
             }
         }
     }
 
-    async fn hear(&self, stream: &Stream, number: u64) -> Ended {
-        let mut came = Vec::new();
+    async fn receive(&self, stream: &Stream, number: u64) -> ExchangeEnd {
+        let mut unread = Vec::new();
         loop {
-            let Some(end) = came.iter().position(|b| *b == b'\n') else {
-                let read = stream.read_with(|part| came.extend(part)).await;
+            let Some(end) = unread.iter().position(|b| *b == b'\n') else {
+                let read = stream.read_with(|part| unread.extend(part)).await;
                 // Guards against a line without an end.
-                if !matches!(read, Ok(1..)) || came.len() > MAX_UNREAD_BYTES {
-                    return Ended::Gone;
+                if !matches!(read, Ok(1..)) || unread.len() > MAX_UNREAD_BYTES {
+                    return ExchangeEnd::Disconnected;
                 }
                 continue;
             };
-            match serde_json::from_slice::<HeardLine>(&came[..end]) {
-                Ok(line) if line.process == self.process => {
-                    // The socket is its own: nobody is later. Said before the other side of this very connection ends,
-                    // which would dial it again.
+            match serde_json::from_slice::<ReceivedMessage>(&unread[..end]) {
+                Ok(message) if message.process == self.process => {
+                    // This process has connected to its own socket, so no process is later. The flag is cleared before
+                    // the other side of this connection ends, which would connect again.
                     self.is_superseded.set(false);
-                    return Ended::Itself;
+                    return ExchangeEnd::OwnSocket;
                 }
-                Ok(line) => self.take_in(number, line),
+                Ok(message) => self.apply(number, message),
                 Err(e) => {
-                    info!(target: "upgrade", "the other process: {e}");
-                    return Ended::Gone;
+                    info!(target: "upgrade", "the other process sent an invalid message: {e}; its connection is closed");
+                    return ExchangeEnd::Disconnected;
                 }
             }
-            came.drain(..=end);
+            unread.drain(..=end);
         }
     }
 
-    /// What this process holds, with all others but that of this meeting.
-    fn held_beside(&self, number: u64) -> ResourceUsage {
+    /// What this process holds, together with all others except the one of this connection.
+    fn held_except(&self, number: u64) -> ResourceUsage {
         let (clients, bytes) = self.admission.held();
         let ready = self.admission.unready().is_none();
         let own = ResourceUsage { ready, clients, bytes, hosts: self.hosts.open_connections() };
-        let peers = self.peers.borrow();
-        peers.iter().filter(|(n, _)| **n != number).fold(own, |sum, (_, peer)| sum.with(&peer.held))
+        let others = self.others.borrow();
+        others
+            .iter()
+            .filter(|(n, _)| **n != number)
+            .fold(own, |sum, (_, other)| sum.combined_with(&other.held))
     }
 
-    /// Another process says what it holds and knows.
-    fn take_in(&self, number: u64, line: HeardLine) {
-        let tells_orders = line.orders.is_some();
-        line.orders.iter().flatten().for_each(|told| self.orders.hear(told));
+    /// Applies a message of another process: its overrides and what it holds.
+    fn apply(&self, number: u64, message: ReceivedMessage) {
+        let sends_overrides = message.overrides.is_some();
+        message.overrides.iter().flatten().for_each(|value| self.overrides.receive(value));
         let was_introduced = {
-            let mut peers = self.peers.borrow_mut();
-            let Some(peer) = peers.get_mut(&number) else { return };
-            (peer.held, peer.heard, peer.tells_orders) = (line.held, world::now(), tells_orders);
-            let was_introduced = peer.is_introduced;
-            // A version that tells no orders has said all it has to say.
-            peer.is_introduced |= line.complete || !tells_orders;
+            let mut others = self.others.borrow_mut();
+            let Some(other) = others.get_mut(&number) else { return };
+            (other.held, other.last_message, other.sends_overrides) =
+                (message.held, world::now(), sends_overrides);
+            let was_introduced = other.is_introduced;
+            // A version that sends no overrides is introduced by its first message.
+            other.is_introduced |= message.complete || !sends_overrides;
             was_introduced
         };
         self.share_limits();
@@ -369,65 +384,75 @@
         }
     }
 
-    /// Whether each process that ran before this one has told all that it holds and knows.
+    /// Whether each process that ran before this one has sent everything that it holds and knows.
     fn is_introduced(&self) -> bool {
-        self.peers.borrow().values().all(|peer| !peer.is_earlier || peer.is_introduced)
+        self.others.borrow().values().all(|other| !other.is_earlier || other.is_introduced)
     }
 
-    /// Returns once that is so, or after a while: one that is held up must not hinder a start. Guards against a first
-    /// request that goes to a host which only the process before knows to be left out, and against taking a limit's part
-    /// that it holds.
+    /// Returns once each process that ran before this one has sent everything that it holds and knows, or after
+    /// `INTRODUCTION_TIMEOUT`: a process that hangs must not prevent a start. Guards against a first request to a host of
+    /// which only the process before knows that it is left out, and against using a part of a limit that the process
+    /// before holds.
     pub async fn wait_for_introductions(&self) {
         let introduced = async {
             while !self.is_introduced() {
                 let _ = self.introduced.1.recv().await;
             }
         };
-        if timeout_at(world::now() + INTRODUCTION, introduced).await.is_none() {
-            info!(target: "upgrade", "the other process says nothing; not waited for any longer");
+        if timeout_at(world::now() + INTRODUCTION_TIMEOUT, introduced).await.is_none() {
+            info!(target: "upgrade", "the other process has not introduced itself in time; the start goes on");
         }
     }
 
-    /// All together stay inside the limits: what nobody holds is shared out evenly.
+    /// Shares the limits between the processes, so that all together stay inside them. What no process holds is divided
+    /// evenly.
     fn share_limits(&self) {
-        let others = self.peers.borrow().values().map(|peer| peer.held).reduce(|sum, held| sum.with(&held));
+        let others = self
+            .others
+            .borrow()
+            .values()
+            .map(|other| other.held)
+            .reduce(|sum, held| sum.combined_with(&held));
         self.admission.share(others);
         self.hosts.share_limit(others);
     }
 
-    /// Whether another process lives.
+    /// Whether another process runs.
     pub fn has_other_process(&self) -> bool {
-        !self.peers.borrow().is_empty()
+        !self.others.borrow().is_empty()
     }
 
-    /// Whether another process takes clients.
+    /// Whether another process accepts clients.
     pub fn other_is_ready(&self) -> bool {
-        self.peers.borrow().values().any(|peer| peer.held.ready && world::since(peer.heard) < SILENT)
+        self.others
+            .borrow()
+            .values()
+            .any(|other| other.held.ready && world::since(other.last_message) < READY_EXPIRY)
     }
 
-    /// Connections to other processes that are open.
+    /// The number of open connections to other processes.
     pub fn connections(&self) -> usize {
-        self.peers.borrow().len()
+        self.others.borrow().len()
     }
 
-    /// Returns once no other process lives.
+    /// Returns once no other process runs.
     pub async fn wait_until_alone(&self) {
         while self.has_other_process() {
             let _ = self.ended.1.recv().await;
         }
     }
 
-    // ---- Orders by hand ----
+    // ---- Manual overrides ----
 
-    /// Leaves a database host out, or uses it again, here and in other processes; the error is why not, and nothing has
-    /// changed then.
-    pub fn set_override(&self, host: &str, out: bool) -> Result<AppliedOverride, String> {
-        self.orders.give(host, out)
+    /// Leaves a database host out, or uses it again, here and in other processes. The error says why the override failed;
+    /// nothing has changed then.
+    pub fn set_override(&self, host: &str, left_out: bool) -> Result<AppliedOverride, String> {
+        self.overrides.set(host, left_out)
     }
 
-    /// Reads the folder and writes what is missing there, as often as that may bring something, for as long as the
-    /// program runs.
-    async fn keep_folder(&self) {
+    /// Reads the folder and writes what is missing there, whenever `folder_wait` or a notification says so, for as long as
+    /// the program runs.
+    async fn maintain_folder(&self) {
         loop {
             let due = async {
                 match self.folder_wait() {
@@ -436,36 +461,37 @@
                 }
             };
             future::or(due, async { _ = self.folder_due.1.recv().await }).await;
-            self.orders.read_folder(false);
-            self.orders.save();
+            self.overrides.read_folder(false);
+            self.overrides.save();
         }
     }
 
-    /// When the folder is to be looked at again; never, where nobody else could have changed it and nothing is missing.
+    /// The wait before the folder is read and written again. `None` if no other process could have changed it and
+    /// nothing is missing.
     fn folder_wait(&self) -> Option<Duration> {
-        let hears_by_folder = self.peers.borrow().values().any(|peer| !peer.tells_orders);
-        if self.orders.is_unread() || hears_by_folder {
-            Some(READ_AGAIN)
-        } else if self.orders.is_unsaved() {
-            Some(WRITE_AGAIN)
+        let depends_on_folder = self.others.borrow().values().any(|other| !other.sends_overrides);
+        if self.overrides.has_unread_files() || depends_on_folder {
+            Some(UNREAD_FOLDER_INTERVAL)
+        } else if self.overrides.has_unsaved() {
+            Some(WRITE_RETRY_INTERVAL)
         } else {
-            Some(READ_BESIDE).filter(|_| self.has_other_process())
+            Some(SHARED_FOLDER_INTERVAL).filter(|_| self.has_other_process())
         }
     }
 }
 
-/// What came of looking for a process that runs already.
-enum Dialled {
-    Met(Stream),
-    Nobody,
-    /// It could not be tried for want of something on this machine.
+/// The result of a connect to the socket of a process that may run.
+enum ConnectResult {
+    Connected(Stream),
+    NoProcess,
+    /// This machine lacked a resource for the connect.
     Shortage,
 }
 
 /// How an exchange ended.
 #[derive(PartialEq)]
-enum Ended {
-    Gone,
-    /// This process met itself.
-    Itself,
+enum ExchangeEnd {
+    Disconnected,
+    /// This process connected to its own socket.
+    OwnSocket,
 }
--- a/src/overrides.rs
+++ b/src/overrides.rs
@@ -1,103 +1,105 @@
-//! Orders by hand: which database hosts operators leave out or use again, as processes beside each other and those after
-//! them agree on it. Pure: what comes is what was read, heard or asked for, with the time. It must never touch a file
-//! or a connection.
+//! Manual overrides: which database hosts operators have left out, or use again, and how processes on one machine agree
+//! on it. This module is pure. Its input is what was read from a file, received from another process or requested by an
+//! operator, with the time. It must never access a file or a connection.
 //!
-//! Each order has a stamp, a hybrid logical clock: the time of the process that took it, or one more than the stamp
-//! it replaces where that is later. So an order that was given in knowledge of another outranks it, whatever the clocks
-//! of the two processes say. Of two orders that were given in ignorance of each other the later stamp counts
-//! everywhere, and of two with one stamp the one that leaves the host out.
+//! Each override has a stamp, a hybrid logical clock: the time of the process that accepted it, or the stamp of the
+//! override that it replaces plus one where that is later. An override that is given with knowledge of another one
+//! therefore outranks it, whatever the clocks of the two processes show. Of two overrides that were given without
+//! knowledge of each other, every process keeps the one with the later stamp. Of two with equal stamps, every process
+//! keeps the one that leaves the host out.
 
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Hosts of which orders are kept.
+/// The maximum number of hosts whose overrides are kept.
 pub const MAX_OVERRIDES: usize = 4_096;
-/// The longest name of a host that an order may have: its file is named by it in hexadecimal.
+/// The longest host name that an override may have. The override's file is named after the host, in hexadecimal.
 pub const MAX_NAME_BYTES: usize = 127;
-/// What is stamped further ahead of the clock than this, 24 hours, was not stamped by any clock.
+/// A stamp further ahead of the clock than this, 24 hours, does not come from a clock.
 pub const MAX_STAMP_AHEAD_US: Micros = 24 * 3_600_000_000;
-/// A host that is used again is warm after this long, 60 s, and that it was out makes no difference any more.
+/// A host that is used again is warm after this time, 60 s. From then on it makes no difference that it was left out.
 pub const WARM_AFTER_US: Micros = 60_000_000;
 
-/// Marks a stamp in a file as one that can be compared with others. Versions that do not know the mark read it as a sign.
-const COMPARABLE: char = '+';
+/// Marks a stamp in a file as comparable with other stamps. Versions that don't know the mark parse it as a plus sign.
+const COMPARABLE_MARK: char = '+';
 
-/// What operators ordered of a host.
+/// An operator's override of one host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HostOverride {
-    /// Whether it is left out; else it is used again.
-    pub out: bool,
-    /// When, as a hybrid logical clock in microseconds since the Unix epoch.
+    /// Whether the host is left out. Otherwise it is used again.
+    pub left_out: bool,
+    /// When the override was given, as a hybrid logical clock in microseconds since the Unix epoch.
     pub stamp: Micros,
 }
 
 impl HostOverride {
-    /// Whether this order counts where the other is known.
+    /// Whether this override replaces `other`.
     pub fn outranks(self, other: HostOverride) -> bool {
-        (self.stamp, self.out) > (other.stamp, other.out)
+        (self.stamp, self.left_out) > (other.stamp, other.left_out)
     }
 
-    /// Whether it says nothing any more to a process that does not know of the host.
-    fn is_spent(self, now: Micros) -> bool {
-        !self.out && self.stamp.saturating_add(WARM_AFTER_US) <= now
+    /// Whether the override means nothing any more to a process that does not know the host.
+    fn is_expired(self, now: Micros) -> bool {
+        !self.left_out && self.stamp.saturating_add(WARM_AFTER_US) <= now
     }
 }
 
-/// An order as its file says it.
+/// An override as its file holds it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StoredOverride {
-    /// The order.
-    pub order: HostOverride,
-    /// Whether its stamp can be compared; earlier versions wrote the plain time of their clock.
+    /// The override.
+    pub value: HostOverride,
+    /// Whether the stamp can be compared with others. Earlier versions wrote the plain time of their clock.
     pub comparable: bool,
 }
 
 impl StoredOverride {
-    /// Reads what is in a file; nothing where it is no order.
+    /// Parses the text of a file. Returns `None` if it is not an override.
     pub fn parse(text: &str) -> Option<StoredOverride> {
         let (state, stamp) = text.split_once(' ')?;
-        let out = match state {
+        let left_out = match state {
             "down" => true,
             "up" => false,
             _ => return None,
         };
-        let comparable = stamp.starts_with(COMPARABLE);
-        Some(StoredOverride { order: HostOverride { out, stamp: stamp.parse().ok()? }, comparable })
+        let comparable = stamp.starts_with(COMPARABLE_MARK);
+        Some(StoredOverride { value: HostOverride { left_out, stamp: stamp.parse().ok()? }, comparable })
     }
 
-    /// What the file of an order says.
-    pub fn format(order: HostOverride) -> String {
-        format!("{} {COMPARABLE}{}", if order.out { "down" } else { "up" }, order.stamp)
+    /// The text of an override's file.
+    pub fn format(value: HostOverride) -> String {
+        format!("{} {COMPARABLE_MARK}{}", if value.left_out { "down" } else { "up" }, value.stamp)
     }
 }
 
-/// An order of a host, as processes tell it each other.
+/// An override of one host, as processes send it to each other.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub struct OverrideMessage {
     /// The host's name.
     pub host: String,
-    /// Whether it is left out.
-    pub out: bool,
-    /// The order's stamp.
+    /// Whether the host is left out.
+    #[serde(rename = "out")]
+    pub left_out: bool,
+    /// The override's stamp.
     pub stamp: Micros,
 }
 
 impl OverrideMessage {
-    /// The order that is told.
-    pub fn order(&self) -> HostOverride {
-        HostOverride { out: self.out, stamp: self.stamp }
+    /// The override without the host's name.
+    pub fn value(&self) -> HostOverride {
+        HostOverride { left_out: self.left_out, stamp: self.stamp }
     }
 }
 
-/// Why an order is passed over.
+/// Why an override is ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejection {
     /// Its stamp is too far ahead of the clock.
     StampAhead,
     /// Its host's name is empty or too long.
     BadName,
-    /// Too many hosts have orders already.
+    /// `MAX_OVERRIDES` hosts have overrides already.
     TooMany,
 }
 
@@ -111,96 +113,99 @@
     }
 }
 
-/// What the file of a host was found to be.
+/// The state of a host's file when it was last read or written.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum FileState {
-    /// There is none.
+    /// There is no file.
     #[default]
     Absent,
-    /// It says this.
+    /// The file holds this text.
     Text(String),
-    /// It is there, and could not be read.
+    /// The file exists, but it could not be read.
     Unreadable,
 }
 
-/// What a look at a host's file means.
+/// What the text of a host's file means for the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Finding {
-    /// Nothing that was not known.
+    /// The file holds nothing new.
     Nothing,
-    /// An order that counts from now on.
+    /// The file holds an override that is in effect from now on.
     Override(HostOverride),
-    /// It is no order.
+    /// The text is not an override that can be accepted.
     Invalid,
-    /// It says nothing any more, and may be removed.
+    /// The override has expired, and its file may be removed.
     Expired,
 }
 
-/// What is known of one host.
+/// What is known about one host.
 #[derive(Debug, Default)]
 struct Entry {
-    order: Option<HostOverride>,
+    current: Option<HostOverride>,
     file: FileState,
-    /// The number of the change that made it so.
+    /// The number of the change that set `current`.
     change: u64,
 }
 
 impl Entry {
-    /// The stamp in its file.
+    /// The stamp in the host's file.
     fn stored_stamp(&self) -> Option<Micros> {
         let FileState::Text(text) = &self.file else { return None };
-        StoredOverride::parse(text).map(|stored| stored.order.stamp)
+        StoredOverride::parse(text).map(|stored| stored.value.stamp)
     }
 
-    /// Whether its file has to be written for the order to outlast this process.
+    /// Whether the file must be written so that the override outlasts this process.
     fn needs_saving(&self, now: Micros) -> bool {
-        let Some(order) = self.order else { return false };
+        let Some(current) = self.current else { return false };
         match &self.file {
             FileState::Unreadable => false,
-            FileState::Absent => !order.is_spent(now),
+            FileState::Absent => !current.is_expired(now),
             FileState::Text(text) => match StoredOverride::parse(text) {
                 Some(stored) if stored.comparable => {
-                    stored.order.out != order.out || stored.order.stamp < order.stamp
+                    stored.value.left_out != current.left_out || stored.value.stamp < current.stamp
                 }
-                // A version that compares no stamps wrote it: it takes every other text for an order.
-                Some(stored) => stored.order.out != order.out,
+                // Written by a version that does not compare stamps. That version takes any other text for a new
+                // override, so the text stays unless it says the opposite.
+                Some(stored) => stored.value.left_out != current.left_out,
                 None => true,
             },
         }
     }
 }
 
-/// The orders that a process knows, and what the files say of them.
+/// The overrides that a process knows, and what their files hold.
 #[derive(Debug, Default)]
 pub struct OverrideTable {
     entries: BTreeMap<String, Entry>,
-    /// Hosts by the number of the change that made their order what it is.
+    /// Hosts by the number of the change that set their current override.
     changes: BTreeMap<u64, String>,
     last_change: u64,
-    /// Whether the whole folder was read once: what is found there from then on is news.
+    /// Whether the whole folder was read once. A file that appears after that is new.
     has_read_folder: bool,
 }
 
 impl OverrideTable {
-    /// The order that operators give now, to be written to its file and then recorded.
-    pub fn create(&self, host: &str, out: bool, now: Micros) -> HostOverride {
+    /// Creates the override that an operator gives now. The caller writes it to its file, then calls `record`.
+    pub fn create(&self, host: &str, left_out: bool, now: Micros) -> HostOverride {
         let entry = self.entries.get(host);
-        let known =
-            entry.and_then(|e| e.order).map(|order| order.stamp).max(entry.and_then(Entry::stored_stamp));
-        HostOverride { out, stamp: now.max(known.map_or(0, |stamp| stamp.saturating_add(1))) }
+        let known_stamp = entry
+            .and_then(|e| e.current)
+            .map(|current| current.stamp)
+            .max(entry.and_then(Entry::stored_stamp));
+        HostOverride { left_out, stamp: now.max(known_stamp.map_or(0, |stamp| stamp.saturating_add(1))) }
     }
 
-    /// What counts of a host.
+    /// The override of a host that is in effect.
     pub fn current(&self, host: &str) -> Option<HostOverride> {
-        self.entries.get(host)?.order
+        self.entries.get(host)?.current
     }
 
-    /// Whether an order of this host may be taken.
-    pub fn check(&self, host: &str, order: HostOverride, now: Micros) -> Result<(), Rejection> {
+    /// Checks whether an override of this host may be accepted.
+    pub fn check(&self, host: &str, value: HostOverride, now: Micros) -> Result<(), Rejection> {
         if host.is_empty() || host.len() > MAX_NAME_BYTES {
             return Err(Rejection::BadName);
         }
-        if order.stamp > now.saturating_add(MAX_STAMP_AHEAD_US) {
+        if value.stamp > now.saturating_add(MAX_STAMP_AHEAD_US) {
             return Err(Rejection::StampAhead);
         }
         if self.entries.len() >= MAX_OVERRIDES && !self.entries.contains_key(host) {
@@ -209,33 +214,33 @@
         Ok(())
     }
 
-    /// Takes an order that another process told; whether it counts from now on.
-    pub fn receive(&mut self, told: &OverrideMessage, now: Micros) -> Result<bool, Rejection> {
-        let order = told.order();
-        self.check(&told.host, order, now)?;
-        let counts = self.current(&told.host).is_none_or(|known| order.outranks(known));
-        if counts {
-            self.record(&told.host, order);
+    /// Accepts an override from another process. Returns whether it is in effect from now on.
+    pub fn receive(&mut self, message: &OverrideMessage, now: Micros) -> Result<bool, Rejection> {
+        let value = message.value();
+        self.check(&message.host, value, now)?;
+        let is_newer = self.current(&message.host).is_none_or(|known| value.outranks(known));
+        if is_newer {
+            self.record(&message.host, value);
         }
-        Ok(counts)
+        Ok(is_newer)
     }
 
-    /// From now on this counts.
-    pub fn record(&mut self, host: &str, order: HostOverride) {
+    /// Puts an override into effect, and numbers the change.
+    pub fn record(&mut self, host: &str, value: HostOverride) {
         self.last_change += 1;
         let entry = self.entries.entry(host.to_string()).or_default();
         self.changes.remove(&entry.change);
-        entry.order = Some(order);
+        entry.current = Some(value);
         entry.change = self.last_change;
         self.changes.insert(self.last_change, host.to_string());
     }
 
-    /// The file of a host was written, or could not be read.
+    /// Records the state of a host's file after it was written, or could not be read.
     pub fn set_file(&mut self, host: &str, file: FileState) {
         self.entries.entry(host.to_string()).or_default().file = file;
     }
 
-    /// The whole folder was read, and held files of these hosts only.
+    /// Records that the whole folder was read, and that it holds files of these hosts only.
     pub fn finish_folder_read(&mut self, hosts: &BTreeSet<String>) {
         self.has_read_folder = true;
         for (host, entry) in &mut self.entries {
@@ -245,7 +250,7 @@
         }
     }
 
-    /// The file of a host says this.
+    /// Takes in the text of a host's file.
     pub fn observe_file(&mut self, host: &str, text: &str, now: Micros) -> Finding {
         let entry = self.entries.get(host);
         let file = entry.map_or(FileState::Absent, |e| e.file.clone());
@@ -257,42 +262,47 @@
             self.set_file(host, FileState::Text(text.to_string()));
             return Finding::Invalid;
         };
-        let is_news = match file {
+        let is_new = match file {
             FileState::Text(_) => true,
             FileState::Absent => self.has_read_folder,
-            // It was there before: when it was written is not known.
+            // The file existed before, so it is not known when this text was written.
             FileState::Unreadable => false,
         };
-        let is_ahead = stored.order.stamp > now.saturating_add(MAX_STAMP_AHEAD_US);
-        let order = match stored {
-            StoredOverride { order, comparable: true } if !is_ahead => order,
-            StoredOverride { order, .. } => self.compared(host, order, is_news, now),
+        let is_ahead = stored.value.stamp > now.saturating_add(MAX_STAMP_AHEAD_US);
+        let value = match stored {
+            StoredOverride { value, comparable: true } if !is_ahead => value,
+            StoredOverride { value, .. } => self.with_comparable_stamp(host, value, is_new, now),
         };
-        if self.check(host, order, now).is_err() {
+        if self.check(host, value, now).is_err() {
             return Finding::Invalid;
         }
         self.set_file(host, FileState::Text(text.to_string()));
         match known {
-            Some(known) if !order.outranks(known) => Finding::Nothing,
-            None if order.is_spent(now) => {
-                self.record(host, order);
+            Some(known) if !value.outranks(known) => Finding::Nothing,
+            None if value.is_expired(now) => {
+                self.record(host, value);
                 Finding::Expired
             }
             _ => {
-                self.record(host, order);
-                Finding::Override(order)
+                self.record(host, value);
+                Finding::Override(value)
             }
         }
     }
 
-    /// A plain time as a stamp. What comes as news was written in knowledge of what was there before, by a clock of
-    /// which nothing is known; that the same is ordered again is no news.
-    fn compared(&self, host: &str, stored: HostOverride, is_news: bool, now: Micros) -> HostOverride {
-        let (out, stamp) = (stored.out, stored.stamp.min(now));
+    /// Gives an override whose stamp cannot be compared a stamp that can. A new file was written with knowledge of the
+    /// file before it, by a clock of which nothing is known, so its override outranks the known one. A file that repeats
+    /// the known override changes nothing.
+    fn with_comparable_stamp(
+        &self, host: &str, stored: HostOverride, is_new: bool, now: Micros,
+    ) -> HostOverride {
+        let (left_out, stamp) = (stored.left_out, stored.stamp.min(now));
         match self.current(host) {
-            Some(known) if known.out == out => known,
-            Some(known) if is_news => HostOverride { out, stamp: stamp.max(known.stamp.saturating_add(1)) },
-            _ => HostOverride { out, stamp },
+            Some(known) if known.left_out == left_out => known,
+            Some(known) if is_new => {
+                HostOverride { left_out, stamp: stamp.max(known.stamp.saturating_add(1)) }
+            }
+            _ => HostOverride { left_out, stamp },
         }
     }
 
@@ -301,33 +311,33 @@
         self.last_change
     }
 
-    /// Orders that changed behind this change, oldest first, as many as have names of so many bytes together, and one at
-    /// least; with the number of the last of them.
-    pub fn changed_after(&self, change: u64, most_bytes: usize) -> (Vec<OverrideMessage>, u64) {
-        let (mut told, mut last, mut bytes) = (Vec::new(), change, 0);
+    /// The overrides that changed after the change number `change`, oldest first, and the number of the last one
+    /// returned. Returns as many as have `max_name_bytes` of host names together, and at least one if there is any.
+    pub fn changed_after(&self, change: u64, max_name_bytes: usize) -> (Vec<OverrideMessage>, u64) {
+        let (mut messages, mut last, mut name_bytes) = (Vec::new(), change, 0);
         for (number, host) in self.changes.range(change + 1..) {
-            bytes += host.len();
-            if bytes > most_bytes && !told.is_empty() {
+            name_bytes += host.len();
+            if name_bytes > max_name_bytes && !messages.is_empty() {
                 break;
             }
             last = *number;
-            let order = self.current(host);
-            told.extend(order.map(|order| OverrideMessage {
+            let current = self.current(host);
+            messages.extend(current.map(|current| OverrideMessage {
                 host: host.clone(),
-                out: order.out,
-                stamp: order.stamp,
+                left_out: current.left_out,
+                stamp: current.stamp,
             }));
         }
-        (told, last)
+        (messages, last)
     }
 
-    /// Orders that are not in their files.
+    /// The overrides that are not in their files.
     pub fn unsaved(&self, now: Micros) -> Vec<(String, HostOverride)> {
         let unsaved = self.entries.iter().filter(|(_, entry)| entry.needs_saving(now));
-        unsaved.filter_map(|(host, entry)| Some((host.clone(), entry.order?))).collect()
+        unsaved.filter_map(|(host, entry)| Some((host.clone(), entry.current?))).collect()
     }
 
-    /// Whether this host's order is in its file.
+    /// Whether this host's override is in its file, or there is none.
     pub fn is_saved(&self, host: &str, now: Micros) -> bool {
         self.entries.get(host).is_none_or(|entry| !entry.needs_saving(now))
     }
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -177,7 +177,7 @@
     // Something that was left over hinders no start.
     std::fs::write(old.directory.join("hosts/zz"), "down soon").expect("written");
     let new = old.beside();
-    new.logged("zz: unreadable");
+    new.logged("zz: the file is named after no host and is left as it is");
     old.logged("a new process has started");
     assert_eq!(new.call("GET", "/ops/readiness", "").0, 503);
     new.agent.asked();
@@ -187,9 +187,9 @@
     assert_eq!(new.figures()["hosts_down"], 1);
     // The other process hears of it too; which one serves a newcomer is the machine's choice.
     assert_eq!(new.call("POST", "/ops/database-hosts/up", &who).0, 200);
-    old.logged("was used again by hand");
+    old.logged("was used again by a manual override");
     assert_eq!(old.call("POST", "/ops/database-hosts/down", &who).0, 200);
-    new.logged("was left out by hand");
+    new.logged("was left out by a manual override");
     for id in 10..30 {
         let text = read(&format!("{id}"), "browse", 9000);
         assert_eq!(new.client().ask(&text).value.as_deref(), Some("primary"));
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -1,4 +1,5 @@
-//! Which of several orders by hand counts, pure: processes that heard the same orders agree, whatever their clocks say.
+//! Which of several manual overrides is in effect: processes that received the same overrides agree, whatever their clocks
+//! show. Pure.
 
 use oorandom::Rand64;
 use sillfold::overrides::{
@@ -7,91 +8,96 @@
 };
 use std::collections::BTreeSet;
 
-const HOUR: u64 = 3_600_000_000;
-const NOW: u64 = 1_800_000_000_000_000;
+const HOUR_US: u64 = 3_600_000_000;
+const NOW_US: u64 = 1_800_000_000_000_000;
 
-fn told(out: bool, stamp: u64) -> OverrideMessage {
-    OverrideMessage { host: "h".into(), out, stamp }
+fn message(left_out: bool, stamp: u64) -> OverrideMessage {
+    OverrideMessage { host: "h".into(), left_out, stamp }
 }
 
 #[test]
-fn processes_that_heard_the_same_orders_agree_whatever_their_clocks_and_the_order_of_arrival() {
+fn processes_with_the_same_overrides_agree_whatever_their_clocks_and_the_order_of_arrival() {
     for seed in 0..500 {
         let mut random = Rand64::new(seed);
-        let clocks = [NOW - HOUR, NOW, NOW + HOUR];
-        let mut books = [OverrideTable::default(), OverrideTable::default(), OverrideTable::default()];
+        let clocks = [NOW_US - HOUR_US, NOW_US, NOW_US + HOUR_US];
+        let mut tables = [OverrideTable::default(), OverrideTable::default(), OverrideTable::default()];
         let mut given = Vec::new();
         for step in 0..8 {
-            let giver = random.rand_range(0..3) as usize;
-            let order = books[giver].create("h", random.rand_range(0..2) == 0, clocks[giver] + step * 1_000);
-            books[giver].record("h", order);
-            given.push(told(order.out, order.stamp));
-            // Some of it reaches another at once.
+            let process = random.rand_range(0..3) as usize;
+            let value =
+                tables[process].create("h", random.rand_range(0..2) == 0, clocks[process] + step * 1_000);
+            tables[process].record("h", value);
+            given.push(message(value.left_out, value.stamp));
+            // One of the overrides reaches a process at once.
             let other = random.rand_range(0..3) as usize;
-            books[other]
-                .receive(&given[random.rand_range(0..given.len() as u64) as usize], NOW)
-                .expect("taken");
+            tables[other]
+                .receive(&given[random.rand_range(0..given.len() as u64) as usize], NOW_US)
+                .expect("accepted");
         }
-        for book in &mut books {
+        for table in &mut tables {
             let at = random.rand_range(0..given.len() as u64) as usize;
             given.rotate_left(at);
-            for order in &given {
-                book.receive(order, NOW).expect("taken");
+            for message in &given {
+                table.receive(message, NOW_US).expect("accepted");
             }
         }
-        let [a, b, c] = &books;
+        let [a, b, c] = &tables;
         assert!(a.current("h") == b.current("h") && b.current("h") == c.current("h"), "seed {seed}");
     }
 }
 
 #[test]
-fn an_order_given_in_knowledge_of_another_outranks_it_and_of_one_stamp_the_one_that_leaves_out() {
-    let mut book = OverrideTable::default();
-    assert_eq!(book.receive(&told(true, NOW + HOUR), NOW), Ok(true));
-    let back = book.create("h", false, NOW);
-    assert_eq!(back, HostOverride { out: false, stamp: NOW + HOUR + 1 });
-    book.record("h", back);
-    assert_eq!(book.receive(&told(true, NOW + HOUR), NOW), Ok(false));
-    assert_eq!(book.receive(&told(true, NOW + HOUR + 1), NOW), Ok(true));
-    assert_eq!(book.receive(&told(false, NOW + HOUR + 1), NOW), Ok(false));
-    assert_eq!(book.receive(&told(false, NOW + MAX_STAMP_AHEAD_US + 1), NOW), Err(Rejection::StampAhead));
+fn an_override_outranks_a_known_one_and_of_equal_stamps_the_one_that_leaves_out_wins() {
+    let mut table = OverrideTable::default();
+    assert_eq!(table.receive(&message(true, NOW_US + HOUR_US), NOW_US), Ok(true));
+    let back = table.create("h", false, NOW_US);
+    assert_eq!(back, HostOverride { left_out: false, stamp: NOW_US + HOUR_US + 1 });
+    table.record("h", back);
+    assert_eq!(table.receive(&message(true, NOW_US + HOUR_US), NOW_US), Ok(false));
+    assert_eq!(table.receive(&message(true, NOW_US + HOUR_US + 1), NOW_US), Ok(true));
+    assert_eq!(table.receive(&message(false, NOW_US + HOUR_US + 1), NOW_US), Ok(false));
+    assert_eq!(
+        table.receive(&message(false, NOW_US + MAX_STAMP_AHEAD_US + 1), NOW_US),
+        Err(Rejection::StampAhead)
+    );
 }
 
 #[test]
-fn a_file_counts_by_the_same_rule_and_is_written_again_where_it_says_less_than_is_known() {
-    let mut book = OverrideTable::default();
-    let down = HostOverride { out: true, stamp: NOW };
-    assert_eq!(book.observe_file("h", &StoredOverride::format(down), NOW), Finding::Override(down));
-    book.finish_folder_read(&BTreeSet::from(["h".into()]));
-    assert!(book.is_saved("h", NOW));
-    assert_eq!(book.receive(&told(false, NOW + 5), NOW), Ok(true));
-    assert_eq!(book.unsaved(NOW), [("h".into(), HostOverride { out: false, stamp: NOW + 5 })]);
-    // An older order is put over it late: it does not count, and is replaced.
-    assert_eq!(book.observe_file("h", "down +7", NOW), Finding::Nothing);
-    assert!(!book.is_saved("h", NOW));
-    // A version that compares no stamps wrote it in knowledge of what was there, by whatever clock.
+fn a_file_outranks_by_the_same_rule_and_is_rewritten_if_it_is_outdated() {
+    let mut table = OverrideTable::default();
+    let down = HostOverride { left_out: true, stamp: NOW_US };
+    assert_eq!(table.observe_file("h", &StoredOverride::format(down), NOW_US), Finding::Override(down));
+    table.finish_folder_read(&BTreeSet::from(["h".into()]));
+    assert!(table.is_saved("h", NOW_US));
+    assert_eq!(table.receive(&message(false, NOW_US + 5), NOW_US), Ok(true));
+    assert_eq!(table.unsaved(NOW_US), [("h".into(), HostOverride { left_out: false, stamp: NOW_US + 5 })]);
+    // An older override replaces the file late. It has no effect, and the file is written again.
+    assert_eq!(table.observe_file("h", "down +7", NOW_US), Finding::Nothing);
+    assert!(!table.is_saved("h", NOW_US));
+    // A version that does not compare stamps wrote the file with knowledge of the one before, by any clock.
     assert_eq!(
-        book.observe_file("h", "down 8", NOW),
-        Finding::Override(HostOverride { out: true, stamp: NOW + 6 })
+        table.observe_file("h", "down 8", NOW_US),
+        Finding::Override(HostOverride { left_out: true, stamp: NOW_US + 6 })
     );
-    assert!(book.is_saved("h", NOW));
-    // Half a text is no order, and what is known gets into the file again.
-    assert_eq!(book.observe_file("h", "dow", NOW), Finding::Invalid);
-    assert_eq!(book.unsaved(NOW).len(), 1);
-    // The file is gone: an order that a host is used is not missed once the host is warm.
-    book.record("h", HostOverride { out: false, stamp: NOW + 9 });
-    book.finish_folder_read(&BTreeSet::new());
-    assert_eq!((book.unsaved(NOW).len(), book.unsaved(NOW + 9 + WARM_AFTER_US).len()), (1, 0));
+    assert!(table.is_saved("h", NOW_US));
+    // An incomplete text is invalid, and the override in effect is written to the file again.
+    assert_eq!(table.observe_file("h", "dow", NOW_US), Finding::Invalid);
+    assert_eq!(table.unsaved(NOW_US).len(), 1);
+    // The file is removed. An override that uses a host again need not be saved once the host is warm.
+    table.record("h", HostOverride { left_out: false, stamp: NOW_US + 9 });
+    table.finish_folder_read(&BTreeSet::new());
+    assert_eq!((table.unsaved(NOW_US).len(), table.unsaved(NOW_US + 9 + WARM_AFTER_US).len()), (1, 0));
 }
 
-/// An earlier version left a file that could not be read when this process started. Meanwhile the process beside told that the
-/// host is used again: the old text is no news once it can be read, or the host would be left out again by nobody's order.
+/// A file of an earlier version could not be read when this process started, and another process has sent meanwhile that the
+/// host is used again. Guards against the old text counting as new once it can be read, which would leave the host out although
+/// no operator has asked for it.
 #[test]
 fn a_file_of_an_earlier_version_that_can_be_read_late_is_no_news() {
-    let mut book = OverrideTable::default();
-    book.set_file("h", FileState::Unreadable);
-    book.finish_folder_read(&BTreeSet::from(["h".into()]));
-    assert_eq!(book.receive(&told(false, NOW), NOW), Ok(true));
-    assert_eq!(book.observe_file("h", &format!("down {}", NOW - HOUR), NOW), Finding::Nothing);
-    assert_eq!(book.current("h"), Some(HostOverride { out: false, stamp: NOW }));
+    let mut table = OverrideTable::default();
+    table.set_file("h", FileState::Unreadable);
+    table.finish_folder_read(&BTreeSet::from(["h".into()]));
+    assert_eq!(table.receive(&message(false, NOW_US), NOW_US), Ok(true));
+    assert_eq!(table.observe_file("h", &format!("down {}", NOW_US - HOUR_US), NOW_US), Finding::Nothing);
+    assert_eq!(table.current("h"), Some(HostOverride { left_out: false, stamp: NOW_US }));
 }
