--- a/src/mutants.rs
+++ b/src/mutants.rs
@@ -1,25 +1,25 @@
-//! Faults of the program's own, on order: one wrong line at a time, to show that a check would see it. It owns the
-//! name of the present one. Without the feature `mutants`, which only tests turn on, there is none, and the
-//! compiler leaves nothing of the places that ask.
+//! Deliberate faults of the program, one at a time. Tests turn one on to show that a check detects it. This module owns the
+//! name of the active one. Without the feature `mutants`, which only tests enable, no fault is ever active, and the
+//! compiler removes the code that asks.
 
 #[cfg(feature = "mutants")]
 thread_local! {
-    static PRESENT: std::cell::Cell<&'static str> = const { std::cell::Cell::new("") };
+    static ACTIVE: std::cell::Cell<&'static str> = const { std::cell::Cell::new("") };
 }
 
-/// From now on this thread's program is wrong in this way; in none where it is empty.
+/// Activates the fault of this name for the program on this thread. An empty name deactivates all faults.
 #[cfg(feature = "mutants")]
 pub fn set(name: &'static str) {
-    PRESENT.set(name);
+    ACTIVE.set(name);
 }
 
-/// Whether the program is to be wrong in this way.
+/// Whether the fault of this name is active.
 #[cfg(feature = "mutants")]
 pub fn on(name: &str) -> bool {
-    PRESENT.get() == name
+    ACTIVE.get() == name
 }
 
-/// It never is.
+/// No fault is ever active.
 #[cfg(not(feature = "mutants"))]
 #[inline(always)]
 pub const fn on(_name: &str) -> bool {
--- a/src/net/console.rs
+++ b/src/net/console.rs
@@ -1,6 +1,7 @@
-//! The operators' door: HTTP/1.1, one call to a connection. It owns its connections, a fixed number
-//! of descriptors that neither clients nor hosts can take. Heads, bodies and times are bounded. It
-//! must never count, judge a host or keep state: it asks the core and the clients' owner.
+//! The operators' console: HTTP/1.1, with one call on each connection. It owns its connections, whose number is fixed, so
+//! that clients and hosts cannot use their descriptors. The length of heads and bodies and the time of a call are limited.
+//! It calls the core, the clients' owner, the process exchange and the peers. It must never count requests, judge a host or
+//! keep state of its own.
 
 use super::client::Clients;
 use super::core::Core;
@@ -18,46 +19,49 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A whole call has to come within this.
-const CALL: Duration = Duration::from_millis(2_500);
-/// An answer has to be taken within this.
-const TAKEN: Duration = Duration::from_secs(1);
-/// The longest head and body of a call, and the most headers.
+/// How long a caller may take to send a complete call.
+const CALL_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// How long a caller may take to read the answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
+/// The maximum length of a call's head.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
+/// The maximum length of a call's body.
 const MAX_BODY_BYTES: usize = 4 * 1024;
-const MOST_HEADERS: usize = 64;
+/// The maximum number of a call's headers.
+const MAX_HEADERS: usize = 64;
 /// The wait after a failed accept.
-const ACCEPT_WAIT: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// The door, and who stands there without a whole call, the longest first, with how each is told to go.
+/// The console and its open connections.
 pub struct Console {
     core: Rc<Core>,
     clients: Rc<Clients>,
     upgrade: Rc<Upgrade>,
     peers: Option<Rc<Peers>>,
-    callers: RefCell<BTreeMap<u64, Sender<()>>>,
+    /// The sender of each connection's request to close, by the connection's number: the oldest connection is first.
+    connections: RefCell<BTreeMap<u64, Sender<()>>>,
 }
 
-/// A caller's place; dropping it gives it back.
-struct Place<'a>(&'a Console, u64);
+/// An open connection, by its number. Its drop removes the connection from the console.
+struct ConnectionGuard<'a>(&'a Console, u64);
 
-impl Drop for Place<'_> {
+impl Drop for ConnectionGuard<'_> {
     fn drop(&mut self) {
-        self.0.callers.borrow_mut().remove(&self.1);
+        self.0.connections.borrow_mut().remove(&self.1);
     }
 }
 
-/// A whole call.
+/// A complete call.
 struct Call {
     method: String,
     path: String,
     body: Vec<u8>,
 }
 
-/// What is answered: the status, and a JSON object.
+/// An answer: the HTTP status and a JSON object.
 struct Answer(u16, serde_json::Value);
 
-fn no(status: u16, why: impl Into<String>) -> Answer {
+fn error_answer(status: u16, why: impl Into<String>) -> Answer {
     Answer(status, json!({ "error": why.into() }))
 }
 
@@ -65,44 +69,45 @@
     pub fn new(
         core: Rc<Core>, clients: Rc<Clients>, upgrade: Rc<Upgrade>, peers: Option<Rc<Peers>>,
     ) -> Console {
-        Console { core, clients, upgrade, peers, callers: RefCell::default() }
+        Console { core, clients, upgrade, peers, connections: RefCell::default() }
     }
 
-    /// Takes calls for as long as the program runs.
+    /// Accepts calls for as long as the program runs.
     pub async fn run(self: Rc<Console>, listener: Listener, executor: Spawner) {
         for number in 0.. {
             let stream = match listener.accept().await {
                 Ok(stream) => stream,
                 Err(e) => {
-                    warn_rate_limited(|| format!("console: accepting: {e}"));
-                    world::after(ACCEPT_WAIT).await;
+                    warn_rate_limited(|| format!("console: accepting: {e}; trying again"));
+                    world::after(ACCEPT_RETRY_DELAY).await;
                     continue;
                 }
             };
-            // Guards against slow callers that shut out one with a whole call: the first come goes.
-            let full = self.callers.borrow().len() >= CONSOLE_CONNECTIONS;
-            let oldest = if full { self.callers.borrow_mut().pop_first() } else { None };
-            oldest.map(|(_, go)| go.try_send(()));
-            let (go, asked_to_go) = async_channel::bounded(1);
-            self.callers.borrow_mut().insert(number, go);
+            // Guards against slow callers that keep others out: if all connections are in use, the oldest is closed.
+            let is_full = self.connections.borrow().len() >= CONSOLE_CONNECTIONS;
+            let oldest = if is_full { self.connections.borrow_mut().pop_first() } else { None };
+            oldest.map(|(_, close)| close.try_send(()));
+            let (close, close_requested) = async_channel::bounded(1);
+            self.connections.borrow_mut().insert(number, close);
             let console = self.clone();
-            executor.spawn(async move { console.call(stream, number, asked_to_go).await });
-            // Whoever was told to go has gone before the next one comes.
+            executor.spawn(async move { console.serve(stream, number, close_requested).await });
+            // The connection that was told to close does so before the next one is accepted.
             future::yield_now().await;
         }
     }
 
-    async fn call(&self, stream: Stream, number: u64, go: Receiver<()>) {
-        let _place = Place(self, number);
-        let asked_to_go = async {
-            let _ = go.recv().await;
+    /// Serves one connection: reads a call, answers it, and closes the connection.
+    async fn serve(&self, stream: Stream, number: u64, close: Receiver<()>) {
+        let _guard = ConnectionGuard(self, number);
+        let close_requested = async {
+            let _ = close.recv().await;
             None
         };
-        let whole = async {
-            let call = timeout_at(world::now() + CALL, read_call(&stream)).await;
-            Some(call.unwrap_or_else(|| Err(no(408, "no whole call came in time"))))
+        let read = async {
+            let call = timeout_at(world::now() + CALL_TIMEOUT, read_call(&stream)).await;
+            Some(call.unwrap_or_else(|| Err(error_answer(408, "no whole call came in time"))))
         };
-        let answer = match future::or(whole, asked_to_go).await {
+        let answer = match future::or(read, close_requested).await {
             Some(Ok(call)) => self.answer(&call),
             Some(Err(answer)) => answer,
             None => return,
@@ -114,35 +119,37 @@
             reason(answer.0),
             body.len() + 1
         );
-        let last = async {
+        let write = async {
             if stream.write_all(text.as_bytes()).await.is_ok() && stream.shutdown().is_ok() {
-                // Closing over unread input would take the answer with it.
+                // Reads the rest of the input, since a close with unread input would discard the answer.
                 while let Ok(1..) = stream.read_with(|_| ()).await {}
             }
         };
-        timeout_at(world::now() + TAKEN, future::or(last, async { _ = go.recv().await })).await;
+        timeout_at(world::now() + ANSWER_TIMEOUT, future::or(write, async { _ = close.recv().await })).await;
     }
 
-    fn by_hand(&self, body: &[u8], out: bool) -> Answer {
-        let who = match serde_json::from_slice::<Who>(body) {
-            Ok(Who { who }) => who,
-            Err(e) => return no(400, format!("the body is no {{\"who\":\"ID\"}}: {e}")),
+    /// Leaves the host that the body names out, or uses it again.
+    fn override_host(&self, body: &[u8], left_out: bool) -> Answer {
+        let host = match serde_json::from_slice::<HostCall>(body) {
+            Ok(HostCall { who }) => who,
+            Err(e) => return error_answer(400, format!("the body is no {{\"who\":\"ID\"}}: {e}")),
         };
-        if !self.core.knows(&who) {
-            return no(404, format!("no database host is called {who:?}"));
+        if !self.core.knows(&host) {
+            return error_answer(404, format!("no database host is called {host:?}"));
         }
-        match self.upgrade.set_override(&who, out) {
-            Ok(taken) => {
+        match self.upgrade.set_override(&host, left_out) {
+            Ok(applied) => {
                 let body = json!({
-                    "who": who, "down": out, "processes": 1 + self.upgrade.connections(),
-                    "outlasts_processes": taken.outlasts_process,
+                    "who": host, "down": left_out, "processes": 1 + self.upgrade.connections(),
+                    "outlasts_processes": applied.outlasts_process,
                 });
                 Answer(200, body)
             }
-            Err(why) => no(500, format!("{why}; the order holds nowhere, nothing has changed")),
+            Err(why) => error_answer(500, format!("{why}; the order holds nowhere, nothing has changed")),
         }
     }
 
+    /// Performs a call and returns its answer.
     fn answer(&self, call: &Call) -> Answer {
         let routes = [
             ("GET", "/ops/readiness"),
@@ -154,10 +161,10 @@
         ];
         let path = call.path.split('?').next().unwrap_or("");
         let Some((method, _)) = routes.iter().find(|r| r.1 == path) else {
-            return no(404, format!("nothing is at {path}"));
+            return error_answer(404, format!("nothing is at {path}"));
         };
         if call.method != *method {
-            return no(405, format!("{path} takes {method}, not {}", call.method));
+            return error_answer(405, format!("{path} takes {method}, not {}", call.method));
         }
         match path {
             "/ops/readiness" => match self.clients.admission.unready() {
@@ -178,10 +185,10 @@
                     }
                     Answer(200, figures)
                 }
-                Err(e) => no(500, e.to_string()),
+                Err(e) => error_answer(500, e.to_string()),
             },
-            "/ops/database-hosts/down" => self.by_hand(&call.body, true),
-            "/ops/database-hosts/up" => self.by_hand(&call.body, false),
+            "/ops/database-hosts/down" => self.override_host(&call.body, true),
+            "/ops/database-hosts/up" => self.override_host(&call.body, false),
             "/ops/drain/start" => {
                 self.clients.admission.drain();
                 Answer(200, json!({"draining": true}))
@@ -194,13 +201,13 @@
     }
 }
 
-/// The body of a call about one database host.
+/// The body of a call about one database host, which it names.
 #[derive(Deserialize)]
-struct Who {
+struct HostCall {
     who: String,
 }
 
-/// Reads one call; the error is what the caller is told instead.
+/// Reads one call. The error is the answer to the caller.
 async fn read_call(stream: &Stream) -> Result<Call, Answer> {
     let mut bytes = Vec::new();
     loop {
@@ -209,38 +216,39 @@
         }
         match stream.read_with(|part| bytes.extend_from_slice(part)).await {
             Ok(1..) => {}
-            _ => return Err(no(400, "the call ends early")),
+            _ => return Err(error_answer(400, "the call ends early")),
         }
     }
 }
 
-/// Reads the call once it is whole.
+/// Parses a call. Returns `None` while it is incomplete.
 fn parse(bytes: &[u8]) -> Result<Option<Call>, Answer> {
-    let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
-    let len = match head.parse(bytes).map_err(|e| no(400, format!("the head: {e}")))? {
-        httparse::Status::Complete(len) if len <= MAX_HEAD_BYTES => len,
+    let head_bytes = match head.parse(bytes).map_err(|e| error_answer(400, format!("the head: {e}")))? {
+        httparse::Status::Complete(head_bytes) if head_bytes <= MAX_HEAD_BYTES => head_bytes,
         httparse::Status::Partial if bytes.len() <= MAX_HEAD_BYTES => return Ok(None),
-        _ => return Err(no(431, format!("a head of over {MAX_HEAD_BYTES} bytes"))),
+        _ => return Err(error_answer(431, format!("a head of over {MAX_HEAD_BYTES} bytes"))),
     };
-    let mut length = 0;
+    let mut body_bytes = 0;
     for h in head.headers.iter() {
         if h.name.eq_ignore_ascii_case("transfer-encoding") {
-            return Err(no(411, "a body needs a content-length"));
+            return Err(error_answer(411, "a body needs a content-length"));
         }
         if h.name.eq_ignore_ascii_case("content-length") {
             let value = std::str::from_utf8(h.value).ok().and_then(|v| v.trim().parse().ok());
-            length = value.ok_or_else(|| no(400, "the content-length is no number"))?;
+            body_bytes = value.ok_or_else(|| error_answer(400, "the content-length is no number"))?;
         }
     }
-    if length > MAX_BODY_BYTES {
-        return Err(no(413, format!("a body of over {MAX_BODY_BYTES} bytes")));
+    if body_bytes > MAX_BODY_BYTES {
+        return Err(error_answer(413, format!("a body of over {MAX_BODY_BYTES} bytes")));
     }
-    let Some(body) = bytes.get(len..len + length) else { return Ok(None) };
+    let Some(body) = bytes.get(head_bytes..head_bytes + body_bytes) else { return Ok(None) };
     let text = |t: Option<&str>| t.unwrap_or("").to_string();
     Ok(Some(Call { method: text(head.method), path: text(head.path), body: body.to_vec() }))
 }
 
+/// The reason phrase of a status.
 fn reason(status: u16) -> &'static str {
     match status {
         200 => "OK",
--- a/src/net/faults.rs
+++ b/src/net/faults.rs
@@ -1,11 +1,12 @@
-//! System calls that fail on order, as the machine documents that they may: at the one place where the network code makes
-//! them (`world`), by a schedule drawn from a seed. It owns that schedule. Without the feature `faults`, which only tests
-//! turn on, there is none, and the compiler leaves nothing of the places that ask.
+//! System calls that fail on a schedule, in the ways that their documentation allows. `world`, the only place where the
+//! network code makes system calls, asks this module before each of them. A seed determines the schedule, which this
+//! module owns. Without the feature `faults`, which only tests enable, there is no schedule, and the compiler removes the
+//! code that asks.
 
 #[cfg(not(feature = "faults"))]
 use std::{io, time::Duration};
 
-/// Kinds of calls that may fail.
+/// The kinds of system calls that may fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Call {
     Read,
@@ -20,33 +21,33 @@
     File,
 }
 
-/// What becomes of a call, before it is made.
+/// Fails if the schedule has this call fail, before it is made.
 #[cfg(not(feature = "faults"))]
 #[inline(always)]
 pub fn before(_call: Call) -> io::Result<()> {
     Ok(())
 }
 
-/// How much of so many bytes a read or a write takes.
+/// The number of bytes that a read or write of `bytes` bytes may transfer.
 #[cfg(not(feature = "faults"))]
 #[inline(always)]
-pub const fn part(bytes: usize) -> usize {
+pub const fn limit_length(bytes: usize) -> usize {
     bytes
 }
 
-/// The wall clock as this process sees it.
+/// The wall clock of this process, with the step that the schedule gives it.
 #[cfg(not(feature = "faults"))]
 #[inline(always)]
-pub const fn stepped(unix: Duration) -> Duration {
+pub const fn with_clock_step(unix: Duration) -> Duration {
     unix
 }
 
 #[cfg(feature = "faults")]
-pub use schedule::{before, injected_counts, part, start, stepped};
+pub use schedule::{before, injected_counts, limit_length, start, with_clock_step};
 
 #[cfg(feature = "faults")]
 mod schedule {
-    #![allow(clippy::disallowed_methods, reason = "a hold-up is the machine's, and so is its time")]
+    #![allow(clippy::disallowed_methods, reason = "faults happen in the machine's own time")]
 
     use super::Call;
     use oorandom::Rand64;
@@ -56,26 +57,30 @@
     use std::io;
     use std::time::{Duration, Instant};
 
-    /// One call in so many is interrupted, one accept in so many is of a connection that was given up, one read or write in
-    /// so many is short, one write in so many is held up.
+    /// One call in this many fails with EINTR.
     const INTERRUPTED_ONE_IN: u64 = 40;
+    /// One accept in this many fails with ECONNABORTED, as for a connection that its client has given up.
     const ABORTED_ONE_IN: u64 = 30;
+    /// One read or write in this many transfers only a part.
     const SHORT_ONE_IN: u64 = 20;
-    const HELD_UP_ONE_IN: u64 = 400;
-    /// A short read or write takes so many bytes at most.
-    const SHORTEST: u64 = 64;
-    /// The longest hold-up between the clock and a write, less what the machine sleeps longer than it is told.
-    const HELD_UP: Duration = Duration::from_millis(140);
-    /// Shortages come in bursts, so many of them, each at a time within this span of the process's start.
+    /// One write in this many is delayed.
+    const DELAYED_ONE_IN: u64 = 400;
+    /// The maximum length of such a partial read or write.
+    const MAX_SHORT_BYTES: u64 = 64;
+    /// The maximum delay of a write after the clock was read, less a margin for sleeps that the machine overshoots.
+    const MAX_DELAY: Duration = Duration::from_millis(140);
+    /// The number of bursts in which calls of one kind fail for lack of a resource.
     const BURSTS: u64 = 6;
-    const SPAN_MS: u64 = 30_000;
+    /// Bursts begin within this time from the process's start.
+    const BURST_START_MAX_MS: u64 = 30_000;
+    /// The longest burst, less 20 ms.
     const BURST_MS: u64 = 400;
-    /// In a burst this share of calls fails, in percent.
+    /// The share of calls that fail in a burst.
     const BURST_PERCENT: u64 = 80;
-    /// Steps of the wall clock, in milliseconds; most processes have none.
-    const STEPS_MS: [i64; 6] = [0, 0, 0, -3_600_000, -5_000, 5_000];
+    /// Steps of the wall clock, of which each process has one at random. Half of the processes have none.
+    const CLOCK_STEPS_MS: [i64; 6] = [0, 0, 0, -3_600_000, -5_000, 5_000];
 
-    /// Calls of one kind that fail in this way for a while.
+    /// A period in which calls of one kind fail with one error.
     struct Burst {
         call: Call,
         from: Instant,
@@ -84,20 +89,20 @@
     }
 
     struct Schedule {
-        lots: Rand64,
+        rng: Rand64,
         bursts: Vec<Burst>,
-        step_ms: i64,
-        /// How often each fault was met.
-        met: BTreeMap<String, u64>,
+        clock_step_ms: i64,
+        /// How often each fault was injected.
+        injected: BTreeMap<String, u64>,
     }
 
     thread_local! {
         static SCHEDULE: RefCell<Option<Schedule>> = const { RefCell::new(None) };
     }
 
-    /// From now on calls of this thread fail as this seed has it.
+    /// Starts the schedule of this seed for the calls of this thread.
     pub fn start(seed: u64) {
-        let mut lots = Rand64::new(u128::from(seed) ^ 0x6661_756c);
+        let mut rng = Rand64::new(u128::from(seed) ^ 0x6661_756c);
         let now = Instant::now();
         let kinds = [
             (Call::Accept, Errno::NFILE),
@@ -111,29 +116,29 @@
             (Call::File, Errno::IO),
         ];
         let bursts = (0..BURSTS).map(|_| {
-            let (call, errno) = kinds[lots.rand_range(0..kinds.len() as u64) as usize];
-            let from = now + Duration::from_millis(lots.rand_range(0..SPAN_MS));
-            let until = from + Duration::from_millis(20 + lots.rand_range(0..BURST_MS));
+            let (call, errno) = kinds[rng.rand_range(0..kinds.len() as u64) as usize];
+            let from = now + Duration::from_millis(rng.rand_range(0..BURST_START_MAX_MS));
+            let until = from + Duration::from_millis(20 + rng.rand_range(0..BURST_MS));
             Burst { call, from, until, errno }
         });
         let bursts = bursts.collect();
-        let step_ms = STEPS_MS[lots.rand_range(0..STEPS_MS.len() as u64) as usize];
-        let schedule = Schedule { lots, bursts, step_ms, met: BTreeMap::new() };
+        let clock_step_ms = CLOCK_STEPS_MS[rng.rand_range(0..CLOCK_STEPS_MS.len() as u64) as usize];
+        let schedule = Schedule { rng, bursts, clock_step_ms, injected: BTreeMap::new() };
         SCHEDULE.set(Some(schedule));
     }
 
-    /// How often each fault was met so far.
+    /// How often each fault was injected so far.
     pub fn injected_counts() -> BTreeMap<String, u64> {
-        SCHEDULE.with_borrow(|s| s.as_ref().map(|s| s.met.clone()).unwrap_or_default())
+        SCHEDULE.with_borrow(|s| s.as_ref().map(|s| s.injected.clone()).unwrap_or_default())
     }
 
     impl Schedule {
         fn one_in(&mut self, n: u64) -> bool {
-            self.lots.rand_range(0..n) == 0
+            self.rng.rand_range(0..n) == 0
         }
 
-        fn count(&mut self, what: String) {
-            *self.met.entry(what).or_default() += 1;
+        fn count(&mut self, fault: String) {
+            *self.injected.entry(fault).or_default() += 1;
         }
 
         /// The error with which this call fails, if it does.
@@ -141,7 +146,7 @@
             let now = Instant::now();
             let in_burst = |b: &&Burst| b.call == call && (b.from..b.until).contains(&now);
             let burst = self.bursts.iter().find(in_burst).map(|b| b.errno);
-            if let Some(errno) = burst.filter(|_| self.lots.rand_range(0..100) < BURST_PERCENT) {
+            if let Some(errno) = burst.filter(|_| self.rng.rand_range(0..100) < BURST_PERCENT) {
                 return Some(errno);
             }
             match call {
@@ -167,39 +172,39 @@
         }
     }
 
-    /// What becomes of a call, before it is made.
+    /// Fails if the schedule has this call fail, before it is made. Delays some writes.
     pub fn before(call: Call) -> io::Result<()> {
-        let (fault, held_up) = SCHEDULE.with_borrow_mut(|schedule| {
+        let (fault, delay) = SCHEDULE.with_borrow_mut(|schedule| {
             let Some(s) = schedule else { return (None, None) };
             let fault = s.fault(call);
             if let Some(errno) = fault {
                 s.count(format!("{call:?} {}", name(errno)));
             }
-            let held_up = call == Call::Write && fault.is_none() && s.one_in(HELD_UP_ONE_IN);
-            let span = held_up.then(|| HELD_UP.mul_f64(s.lots.rand_float()));
-            span.iter().for_each(|_| s.count("held up".into()));
-            (fault, span)
+            let is_delayed = call == Call::Write && fault.is_none() && s.one_in(DELAYED_ONE_IN);
+            let delay = is_delayed.then(|| MAX_DELAY.mul_f64(s.rng.rand_float()));
+            delay.iter().for_each(|_| s.count("held up".into()));
+            (fault, delay)
         });
-        held_up.into_iter().for_each(std::thread::sleep);
+        delay.into_iter().for_each(std::thread::sleep);
         fault.map_or(Ok(()), |errno| Err(errno.into()))
     }
 
-    /// How much of so many bytes a read or a write takes.
-    pub fn part(bytes: usize) -> usize {
+    /// The number of bytes that a read or write of `bytes` bytes may transfer.
+    pub fn limit_length(bytes: usize) -> usize {
         SCHEDULE.with_borrow_mut(|schedule| {
             let Some(s) = schedule.as_mut().filter(|_| bytes > 1) else { return bytes };
             if !s.one_in(SHORT_ONE_IN) {
                 return bytes;
             }
             s.count("short".into());
-            1 + s.lots.rand_range(0..SHORTEST.min(bytes as u64 - 1)) as usize
+            1 + s.rng.rand_range(0..MAX_SHORT_BYTES.min(bytes as u64 - 1)) as usize
         })
     }
 
-    /// The wall clock as this process sees it.
-    pub fn stepped(unix: Duration) -> Duration {
-        let step_ms = SCHEDULE.with_borrow(|s| s.as_ref().map_or(0, |s| s.step_ms));
-        let by = Duration::from_millis(step_ms.unsigned_abs());
-        if step_ms < 0 { unix.saturating_sub(by) } else { unix + by }
+    /// The wall clock of this process, with the step that the schedule gives it.
+    pub fn with_clock_step(unix: Duration) -> Duration {
+        let step_ms = SCHEDULE.with_borrow(|s| s.as_ref().map_or(0, |s| s.clock_step_ms));
+        let step = Duration::from_millis(step_ms.unsigned_abs());
+        if step_ms < 0 { unix.saturating_sub(step) } else { unix + step }
     }
 }
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -1,9 +1,9 @@
-//! The door between proxies: datagrams out and in, at the address that the configuration names. It owns that socket and
-//! nothing else of the talk: what is said is the module's, its form and whom to believe `sillfold_talk`'s. It must never
-//! make anything wait: what the machine does not take at once is dropped, what comes too fast is left unread.
+//! Datagrams between proxies, at the address that the configuration names. This module owns that socket. The decision
+//! module decides what is sent, and `sillfold_talk` decides the form of datagrams and which ones to accept. This module
+//! must never wait for the socket: what cannot be sent at once is dropped, and what arrives too fast is left unread.
 //!
-//! Of two versions beside each other, the one that was there first has the address until it is told to stop; then it is
-//! silent and deaf, and the other takes the address within `RETRY`.
+//! Of two versions that run side by side, the one that started first has the address until it is told to stop. Then it
+//! neither sends nor receives, and the other one binds the address within `BIND_RETRY_INTERVAL`.
 
 use super::core::Core;
 use super::endpoints::PeerEndpoints;
@@ -21,145 +21,153 @@
 use std::time::Duration;
 use tracing::{info, warn};
 
-/// The wait before an address that another process has is tried again.
-const RETRY: Duration = Duration::from_millis(250);
-/// Messages that may wait to be sent: the newest counts, so few.
-const WAITING: usize = 4;
-/// Datagrams of each proxy that may wait to be read. Guards against words that are lost because all speak at once.
-const WAITING_OF_EACH: usize = 2;
+/// The wait before an address that another process has is tried again, and after a failed receive.
+const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(250);
+/// The maximum number of messages that wait to be sent. It is small, since newer messages matter more than older ones.
+const MAX_QUEUED_MESSAGES: usize = 4;
+/// The number of datagrams of each proxy that may wait to be read. Guards against losses when all proxies send at once.
+const QUEUED_DATAGRAMS_PER_PROXY: usize = 2;
 
-/// This proxy's end of the talk.
+/// This proxy's exchange with the other proxies.
 pub struct Peers {
     core: Rc<Core>,
-    talk: PeerEndpoints,
+    endpoints: PeerEndpoints,
     /// The number of the proxy at each address.
-    numbers: BTreeMap<SocketAddr, u16>,
+    ordinals: BTreeMap<SocketAddr, u16>,
     door: RefCell<Door>,
-    said: Receiver<Vec<Item>>,
+    /// Messages from the core to the other proxies.
+    outgoing: Receiver<Vec<Item>>,
     /// Closed once the proxy is told to stop.
     stopping: (Sender<()>, Receiver<()>),
 }
 
 impl Peers {
-    /// A door that is still shut; from now on the core's news come here.
-    pub fn new(core: Rc<Core>, talk: PeerEndpoints) -> Peers {
+    /// Registers at the core for its messages to other proxies. Nothing is sent or received before `run`.
+    pub fn new(core: Rc<Core>, endpoints: PeerEndpoints) -> Peers {
         let started_ms = core.clock.now() / 1_000;
-        let door = RefCell::new(Door::new(talk.ordinal, talk.each.len(), started_ms));
-        let (say, said) = async_channel::bounded(WAITING);
-        core.talks_to(say);
-        // Of two proxies at one address the first counts.
-        let numbers = talk.each.iter().copied().zip(0..=u16::MAX).rev().collect();
-        Peers { core, talk, numbers, door, said, stopping: async_channel::bounded(1) }
+        let door = RefCell::new(Door::new(endpoints.ordinal, endpoints.each.len(), started_ms));
+        let (sender, outgoing) = async_channel::bounded(MAX_QUEUED_MESSAGES);
+        core.talks_to(sender);
+        // If two proxies have one address, the address belongs to the first.
+        let ordinals = endpoints.each.iter().copied().zip(0..=u16::MAX).rev().collect();
+        Peers { core, endpoints, ordinals, door, outgoing, stopping: async_channel::bounded(1) }
     }
 
-    /// What is counted since the start.
+    /// The counters since the start.
     pub fn figures(&self) -> Figures {
         self.door.borrow().figures
     }
 
-    /// The address is given back at once, and nothing is said or heard any more.
+    /// Stops the exchange and releases the address at once.
     pub fn stop(&self) {
         self.stopping.0.close();
     }
 
-    /// Talks until the proxy is told to stop.
+    /// Exchanges datagrams until the proxy is told to stop.
     pub async fn run(self: Rc<Peers>) {
         let stopped = async { _ = self.stopping.1.recv().await };
-        future::or(self.talk(), stopped).await;
-        self.said.close();
+        future::or(self.exchange(), stopped).await;
+        self.outgoing.close();
     }
 
-    async fn talk(&self) {
-        let mut told = false;
+    async fn exchange(&self) {
+        let mut is_failure_logged = false;
         loop {
-            match DatagramSocket::bind(self.talk.listen, self.talk.each.len() * WAITING_OF_EACH) {
-                Ok(post) => {
-                    info!(target: "peers", "talks with {} others at {}", self.talk.each.len() - 1, self.talk.listen);
-                    self.check_room(&post);
-                    // What was to be said meanwhile is old.
-                    while self.said.try_recv().is_ok() {}
-                    future::or(self.hear(&post), self.say(&post)).await;
+            match DatagramSocket::bind(
+                self.endpoints.listen,
+                self.endpoints.each.len() * QUEUED_DATAGRAMS_PER_PROXY,
+            ) {
+                Ok(socket) => {
+                    info!(target: "peers", "talks with {} others at {}",
+                        self.endpoints.each.len() - 1, self.endpoints.listen);
+                    self.check_receive_capacity(&socket);
+                    // Messages from before the address was bound are outdated.
+                    while self.outgoing.try_recv().is_ok() {}
+                    future::or(self.receive(&socket), self.send(&socket)).await;
                 }
-                Err(e) if !told => {
-                    told = true;
+                Err(e) if !is_failure_logged => {
+                    is_failure_logged = true;
                     let why = if e.kind() == ErrorKind::AddrInUse {
                         "another process has it"
                     } else {
-                        "no talk yet"
+                        "it cannot be bound"
                     };
-                    info!(target: "peers", "peer_listen: {}: {e}: {why}", self.talk.listen);
+                    info!(target: "peers", "peer_listen: {}: {e}: {why}; it is tried again until it is free",
+                        self.endpoints.listen);
                 }
                 Err(_) => {}
             }
-            world::after(RETRY).await;
+            world::after(BIND_RETRY_INTERVAL).await;
         }
     }
 
-    /// Tells operators where the machine allows less room than all proxies may need.
-    fn check_room(&self, post: &DatagramSocket) {
-        let (proxies, waiting) = (self.talk.each.len(), post.waiting().unwrap_or(0));
-        if waiting < proxies {
-            warn!(target: "peers", "{waiting} datagrams may wait to be read, and {proxies} proxies may speak at once: \
-                raise net.core.rmem_max");
+    /// Warns operators if the receive buffer holds fewer datagrams than all proxies may send at once.
+    fn check_receive_capacity(&self, socket: &DatagramSocket) {
+        let proxies = self.endpoints.each.len();
+        let capacity = socket.receive_capacity().unwrap_or(0);
+        if capacity < proxies {
+            warn!(target: "peers", "the receive buffer holds {capacity} datagrams, and {proxies} proxies may send at \
+                once, so some may be lost: raise net.core.rmem_max");
         }
     }
 
-    /// Sends what the module has to say: what does not fit into one datagram goes into the next.
-    async fn say(&self, post: &DatagramSocket) {
-        while let Ok(items) = self.said.recv().await {
+    /// Sends the core's messages. The items that do not fit into one datagram go into the next.
+    async fn send(&self, socket: &DatagramSocket) {
+        while let Ok(items) = self.outgoing.recv().await {
             let mut rest = &items[..];
             while !rest.is_empty() {
-                let packed = self.say_first(post, rest);
+                let packed = self.send_first(socket, rest);
                 if packed == 0 {
                     break;
                 }
                 rest = &rest[packed..];
-                // Guards against a long message to many proxies that keeps everything else waiting.
+                // Guards against a long message to many proxies that keeps other tasks from running.
                 future::yield_now().await;
             }
         }
     }
 
-    /// Sends as many items as one datagram holds, to all at once where there is an address for that; how many it was.
-    fn say_first(&self, post: &DatagramSocket, items: &[Item]) -> usize {
+    /// Sends as many items as one datagram holds, to the address of all proxies if there is one, otherwise to each proxy.
+    /// Returns the number of items.
+    fn send_first(&self, socket: &DatagramSocket, items: &[Item]) -> usize {
         let mut door = self.door.borrow_mut();
         let (datagram, packed) = door.pack(items);
-        let one = |to| post.send_now(datagram.bytes(), to).is_ok();
-        let sent = match self.talk.all {
-            Some(all) => one(all),
+        let send_to = |to| socket.send_now(datagram.bytes(), to).is_ok();
+        let all_sent = match self.endpoints.all {
+            Some(all) => send_to(all),
             None => {
-                let others = self.talk.each.iter().enumerate();
-                let others = others.filter(|(n, _)| *n != usize::from(self.talk.ordinal));
-                others.fold(true, |sent, (_, to)| one(*to) && sent)
+                let others = self.endpoints.each.iter().enumerate();
+                let others = others.filter(|(n, _)| *n != usize::from(self.endpoints.ordinal));
+                others.fold(true, |all_sent, (_, to)| send_to(*to) && all_sent)
             }
         };
-        door.sent(&datagram, sent);
+        door.sent(&datagram, all_sent);
         packed
     }
 
-    /// Takes in what comes, so much in a second.
-    async fn hear(&self, post: &DatagramSocket) {
-        // One byte more than any of ours: a longer one shows.
+    /// Receives datagrams, at a limited rate, and passes the accepted ones to the core.
+    async fn receive(&self, socket: &DatagramSocket) {
+        // One byte more than any valid datagram, so that a longer one is recognised.
         let mut bytes = [0; MOST + 1];
         loop {
             let now = self.core.clock.now();
-            let may = self.door.borrow_mut().may_read(now);
-            if let Err(from) = may {
+            let may_read = self.door.borrow_mut().may_read(now);
+            if let Err(from) = may_read {
                 world::at(self.core.clock.instant(from)).await;
                 continue;
             }
-            let (n, from) = match post.receive(&mut bytes).await {
-                Ok(came) => came,
+            let (n, from) = match socket.receive(&mut bytes).await {
+                Ok(received) => received,
                 Err(e) => {
-                    // An address that nobody has may be told so; the next one comes.
-                    warn_rate_limited(|| format!("receiving: {e}"));
-                    world::after(RETRY).await;
+                    // The error may report that no proxy is at an address that was sent to. The next receive may succeed.
+                    warn_rate_limited(|| format!("receiving: {e}; trying again"));
+                    world::after(BIND_RETRY_INTERVAL).await;
                     continue;
                 }
             };
-            let who = self.numbers.get(&from).copied();
-            let taken = self.door.borrow_mut().take(who, &bytes[..n], self.core.clock.now() / 1_000);
-            if let Ok(message) = taken {
+            let sender = self.ordinals.get(&from).copied();
+            let accepted = self.door.borrow_mut().take(sender, &bytes[..n], self.core.clock.now() / 1_000);
+            if let Ok(message) = accepted {
                 self.core.heard(message.sender.ordinal, &message.items);
             }
         }
--- a/src/net/world.rs
+++ b/src/net/world.rs
@@ -1,10 +1,11 @@
-//! The world outside: the one door through which the network code reaches clocks, timers, sockets, files and what
-//! differs from process to process. By itself it is the machine's; a simulation puts one of its own in place for its thread
-//! (`with`). It must never know what a byte means, keep state of a request, or choose anything.
+//! Access to the machine: clocks, timers, sockets, files and a number that differs from process to process. All network
+//! code uses this module for them. By default it makes system calls, each of which `faults` may fail. A simulation replaces
+//! them for its thread (`with`). This module must never know what a byte means, keep the state of a request, or choose
+//! anything.
 //!
-//! Nothing else in `net` may ask for the time or open a socket: `clippy.toml` names what is refused there, so a
-//! slip fails the lints, and a simulated day stays the same from run to run.
-#![allow(clippy::disallowed_methods, reason = "this is the one place")]
+//! Nothing else in `net` may ask for the time or open a socket. `clippy.toml` lists the functions that are disallowed there,
+//! so a violation fails the lints, and a simulation stays the same from run to run.
+#![allow(clippy::disallowed_methods, reason = "only this module may call them")]
 
 use super::faults::{self, Call};
 use crate::mutants;
@@ -25,162 +26,171 @@
 use std::task::{Context, Poll};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Bytes that one read may bring.
+/// The maximum length of one read.
 const READ_BYTES: usize = 32 * 1024;
-/// Connections that may wait to be accepted.
-const BACKLOG: i32 = 1024;
-/// What the machine may hold of a long value for one connection, at the side where it piles up.
-const SOCKET_BYTES: usize = 128 * 1024;
-/// What the machine takes for a short datagram that waits to be read, with what it keeps beside the bytes, and more.
-const WAITING_DATAGRAM_BYTES: usize = 1024;
-
-/// A future of a simulated world's.
+/// The maximum number of connections that wait to be accepted.
+const ACCEPT_BACKLOG: i32 = 1024;
+/// The size of a socket buffer, on the side where a long value accumulates.
+const SOCKET_BUFFER_BYTES: usize = 128 * 1024;
+/// The buffer space of one short datagram that waits to be read, with its overhead and a margin.
+const QUEUED_DATAGRAM_BYTES: usize = 1024;
+
+/// A boxed future of a simulation, which runs on one thread.
 pub type LocalBoxFuture<T> = Pin<Box<dyn Future<Output = T>>>;
 
-/// A world that is not the machine's.
+/// What a simulation provides in place of the machine.
 pub trait SimulatedWorld {
-    /// The present moment, never earlier than one told before.
+    /// The current time. It never goes back.
     fn now(&self) -> Instant;
-    /// The clock on the wall, since the Unix epoch; it may be stepped.
+    /// The wall clock, since the Unix epoch. It may be stepped.
     fn unix_time(&self) -> Duration;
-    /// Ends once this moment has come.
+    /// Completes at this time.
     fn at(&self, when: Instant) -> LocalBoxFuture<()>;
-    /// Dials.
+    /// Connects.
     fn connect(&self, to: SocketAddr) -> LocalBoxFuture<io::Result<Box<dyn SimulatedConnection>>>;
-    /// Takes an address; connections are accepted from `SimulatedListener::listen` on.
+    /// Binds an address. Connections are accepted after `SimulatedListener::listen`.
     fn bind(&self, at: SocketAddr) -> io::Result<Box<dyn SimulatedListener>>;
     /// A number that differs from process to process.
     fn unique_number(&self) -> u64;
-    /// Takes an address for datagrams; one that another process has is refused.
+    /// Binds an address for datagrams. Fails if another process has bound it.
     fn bind_datagram(&self, at: SocketAddr) -> io::Result<Box<dyn SimulatedDatagramSocket>>;
-    /// Dials a socket in the file system.
+    /// Connects to a socket in the file system.
     fn connect_local(&self, path: &Path) -> io::Result<Box<dyn SimulatedConnection>>;
-    /// Listens at one, which comes to be with this.
+    /// Creates a socket in the file system and listens at it.
     fn listen_local(&self, path: &Path) -> io::Result<Box<dyn SimulatedListener>>;
-    /// A whole file.
+    /// Reads a whole file.
     fn read(&self, path: &Path) -> io::Result<Vec<u8>>;
-    /// Makes a file of this, over what was there.
+    /// Writes a file, and replaces one that exists.
     fn write(&self, path: &Path, bytes: &[u8]) -> io::Result<()>;
-    /// Moves a file, or a socket, over what is there.
+    /// Renames a file or a socket, and replaces one that exists.
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()>;
     /// Removes a file.
     fn remove(&self, path: &Path) -> io::Result<()>;
-    /// Makes a directory and those it is in.
+    /// Creates a directory and its parents.
     fn make_dirs(&self, path: &Path) -> io::Result<()>;
-    /// What is in a directory; nothing where there is none.
+    /// The paths in a directory; none if it does not exist.
     fn list(&self, path: &Path) -> io::Result<Vec<PathBuf>>;
 }
 
 /// A simulated connection.
 pub trait SimulatedConnection {
-    /// As of a socket; 0 at the end.
+    /// Reads like a socket: 0 at the end of the connection.
     fn poll_read(&self, cx: &mut Context<'_>, into: &mut [u8]) -> Poll<io::Result<usize>>;
-    /// As of a socket; it may take a part.
+    /// Writes like a socket: it may accept only a part.
     fn poll_write(&self, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>>;
-    /// Nothing has come, and it has not ended.
+    /// Whether nothing waits to be read, and the connection has not ended.
     fn is_idle(&self) -> bool;
-    /// The other side has ended its sending, whether or not all it sent has been read.
+    /// Whether the other side has ended its sending, whether or not everything it sent has been read.
     fn is_hung_up(&self) -> bool;
-    /// Ends the sending.
+    /// Ends the sending of this side.
     fn shutdown(&self) -> io::Result<()>;
 }
 
 /// A simulated socket for datagrams.
 pub trait SimulatedDatagramSocket {
-    /// The next one, cut at the end of what it goes into, and whence it came.
+    /// Receives the next datagram, truncated to the length of `into`, and its source.
     fn poll_receive(&self, cx: &mut Context<'_>, into: &mut [u8]) -> Poll<io::Result<(usize, SocketAddr)>>;
-    /// Sends one, or fails at once.
+    /// Sends a datagram, or fails at once.
     fn send_now(&self, bytes: &[u8], to: SocketAddr) -> io::Result<()>;
 }
 
 /// A simulated listener.
 pub trait SimulatedListener {
-    /// From now on connections are accepted.
+    /// Starts to accept connections.
     fn listen(&self) -> io::Result<()>;
-    /// The next connection.
+    /// Accepts the next connection.
     fn poll_accept(&self, cx: &mut Context<'_>) -> Poll<io::Result<Box<dyn SimulatedConnection>>>;
 }
 
 thread_local! {
-    /// Whether this thread's world is another than the machine's: asked first, since it costs next to nothing.
+    /// Whether this thread is simulated. It is checked first, since the check is cheap.
     static SIMULATED: Cell<bool> = const { Cell::new(false) };
-    /// The world of this thread, where it is not the machine's.
-    static OUTSIDE: RefCell<Option<Rc<dyn SimulatedWorld>>> = const { RefCell::new(None) };
-    /// Where every read lands first. One for all connections, which hold only what has come.
-    static LANDING: RefCell<Vec<u8>> = RefCell::new(vec![0; READ_BYTES]);
+    /// The simulation of this thread, if it is simulated.
+    static SIMULATION: RefCell<Option<Rc<dyn SimulatedWorld>>> = const { RefCell::new(None) };
+    /// The buffer for every read. It is shared by all connections, so that each holds only the bytes that it received.
+    static READ_BUFFER: RefCell<Vec<u8>> = RefCell::new(vec![0; READ_BYTES]);
 }
 
+/// The simulation of this thread, if it is simulated.
 #[inline]
-fn outside() -> Option<Rc<dyn SimulatedWorld>> {
-    if SIMULATED.get() { OUTSIDE.with_borrow(Option::clone) } else { None }
+fn active_simulation() -> Option<Rc<dyn SimulatedWorld>> {
+    if SIMULATED.get() { SIMULATION.with_borrow(Option::clone) } else { None }
 }
 
-/// Does this in another world; what was before is put back.
-pub fn with<T>(world: Rc<dyn SimulatedWorld>, work: impl FnOnce() -> T) -> T {
-    let before = (SIMULATED.replace(true), OUTSIDE.replace(Some(world)));
-    let done = work();
+/// Runs `work` in a simulation, then restores the state before.
+pub fn with<T>(simulated: Rc<dyn SimulatedWorld>, work: impl FnOnce() -> T) -> T {
+    let before = (SIMULATED.replace(true), SIMULATION.replace(Some(simulated)));
+    let result = work();
     SIMULATED.set(before.0);
-    OUTSIDE.set(before.1);
-    done
+    SIMULATION.set(before.1);
+    result
 }
 
-/// The present moment.
+/// The current time.
 #[inline]
 pub fn now() -> Instant {
-    if SIMULATED.get() { outside().map_or_else(Instant::now, |o| o.now()) } else { Instant::now() }
+    if SIMULATED.get() {
+        active_simulation().map_or_else(Instant::now, |simulation| simulation.now())
+    } else {
+        Instant::now()
+    }
 }
 
-/// How long ago this was.
+/// The time since `then`.
 #[inline]
 pub fn since(then: Instant) -> Duration {
     now().saturating_duration_since(then)
 }
 
-/// The clock on the wall, since the Unix epoch.
+/// The wall clock, since the Unix epoch.
 pub fn unix_time() -> Duration {
-    let machine = || faults::stepped(SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default());
-    outside().map_or_else(machine, |o| o.unix_time())
+    let machine =
+        || faults::with_clock_step(SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default());
+    active_simulation().map_or_else(machine, |simulation| simulation.unix_time())
 }
 
 /// A number that differs from process to process.
 pub fn unique_number() -> u64 {
-    outside().map_or_else(|| u64::from(std::process::id()), |o| o.unique_number())
+    active_simulation().map_or_else(|| u64::from(std::process::id()), |simulation| simulation.unique_number())
 }
 
-/// A whole file as text.
+/// Reads a whole file as text.
 pub fn read_text(path: &Path) -> io::Result<String> {
     let machine = || faults::before(Call::File).and_then(|()| fs::read(path));
-    let bytes = uninterrupted(|| outside().map_or_else(machine, |o| o.read(path)))?;
+    let bytes =
+        uninterrupted(|| active_simulation().map_or_else(machine, |simulation| simulation.read(path)))?;
     String::from_utf8(bytes).map_err(|_| ErrorKind::InvalidData.into())
 }
 
-/// Puts a text in place whole: whoever reads meanwhile finds what was there before, or this.
+/// Writes a file atomically, by way of the file `next`: a reader finds either the text before or the new text.
 pub fn write_atomically(path: &Path, next: &Path, text: &str) -> io::Result<()> {
-    let put = match outside() {
+    let written = match active_simulation() {
         None => faults::before(Call::File)
             .and_then(|()| fs::write(next, text))
             .and_then(|()| fs::rename(next, path)),
-        Some(o) => o.write(next, text.as_bytes()).and_then(|()| o.rename(next, path)),
+        Some(simulation) => {
+            simulation.write(next, text.as_bytes()).and_then(|()| simulation.rename(next, path))
+        }
     };
-    if put.is_err() {
-        // Half of it may be there.
+    if written.is_err() {
+        // `next` may hold a part of the text.
         let _ = remove(next);
     }
-    put
+    written
 }
 
 /// Removes a file.
 pub fn remove(path: &Path) -> io::Result<()> {
-    outside().map_or_else(|| fs::remove_file(path), |o| o.remove(path))
+    active_simulation().map_or_else(|| fs::remove_file(path), |simulation| simulation.remove(path))
 }
 
-/// Makes a directory and those it is in.
+/// Creates a directory and its parents.
 pub fn make_dirs(path: &Path) -> io::Result<()> {
     let machine = || faults::before(Call::File).and_then(|()| fs::create_dir_all(path));
-    outside().map_or_else(machine, |o| o.make_dirs(path))
+    active_simulation().map_or_else(machine, |simulation| simulation.make_dirs(path))
 }
 
-/// What is in a directory; nothing where there is none.
+/// The paths in a directory; none if it does not exist.
 pub fn list(path: &Path) -> io::Result<Vec<PathBuf>> {
     let machine = || {
         faults::before(Call::File)?;
@@ -190,28 +200,28 @@
             Err(e) => Err(e),
         }
     };
-    uninterrupted(|| outside().map_or_else(machine, |o| o.list(path)))
+    uninterrupted(|| active_simulation().map_or_else(machine, |simulation| simulation.list(path)))
 }
 
-/// Ends once this moment has come.
+/// Completes at this time.
 #[inline]
 pub async fn at(when: Instant) {
     if SIMULATED.get()
-        && let Some(o) = outside()
+        && let Some(simulation) = active_simulation()
     {
-        return o.at(when).await;
+        return simulation.at(when).await;
     }
     Timer::at(when).await;
 }
 
-/// Ends after this long.
+/// Completes after this time.
 #[inline]
 pub async fn after(span: Duration) {
     at(now() + span).await;
 }
 
-/// Where tasks of one process run; they end with it. Guards against tasks that hold their own executor, and so
-/// outlive a simulated process that was killed.
+/// Spawns the tasks of one process, which end with it. It holds a weak reference: guards against tasks that hold their own
+/// executor, and so outlive a simulated process that was killed.
 #[derive(Clone)]
 pub struct Spawner(Weak<LocalExecutor<'static>>);
 
@@ -220,7 +230,7 @@
         Spawner(Rc::downgrade(executor))
     }
 
-    /// Runs this beside the rest, for as long as the process lives.
+    /// Runs a task concurrently with the others, for as long as the process lives.
     pub fn spawn(&self, task: impl Future<Output = ()> + 'static) {
         if let Some(executor) = self.0.upgrade() {
             executor.spawn(task).detach();
@@ -228,23 +238,23 @@
     }
 }
 
-/// A connection.
+/// A connection: a TCP or Unix socket, or a simulated one.
 pub enum Stream {
-    Machine(Async<TcpStream>),
-    Local(Async<UnixStream>),
+    Tcp(Async<TcpStream>),
+    Unix(Async<UnixStream>),
     Simulated(Box<dyn SimulatedConnection>),
 }
 
 impl Stream {
-    /// Dials.
+    /// Connects.
     pub async fn connect(to: SocketAddr) -> io::Result<Stream> {
-        match outside() {
-            None => Stream::connect_machine(to).await.map(Stream::Machine),
-            Some(o) => o.connect(to).await.map(Stream::Simulated),
+        match active_simulation() {
+            None => Stream::connect_tcp(to).await.map(Stream::Tcp),
+            Some(simulation) => simulation.connect(to).await.map(Stream::Simulated),
         }
     }
 
-    async fn connect_machine(to: SocketAddr) -> io::Result<Async<TcpStream>> {
+    async fn connect_tcp(to: SocketAddr) -> io::Result<Async<TcpStream>> {
         loop {
             faults::before(Call::Socket)?;
             let dial = async {
@@ -252,70 +262,70 @@
                 Async::<TcpStream>::connect(to).await
             };
             match dial.await {
-                // Its socket is gone with it.
+                // The socket is closed, so the next try makes a new one.
                 Err(e) if is_interruption(&e) => {}
                 dialled => return dialled,
             }
         }
     }
 
-    /// Dials a socket in the file system: whoever listens there is on the same machine, and answers at once or never.
+    /// Connects to a socket in the file system. Its listener is on the same machine, and answers at once or never.
     pub fn connect_local(path: &Path) -> io::Result<Stream> {
-        match outside() {
+        match active_simulation() {
             None => {
                 let stream = uninterrupted(|| {
                     faults::before(Call::Connect)?;
                     UnixStream::connect(path)
                 });
-                stream.and_then(Async::new).map(Stream::Local)
+                stream.and_then(Async::new).map(Stream::Unix)
             }
-            Some(o) => o.connect_local(path).map(Stream::Simulated),
+            Some(simulation) => simulation.connect_local(path).map(Stream::Simulated),
         }
     }
 
-    /// Small messages leave at once.
+    /// Disables Nagle's algorithm, so that small messages are sent at once.
     pub fn no_delay(&self) -> io::Result<()> {
         match self {
-            Stream::Machine(s) => s.get_ref().set_nodelay(true),
-            Stream::Local(_) | Stream::Simulated(_) => Ok(()),
+            Stream::Tcp(s) => s.get_ref().set_nodelay(true),
+            Stream::Unix(_) | Stream::Simulated(_) => Ok(()),
         }
     }
 
-    /// What waits for a slow reader behind this connection counts as memory too: the machine takes no more of it.
+    /// Limits the send buffer, in which bytes for a slow reader accumulate, since it uses memory too.
     pub fn limit_send_buffer(&self) {
-        if let Stream::Machine(s) = self {
-            let _ = SockRef::from(s.get_ref()).set_send_buffer_size(SOCKET_BYTES);
+        if let Stream::Tcp(s) = self {
+            let _ = SockRef::from(s.get_ref()).set_send_buffer_size(SOCKET_BUFFER_BYTES);
         }
     }
 
-    /// The same of what has come and is not read.
+    /// Limits the receive buffer, in which bytes accumulate that are not read yet.
     pub fn limit_receive_buffer(&self) {
-        if let Stream::Machine(s) = self {
-            let _ = SockRef::from(s.get_ref()).set_recv_buffer_size(SOCKET_BYTES);
+        if let Stream::Tcp(s) = self {
+            let _ = SockRef::from(s.get_ref()).set_recv_buffer_size(SOCKET_BUFFER_BYTES);
         }
     }
 
-    /// Waits for bytes, hands them to `take` and returns their number; 0 at the end of the connection.
+    /// Waits for bytes, passes them to `take` and returns their number, 0 at the end of the connection.
     #[inline]
     pub async fn read_with(&self, mut take: impl FnMut(&[u8])) -> io::Result<usize> {
         match self {
-            Stream::Machine(s) => s.read_with(|s| land(s, &mut take)).await,
-            Stream::Local(s) => s.read_with(|s| land(s, &mut take)).await,
+            Stream::Tcp(s) => s.read_with(|s| read_once(s, &mut take)).await,
+            Stream::Unix(s) => s.read_with(|s| read_once(s, &mut take)).await,
             Stream::Simulated(w) => {
-                let mut landing = vec![0; READ_BYTES];
-                let n = poll_fn(|cx| poll_uninterrupted(|| w.poll_read(cx, &mut landing))).await?;
-                take(&landing[..n]);
+                let mut buffer = vec![0; READ_BYTES];
+                let n = poll_fn(|cx| poll_uninterrupted(|| w.poll_read(cx, &mut buffer))).await?;
+                take(&buffer[..n]);
                 Ok(n)
             }
         }
     }
 
-    /// Writes a part, at least a byte.
+    /// Waits until a part can be written, and writes it. Returns its length.
     #[inline]
     pub async fn write(&self, bytes: &[u8]) -> io::Result<usize> {
         match self {
-            Stream::Machine(s) => s.write_with(|s| put(s, bytes)).await,
-            Stream::Local(s) => s.write_with(|s| put(s, bytes)).await,
+            Stream::Tcp(s) => s.write_with(|s| write_once(s, bytes)).await,
+            Stream::Unix(s) => s.write_with(|s| write_once(s, bytes)).await,
             Stream::Simulated(w) => poll_fn(|cx| poll_uninterrupted(|| w.poll_write(cx, bytes))).await,
         }
     }
@@ -331,40 +341,39 @@
         Ok(())
     }
 
-    /// Writes what fits at once, and forgets the rest.
+    /// Writes what can be written at once, and ignores the rest and any error.
     pub fn write_now(&self, bytes: &[u8]) {
         let context = &mut Context::from_waker(std::task::Waker::noop());
         let write = || match self {
-            Stream::Machine(s) => put(s.get_ref(), bytes).map(drop),
-            Stream::Local(s) => put(s.get_ref(), bytes).map(drop),
+            Stream::Tcp(s) => write_once(s.get_ref(), bytes).map(drop),
+            Stream::Unix(s) => write_once(s.get_ref(), bytes).map(drop),
             Stream::Simulated(w) => match w.poll_write(context, bytes) {
                 Poll::Ready(written) => written.map(drop),
                 Poll::Pending => Ok(()),
             },
         };
-        // What does not fit, or is not taken, is forgotten.
         let _ = uninterrupted(write);
     }
 
-    /// Nothing waits to be read, and the connection has not ended.
+    /// Whether nothing waits to be read, and the connection has not ended.
     #[inline]
     pub fn is_idle(&self) -> bool {
         match self {
-            Stream::Machine(s) => {
+            Stream::Tcp(s) => {
                 let peek = || faults::before(Call::Peek).and_then(|()| s.get_ref().peek(&mut [0]));
                 matches!(uninterrupted(peek), Err(e) if e.kind() == ErrorKind::WouldBlock)
             }
-            // Nobody asks this of a socket in the file system.
-            Stream::Local(_) => true,
+            // No caller checks this for a socket in the file system.
+            Stream::Unix(_) => true,
             Stream::Simulated(w) => w.is_idle(),
         }
     }
 
-    /// Whether the other side has ended its sending, also where what it sent before waits to be read. A machine that
-    /// cannot tell says no.
+    /// Whether the other side has ended its sending, even if what it sent before waits to be read. False if the system call
+    /// fails.
     pub fn is_hung_up(&self) -> bool {
         match self {
-            Stream::Machine(s) => {
+            Stream::Tcp(s) => {
                 let ends = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
                 let mut asked = [PollFd::new(s.get_ref(), PollFlags::RDHUP)];
                 let look = || {
@@ -373,38 +382,39 @@
                 };
                 uninterrupted(look).is_ok() && asked[0].revents().intersects(ends)
             }
-            Stream::Local(_) => false,
+            Stream::Unix(_) => false,
             Stream::Simulated(w) => w.is_hung_up(),
         }
     }
 
-    /// Ends the sending.
+    /// Ends the sending of this side.
     pub fn shutdown(&self) -> io::Result<()> {
         uninterrupted(|| match self {
-            Stream::Machine(s) => s.get_ref().shutdown(Shutdown::Write),
-            Stream::Local(s) => s.get_ref().shutdown(Shutdown::Write),
+            Stream::Tcp(s) => s.get_ref().shutdown(Shutdown::Write),
+            Stream::Unix(s) => s.get_ref().shutdown(Shutdown::Write),
             Stream::Simulated(w) => w.shutdown(),
         })
     }
 }
 
-/// One read, to where every read lands first.
-fn land(mut from: impl Read, take: &mut impl FnMut(&[u8])) -> io::Result<usize> {
-    LANDING.with_borrow_mut(|landing| {
-        let most = faults::part(landing.len());
-        let n = uninterrupted(|| faults::before(Call::Read).and_then(|()| from.read(&mut landing[..most])))?;
-        take(&landing[..n]);
+/// One read into the shared buffer. Passes the bytes to `take`.
+fn read_once(mut from: impl Read, take: &mut impl FnMut(&[u8])) -> io::Result<usize> {
+    READ_BUFFER.with_borrow_mut(|buffer| {
+        let max_bytes = faults::limit_length(buffer.len());
+        let n =
+            uninterrupted(|| faults::before(Call::Read).and_then(|()| from.read(&mut buffer[..max_bytes])))?;
+        take(&buffer[..n]);
         Ok(n)
     })
 }
 
-/// One write, of a part or all.
-fn put(mut to: impl Write, bytes: &[u8]) -> io::Result<usize> {
-    let part = &bytes[..faults::part(bytes.len())];
+/// One write, of a part or of all bytes.
+fn write_once(mut to: impl Write, bytes: &[u8]) -> io::Result<usize> {
+    let part = &bytes[..faults::limit_length(bytes.len())];
     uninterrupted(|| faults::before(Call::Write).and_then(|()| to.write(part)))
 }
 
-/// The same as `uninterrupted` of a call of a simulated world.
+/// Like `uninterrupted`, for a call of a simulation.
 fn poll_uninterrupted<T>(mut call: impl FnMut() -> Poll<io::Result<T>>) -> Poll<io::Result<T>> {
     loop {
         match call() {
@@ -414,12 +424,12 @@
     }
 }
 
-/// Whether a signal interrupted a call before it did anything: it is to be made again.
+/// Whether a signal interrupted a call before it had any effect, so that the call must be made again.
 fn is_interruption(e: &io::Error) -> bool {
     e.kind() == ErrorKind::Interrupted && !mutants::on("interruptions end connections")
 }
 
-/// The result of a call that is made again as often as a signal interrupts it.
+/// Makes a call, and makes it again whenever a signal interrupts it.
 fn uninterrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
         match call() {
@@ -429,10 +439,10 @@
     }
 }
 
-/// Whether an accept failed for one connection only, as its client or its network gave it up: the next one may be had at
-/// once. accept(2) asks for errors of the network to be treated so.
+/// Whether an accept failed for one connection only, because its client or its network gave it up. The next connection can
+/// be accepted at once. accept(2) asks that network errors be treated this way.
 fn is_of_one_connection(e: &io::Error) -> bool {
-    const OF_ONE: [Errno; 10] = [
+    const CONNECTION_ERRORS: [Errno; 10] = [
         Errno::INTR,
         Errno::CONNABORTED,
         Errno::PROTO,
@@ -444,14 +454,15 @@
         Errno::HOSTUNREACH,
         Errno::NONET,
     ];
-    // An error without a number is one of a simulated world's.
+    // An error without an errno comes from a simulation.
     let kinds = [ErrorKind::Interrupted, ErrorKind::ConnectionAborted];
-    kinds.contains(&e.kind()) || Errno::from_io_error(e).is_some_and(|errno| OF_ONE.contains(&errno))
+    kinds.contains(&e.kind())
+        || Errno::from_io_error(e).is_some_and(|errno| CONNECTION_ERRORS.contains(&errno))
 }
 
-/// Whether a connection could not be made for want of something on this machine, which says nothing of the other side.
+/// Whether a connect failed because this machine lacks a resource, which says nothing about the other side.
 pub fn is_local_shortage(e: &io::Error) -> bool {
-    const LOCAL: [Errno; 9] = [
+    const LOCAL_ERRORS: [Errno; 9] = [
         Errno::MFILE,
         Errno::NFILE,
         Errno::NOBUFS,
@@ -462,60 +473,60 @@
         Errno::NETDOWN,
         Errno::NETUNREACH,
     ];
-    Errno::from_io_error(e).is_some_and(|errno| LOCAL.contains(&errno))
+    Errno::from_io_error(e).is_some_and(|errno| LOCAL_ERRORS.contains(&errno))
 }
 
-/// An address that is taken, and where nobody listens yet.
+/// A bound socket that does not listen yet.
 pub enum Bound {
-    Machine(Socket),
+    Tcp(Socket),
     Simulated(Box<dyn SimulatedListener>),
 }
 
-/// A socket bound to the clients' address, beside another version of the program if one is there.
+/// Binds the address for clients. Another version of the program may be bound to it at the same time.
 pub fn bind(address: SocketAddr) -> io::Result<Bound> {
-    if let Some(o) = outside() {
-        return o.bind(address).map(Bound::Simulated);
+    if let Some(simulation) = active_simulation() {
+        return simulation.bind(address).map(Bound::Simulated);
     }
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
     socket.set_reuse_port(true)?;
     socket.bind(&address.into())?;
-    Ok(Bound::Machine(socket))
+    Ok(Bound::Tcp(socket))
 }
 
-/// A socket for datagrams.
+/// A UDP socket, or a simulated one.
 pub enum DatagramSocket {
-    Machine(Async<UdpSocket>),
+    Udp(Async<UdpSocket>),
     Simulated(Box<dyn SimulatedDatagramSocket>),
 }
 
 impl DatagramSocket {
-    /// Takes an address, alone, where so many short datagrams may wait to be read, as far as the machine allows it.
-    pub fn bind(at: SocketAddr, waiting: usize) -> io::Result<DatagramSocket> {
-        if let Some(outside) = outside() {
-            return outside.bind_datagram(at).map(DatagramSocket::Simulated);
+    /// Binds an address exclusively. Sizes the receive buffer for `queued` short datagrams, as far as the machine allows it.
+    pub fn bind(at: SocketAddr, queued: usize) -> io::Result<DatagramSocket> {
+        if let Some(simulation) = active_simulation() {
+            return simulation.bind_datagram(at).map(DatagramSocket::Simulated);
         }
         let socket = Async::<UdpSocket>::bind(at)?;
-        let (options, wanted) = (SockRef::from(&socket), waiting.saturating_mul(WAITING_DATAGRAM_BYTES));
+        let (options, wanted) = (SockRef::from(&socket), queued.saturating_mul(QUEUED_DATAGRAM_BYTES));
         if options.recv_buffer_size()? < wanted {
             options.set_recv_buffer_size(wanted)?;
         }
-        Ok(DatagramSocket::Machine(socket))
+        Ok(DatagramSocket::Udp(socket))
     }
 
-    /// How many short datagrams may wait to be read.
-    pub fn waiting(&self) -> io::Result<usize> {
+    /// The number of short datagrams that the receive buffer holds.
+    pub fn receive_capacity(&self) -> io::Result<usize> {
         match self {
-            DatagramSocket::Machine(s) => Ok(SockRef::from(s).recv_buffer_size()? / WAITING_DATAGRAM_BYTES),
+            DatagramSocket::Udp(s) => Ok(SockRef::from(s).recv_buffer_size()? / QUEUED_DATAGRAM_BYTES),
             DatagramSocket::Simulated(_) => Ok(usize::MAX),
         }
     }
 
-    /// The next datagram, cut at the end of what it goes into, and whence it came.
+    /// Receives the next datagram, truncated to the length of `into`, and its source.
     pub async fn receive(&self, into: &mut [u8]) -> io::Result<(usize, SocketAddr)> {
         loop {
             let received = match self {
-                DatagramSocket::Machine(s) => match faults::before(Call::Receive) {
+                DatagramSocket::Udp(s) => match faults::before(Call::Receive) {
                     Ok(()) => s.recv_from(into).await,
                     Err(e) => Err(e),
                 },
@@ -528,10 +539,10 @@
         }
     }
 
-    /// Sends one, or fails at once where the machine has no room for it.
+    /// Sends a datagram, or fails at once if the send buffer is full.
     pub fn send_now(&self, bytes: &[u8], to: SocketAddr) -> io::Result<()> {
         uninterrupted(|| match self {
-            DatagramSocket::Machine(s) => {
+            DatagramSocket::Udp(s) => {
                 faults::before(Call::Send)?;
                 s.get_ref().send_to(bytes, to).map(|_| ())
             }
@@ -540,52 +551,53 @@
     }
 }
 
-/// Where connections come in.
+/// A listening socket.
 pub enum Listener {
-    Machine(Async<TcpListener>),
-    Local(Async<UnixListener>),
+    Tcp(Async<TcpListener>),
+    Unix(Async<UnixListener>),
     Simulated(Box<dyn SimulatedListener>),
 }
 
 impl Bound {
-    /// From now on connections are accepted there.
+    /// Starts to listen.
     pub fn listen(self) -> io::Result<Listener> {
         match self {
-            Bound::Machine(socket) => {
-                socket.listen(BACKLOG)?;
-                Async::new(socket.into()).map(Listener::Machine)
+            Bound::Tcp(socket) => {
+                socket.listen(ACCEPT_BACKLOG)?;
+                Async::new(socket.into()).map(Listener::Tcp)
             }
-            Bound::Simulated(door) => door.listen().map(|()| Listener::Simulated(door)),
+            Bound::Simulated(listener) => listener.listen().map(|()| Listener::Simulated(listener)),
         }
     }
 }
 
 impl Listener {
-    /// Binds and listens, alone.
+    /// Binds an address exclusively and listens.
     pub fn alone(address: SocketAddr) -> io::Result<Listener> {
-        match outside() {
-            None => Async::<TcpListener>::bind(address).map(Listener::Machine),
+        match active_simulation() {
+            None => Async::<TcpListener>::bind(address).map(Listener::Tcp),
             Some(_) => bind(address)?.listen(),
         }
     }
 
-    /// Listens at a socket in the file system, put in place whole over what was left there.
+    /// Listens at a socket in the file system. The socket is created as `next`, then renamed to `path`, so that it replaces
+    /// one that exists atomically.
     pub fn local(path: &Path, next: &Path) -> io::Result<Listener> {
-        match outside() {
+        match active_simulation() {
             None => {
                 let bound = UnixListener::bind(next).and_then(|l| fs::rename(next, path).map(|()| l));
-                bound.and_then(Async::new).map(Listener::Local)
+                bound.and_then(Async::new).map(Listener::Unix)
             }
-            Some(o) => {
-                let door = o.listen_local(next)?;
-                o.rename(next, path)?;
-                Ok(Listener::Simulated(door))
+            Some(simulation) => {
+                let listener = simulation.listen_local(next)?;
+                simulation.rename(next, path)?;
+                Ok(Listener::Simulated(listener))
             }
         }
     }
 
-    /// The next connection. One that its client has given up is passed over; what fails for want of something on this
-    /// machine is told, and may be had later.
+    /// Accepts the next connection. Skips connections that their clients have given up. An error means that this machine
+    /// lacks a resource, and a later call may succeed.
     pub async fn accept(&self) -> io::Result<Stream> {
         loop {
             match self.accept_once().await {
@@ -597,19 +609,21 @@
 
     async fn accept_once(&self) -> io::Result<Stream> {
         match self {
-            Listener::Machine(l) => {
+            Listener::Tcp(l) => {
                 faults::before(Call::Accept)?;
-                l.accept().await.map(|(s, _)| Stream::Machine(s))
+                l.accept().await.map(|(s, _)| Stream::Tcp(s))
             }
-            Listener::Local(l) => {
+            Listener::Unix(l) => {
                 faults::before(Call::Accept)?;
-                l.accept().await.map(|(s, _)| Stream::Local(s))
+                l.accept().await.map(|(s, _)| Stream::Unix(s))
+            }
+            Listener::Simulated(listener) => {
+                poll_fn(|cx| listener.poll_accept(cx)).await.map(Stream::Simulated)
             }
-            Listener::Simulated(door) => poll_fn(|cx| door.poll_accept(cx)).await.map(Stream::Simulated),
         }
     }
 
-    /// The next one that is here already, or why it cannot be had now.
+    /// Accepts a connection that waits already, or returns why it cannot be accepted now. `None` if no connection waits.
     pub fn accept_now(&self) -> Option<io::Result<Stream>> {
         loop {
             match self.accept_now_once() {
@@ -622,15 +636,15 @@
 
     fn accept_now_once(&self) -> io::Result<Stream> {
         match self {
-            Listener::Machine(l) => {
+            Listener::Tcp(l) => {
                 faults::before(Call::Accept)?;
                 let (stream, _) = l.get_ref().accept()?;
-                Async::new(stream).map(Stream::Machine)
+                Async::new(stream).map(Stream::Tcp)
             }
-            // Only clients' connections are taken so.
-            Listener::Local(_) => Err(ErrorKind::WouldBlock.into()),
-            Listener::Simulated(door) => {
-                match door.poll_accept(&mut Context::from_waker(std::task::Waker::noop())) {
+            // Only connections of clients are accepted this way.
+            Listener::Unix(_) => Err(ErrorKind::WouldBlock.into()),
+            Listener::Simulated(listener) => {
+                match listener.poll_accept(&mut Context::from_waker(std::task::Waker::noop())) {
                     Poll::Ready(accepted) => accepted.map(Stream::Simulated),
                     Poll::Pending => Err(ErrorKind::WouldBlock.into()),
                 }
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -1,5 +1,5 @@
-//! System calls that fail in the ways that the machine documents: what fails for a moment is made again, one bad
-//! connection harms no other, and what fails on this machine is not held against a database host.
+//! System calls that fail in the ways that their documentation allows. Interrupted calls are made again, one failed
+//! connection does not affect others, and a shortage on this machine does not count as a failure of a database host.
 
 mod support;
 
@@ -16,18 +16,19 @@
 use std::rc::Rc;
 use std::task::{Context, Poll};
 
-/// A connection of which every call is interrupted so often before it works.
-struct InterruptedWire {
+/// A connection whose every call is interrupted `interruptions` times before it succeeds.
+struct InterruptedConnection {
     interruptions: Cell<u32>,
+    /// The interruptions that are left for the present call.
     left: Cell<u32>,
     written: Rc<RefCell<Vec<u8>>>,
 }
 
-impl InterruptedWire {
-    fn new(interruptions: u32) -> (InterruptedWire, Rc<RefCell<Vec<u8>>>) {
+impl InterruptedConnection {
+    fn new(interruptions: u32) -> (InterruptedConnection, Rc<RefCell<Vec<u8>>>) {
         let written: Rc<RefCell<Vec<u8>>> = Rc::default();
         let (interruptions, left) = (Cell::new(interruptions), Cell::new(interruptions));
-        (InterruptedWire { interruptions, left, written: written.clone() }, written)
+        (InterruptedConnection { interruptions, left, written: written.clone() }, written)
     }
 
     fn is_interrupted(&self) -> bool {
@@ -37,7 +38,7 @@
     }
 }
 
-impl SimulatedConnection for InterruptedWire {
+impl SimulatedConnection for InterruptedConnection {
     fn poll_read(&self, _: &mut Context<'_>, into: &mut [u8]) -> Poll<io::Result<usize>> {
         if self.is_interrupted() {
             return Poll::Ready(Err(ErrorKind::Interrupted.into()));
@@ -66,12 +67,12 @@
 /// Reads, writes and shutdowns of a connection.
 #[test]
 fn an_interrupted_call_on_a_connection_is_made_again() {
-    let (wire, written) = InterruptedWire::new(3);
-    let stream = Stream::Simulated(Box::new(wire));
+    let (connection, written) = InterruptedConnection::new(3);
+    let stream = Stream::Simulated(Box::new(connection));
     future::block_on(async {
-        let mut came = Vec::new();
-        let read = stream.read_with(|bytes| came.extend(bytes)).await;
-        assert_eq!((read.ok(), came.as_slice()), (Some(2), &b"ok"[..]));
+        let mut received = Vec::new();
+        let read = stream.read_with(|bytes| received.extend(bytes)).await;
+        assert_eq!((read.ok(), received.as_slice()), (Some(2), &b"ok"[..]));
         assert!(stream.write_all(b"answer").await.is_ok());
         assert_eq!(stream.write(b"x").await.ok(), Some(1));
     });
@@ -80,16 +81,16 @@
     assert_eq!(written.borrow().as_slice(), b"answerxy");
 }
 
-/// A socket for datagrams whose calls are interrupted once each.
-struct InterruptedMail(Cell<bool>);
+/// A datagram socket whose calls are interrupted once each.
+struct InterruptedDatagramSocket(Cell<bool>);
 
-impl InterruptedMail {
+impl InterruptedDatagramSocket {
     fn is_interrupted(&self) -> bool {
         !self.0.replace(!self.0.get())
     }
 }
 
-impl SimulatedDatagramSocket for InterruptedMail {
+impl SimulatedDatagramSocket for InterruptedDatagramSocket {
     fn poll_receive(&self, _: &mut Context<'_>, _: &mut [u8]) -> Poll<io::Result<(usize, SocketAddr)>> {
         if self.is_interrupted() {
             return Poll::Ready(Err(ErrorKind::Interrupted.into()));
@@ -101,67 +102,67 @@
     }
 }
 
-/// The talk between proxies.
+/// Datagrams between proxies.
 #[test]
-fn an_interrupted_call_for_a_datagram_is_made_again() {
-    let post = DatagramSocket::Simulated(Box::new(InterruptedMail(Cell::new(false))));
-    assert!(future::block_on(post.receive(&mut [0; 8])).is_ok());
-    assert!(post.send_now(b"x", SocketAddr::from(([127, 0, 0, 1], 1))).is_ok());
+fn an_interrupted_datagram_call_is_made_again() {
+    let socket = DatagramSocket::Simulated(Box::new(InterruptedDatagramSocket(Cell::new(false))));
+    assert!(future::block_on(socket.receive(&mut [0; 8])).is_ok());
+    assert!(socket.send_now(b"x", SocketAddr::from(([127, 0, 0, 1], 1))).is_ok());
 }
 
-/// A listener that gives these one after the other, then has nothing.
-struct ScriptedDoor(RefCell<VecDeque<Result<(), ErrorKind>>>);
+/// A listener that returns these results one after the other, then has no connection.
+struct ScriptedListener(RefCell<VecDeque<Result<(), ErrorKind>>>);
 
-impl ScriptedDoor {
+impl ScriptedListener {
     fn listener(script: &[Result<(), ErrorKind>]) -> Listener {
-        Listener::Simulated(Box::new(ScriptedDoor(RefCell::new(script.iter().copied().collect()))))
+        Listener::Simulated(Box::new(ScriptedListener(RefCell::new(script.iter().copied().collect()))))
     }
 }
 
-impl SimulatedListener for ScriptedDoor {
+impl SimulatedListener for ScriptedListener {
     fn listen(&self) -> io::Result<()> {
         Ok(())
     }
     fn poll_accept(&self, _: &mut Context<'_>) -> Poll<io::Result<Box<dyn SimulatedConnection>>> {
         match self.0.borrow_mut().pop_front() {
-            Some(Ok(())) => Poll::Ready(Ok(Box::new(InterruptedWire::new(0).0))),
+            Some(Ok(())) => Poll::Ready(Ok(Box::new(InterruptedConnection::new(0).0))),
             Some(Err(kind)) => Poll::Ready(Err(kind.into())),
             None => Poll::Pending,
         }
     }
 }
 
-/// What waits to be accepted at a stop is taken in to its end: an interrupted accept is made again, and a connection
-/// that its client has given up is one of many.
+/// At a stop all waiting connections are accepted: an interrupted accept is made again, and a connection that its client has
+/// given up is skipped.
 #[test]
 fn all_that_wait_to_be_accepted_are_taken_behind_one_that_failed() {
     let (interrupted, aborted) = (Err(ErrorKind::Interrupted), Err(ErrorKind::ConnectionAborted));
-    let listener = ScriptedDoor::listener(&[Ok(()), interrupted, Ok(()), aborted, aborted, Ok(())]);
-    let mut taken = 0;
+    let listener = ScriptedListener::listener(&[Ok(()), interrupted, Ok(()), aborted, aborted, Ok(())]);
+    let mut accepted_count = 0;
     while let Some(accepted) = listener.accept_now() {
-        taken += u32::from(accepted.is_ok());
+        accepted_count += u32::from(accepted.is_ok());
     }
-    assert_eq!(taken, 3);
+    assert_eq!(accepted_count, 3);
 }
 
-/// A read of the signals that fails is no order to stop.
+/// A failed read of the signals does not stop the program.
 #[test]
-fn a_failed_read_of_signals_stops_nothing() {
+fn a_failed_read_of_signals_does_not_stop_the_program() {
     let failed = |kind: ErrorKind| Err::<Signal, _>(io::Error::from(kind));
-    let come =
+    let signals_read =
         [failed(ErrorKind::Interrupted), Ok(Signal::Hup), failed(ErrorKind::OutOfMemory), Ok(Signal::Hup)];
     let (stop, stopped) = async_channel::bounded(1);
     let mut reloads = 0;
-    future::block_on(signals::follow(stream::iter(come), || reloads += 1, &stop));
+    future::block_on(signals::follow(stream::iter(signals_read), || reloads += 1, &stop));
     assert_eq!((reloads, stopped.len()), (2, 0));
     future::block_on(signals::follow(stream::iter([Ok(Signal::Term), Ok(Signal::Int)]), || {}, &stop));
     assert_eq!(stopped.len(), 1);
 }
 
-/// The machine gives fewer descriptors than the configuration says, and idle clients have them all: a request waits for one
-/// inside its dial, and no host is held to be out of reach.
+/// The machine allows fewer descriptors than the configuration names, and idle clients hold them all. A request waits for a
+/// descriptor until its connect timeout, and no host counts as unreachable.
 #[test]
-fn a_dial_that_fails_for_want_of_descriptors_is_not_held_against_its_host() {
+fn a_connect_that_lacks_a_descriptor_does_not_count_as_a_failure_of_the_host() {
     use support::*;
     let host = Host::start(|_, _| Reply::Row("v"));
     let config = |c: String| add_console(c).replacen('{', "{\"descriptors\":48,", 1);
