--- a/src/net/listing.rs
+++ b/src/net/listing.rs
@@ -1,20 +1,22 @@
-//! The list of database hosts as a message: its form on the wire, and what is checked before anything believes it.
+//! The list of database hosts as a message of discovery: its JSON form, and the checks that it must pass before it is used.
 //! It owns no state. It must never open a connection, ask for the time or keep an earlier list.
 
 use crate::{GroupId, mutants};
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// One message of discovery.
+/// A message of discovery that has passed all checks.
 pub struct Listing {
+    /// The version of the list.
     pub index: u64,
+    /// Whether the message holds the whole list. Otherwise it holds only the entries that changed.
     pub full: bool,
-    pub entries: Vec<Listed>,
+    pub entries: Vec<ListedHost>,
 }
 
-/// One database host in the list.
+/// The entry of one database host.
 #[derive(Deserialize)]
-pub struct Listed {
+pub struct ListedHost {
     pub name: String,
     address: String,
     #[serde(default)]
@@ -23,15 +25,16 @@
     pub kind: String,
     pub group: GroupId,
     pub status: Status,
-    #[serde(default = "one")]
+    #[serde(default = "default_weight")]
     pub weight: f64,
     #[serde(default)]
     pub since_ms: u64,
     #[serde(default)]
     access: String,
+    /// Whether `access` is "writer".
     #[serde(skip)]
     pub writer: bool,
-    /// The address once it is read; a listing with one that is no address is refused whole.
+    /// The parsed `address`. A message is rejected as a whole if an entry that is not deleted has none.
     #[serde(skip)]
     pub socket: Option<SocketAddr>,
 }
@@ -44,31 +47,32 @@
     Deleted,
 }
 
+/// A message as it is sent, before its checks.
 #[derive(Deserialize)]
-struct Wire {
+struct RawListing {
     index: u64,
     #[serde(default)]
     snapshot: bool,
-    endpoints: Vec<Listed>,
+    endpoints: Vec<ListedHost>,
 }
 
-fn one() -> f64 {
+fn default_weight() -> f64 {
     1.0
 }
 
 impl Listing {
-    /// Checks a message that is JSON already.
+    /// Checks a message that is parsed as JSON already.
     pub fn from_value(value: serde_json::Value) -> Result<Listing, String> {
         Listing::checked(serde_json::from_value(value).map_err(|e| e.to_string())?)
     }
 
-    /// Reads one line of a watch, or a whole list.
+    /// Parses and checks a message of a watch, or a whole list.
     pub fn parse(text: &[u8]) -> Result<Listing, String> {
         Listing::checked(serde_json::from_slice(text).map_err(|e| e.to_string())?)
     }
 
-    fn checked(wire: Wire) -> Result<Listing, String> {
-        let mut entries = wire.endpoints;
+    fn checked(raw: RawListing) -> Result<Listing, String> {
+        let mut entries = raw.endpoints;
         for e in &mut entries {
             e.writer = e.access == "writer";
             e.status = if mutants::on("deaf to drains") { Status::Serving } else { e.status };
@@ -77,6 +81,6 @@
                 return Err(format!("{}: address {:?} is no address and port", e.name, e.address));
             }
         }
-        Ok(Listing { index: wire.index, full: wire.snapshot, entries })
+        Ok(Listing { index: raw.index, full: raw.snapshot, entries })
     }
 }
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! The watch of the list among agents that fall silent, answer half, or come back: a story for each.
+//! The watch of the list with agents that fall silent, send incomplete answers, or return.
 
 mod support;
 
@@ -6,17 +6,18 @@
 use std::time::{Duration, Instant};
 use support::*;
 
-/// What a silent watch misses counts as told 6 s after it fell silent, and half a second later nothing new may go to
-/// a host that drains.
-const TOLD: Duration = Duration::from_secs(6);
+/// 6 s after its watch has fallen silent a proxy counts as notified of what it missed. Half a second later no new request may
+/// go to a host that drains.
+const NOTIFIED_AFTER: Duration = Duration::from_secs(6);
 
-fn served(value: &'static str) -> Host {
+/// A host that answers every statement with this value.
+fn host_with_value(value: &'static str) -> Host {
     Host::start(move |_, _| Reply::Row(value))
 }
 
 #[test]
-fn a_watch_that_falls_silent_is_opened_anew_before_what_it_misses_counts_as_told() {
-    let (old, new) = (served("old"), served("new"));
+fn a_silent_watch_is_reopened_before_the_proxy_counts_as_notified() {
+    let (old, new) = (host_with_value("old"), host_with_value("new"));
     let proxy = Proxy::start(&[&old], 1024);
     assert!(proxy.agent.asked().contains("index=41 "));
     let silent = Instant::now();
@@ -25,14 +26,14 @@
     proxy.agent.line(&list(42, true, &[(&new, "SERVING")]));
     proxy.agent.end_watch();
     assert!(proxy.agent.asked().contains("stream=1&index=42 "));
-    assert!(silent.elapsed() < TOLD - Duration::from_millis(500), "{:?}", silent.elapsed());
+    assert!(silent.elapsed() < NOTIFIED_AFTER - Duration::from_millis(500), "{:?}", silent.elapsed());
     assert_eq!(proxy.client().ask(&read("1", "history", 9000)).value.as_deref(), Some("new"));
 }
 
-/// Down, discovery takes calls and says nothing; it may be back the moment after.
+/// While it is down, discovery accepts calls and does not answer. It may return at any moment.
 #[test]
-fn a_call_without_an_answer_is_given_up_and_made_again() {
-    let host = served("v");
+fn an_unanswered_call_is_given_up_and_made_again() {
+    let host = host_with_value("v");
     let proxy = Proxy::start(&[&host], 1024);
     proxy.agent.asked();
     let next = Agent::scripted(&[Call::Silence, Call::Refuse, Call::Silence]);
@@ -41,13 +42,13 @@
     for _ in 0..4 {
         assert!(next.asked().contains("stream=1&index=41 "));
     }
-    assert!(asked.elapsed() < TOLD - Duration::from_millis(500), "{:?}", asked.elapsed());
+    assert!(asked.elapsed() < NOTIFIED_AFTER - Duration::from_millis(500), "{:?}", asked.elapsed());
 }
 
-/// A new configuration comes while a call is out that nobody answers.
+/// The configuration is reloaded while a call is unanswered.
 #[test]
-fn a_reload_leaves_a_call_that_is_out_at_once() {
-    let host = served("v");
+fn a_reload_gives_up_an_unanswered_call_at_once() {
+    let host = host_with_value("v");
     let proxy = Proxy::start(&[&host], 1024);
     proxy.agent.asked();
     let silent = Agent::scripted(&vec![Call::Silence; 100]);
@@ -59,10 +60,10 @@
     assert!(moved.elapsed() < Duration::from_millis(900), "{:?}", moved.elapsed());
 }
 
-/// Bytes come all the time, and never the end of a line.
+/// Bytes arrive all the time, but no line ends.
 #[test]
-fn a_line_that_goes_on_and_on_is_a_silent_watch() {
-    let host = served("v");
+fn a_line_that_never_ends_counts_as_a_silent_watch() {
+    let host = host_with_value("v");
     let proxy = Proxy::start(&[&host], 1024);
     proxy.agent.asked();
     let head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nfffff\r\n".to_vec();
@@ -75,18 +76,18 @@
         if let Some(asked) = next.asked_within(Duration::from_millis(50)) {
             break asked;
         }
-        assert!(begun.elapsed() < PATIENCE, "the watch is kept");
+        assert!(begun.elapsed() < PATIENCE, "the watch is not reopened");
     };
     assert!(again.contains("stream=1&index=41 "));
-    assert!(begun.elapsed() < TOLD - Duration::from_millis(500), "{:?}", begun.elapsed());
+    assert!(begun.elapsed() < NOTIFIED_AFTER - Duration::from_millis(500), "{:?}", begun.elapsed());
 }
 
 #[test]
-fn a_list_that_comes_indented_over_many_lines_is_taken() {
-    let (old, new) = (served("old"), served("new"));
+fn a_list_as_indented_json_is_applied() {
+    let (old, new) = (host_with_value("old"), host_with_value("new"));
     let proxy = Proxy::start(&[&old], 1024);
     proxy.agent.asked();
-    // Braces and quotes in a name are no end of anything.
+    // Braces and quotes inside a string do not end the message.
     let flat = list(42, true, &[(&new, "SERVING")]).replace("\"type\":\"m\"", "\"type\":\"m}\\\"{\"");
     let value: serde_json::Value = serde_json::from_str(&flat).expect("JSON");
     proxy.agent.line(&serde_json::to_string_pretty(&value).expect("JSON"));
@@ -95,22 +96,23 @@
     assert_eq!(proxy.client().ask(&read("1", "history", 9000)).value.as_deref(), Some("new"));
 }
 
-/// Half a message, then whole ones: what it said is asked for again, once. Always bad, it does not keep out the rest.
+/// An incomplete message, then complete ones. The proxy reopens the watch once to receive the incomplete one again. If it is
+/// incomplete again, the messages after it are still applied.
 #[test]
-fn a_torn_message_is_asked_for_again_and_keeps_nothing_out() {
-    let (old, new) = (served("old"), served("new"));
+fn an_incomplete_message_is_requested_again_and_does_not_block_later_ones() {
+    let (old, new) = (host_with_value("old"), host_with_value("new"));
     let proxy = Proxy::start(&[&old], 1024);
     assert!(proxy.agent.asked().contains("index=41 "));
     let whole = list(42, false, &[(&old, "DRAINING"), (&new, "SERVING")]);
-    let torn = &whole[..whole.len() / 2];
-    proxy.agent.line(torn);
-    // The line behind it ends it.
+    let incomplete = &whole[..whole.len() / 2];
+    proxy.agent.line(incomplete);
+    // The next message shows that the one before it is incomplete.
     proxy.agent.line(&list(43, false, &[(&new, "SERVING")]));
     assert!(proxy.agent.asked().contains("stream=1&index=41 "));
-    proxy.agent.line(torn);
+    proxy.agent.line(incomplete);
     proxy.agent.line(&list(43, false, &[(&new, "SERVING")]));
     proxy.agent.end_watch();
-    // What is behind it has been taken, and is no reason to take the torn one for heard.
+    // The message after it is applied, but the index does not advance past the incomplete one.
     assert!(proxy.agent.asked().contains("stream=1&index=41 "));
     proxy.agent.line(&whole);
     proxy.agent.end_watch();
@@ -118,17 +120,17 @@
     assert_eq!(proxy.client().ask(&read("1", "history", 9000)).value.as_deref(), Some("new"));
 }
 
-/// Over HTTP an answer may have no length: its end is the end of the connection, and a reset is none.
+/// An HTTP answer without a length ends with the connection. A reset does not end it.
 #[test]
-fn an_answer_without_a_length_that_is_reset_is_no_list() {
-    let (old, new) = (served("old"), served("new"));
+fn an_answer_without_a_length_that_is_reset_is_not_applied() {
+    let (old, new) = (host_with_value("old"), host_with_value("new"));
     let answer = |host: &Host| {
         let text = list(42, true, &[(host, "SERVING")]);
         [b"HTTP/1.1 200 OK\r\n\r\n".as_slice(), text.as_bytes()].concat()
     };
     let proxy = Proxy::start(&[&old], 1024);
     proxy.agent.asked();
-    // Its version is no more known there: the whole list is asked for.
+    // This agent does not know the index any more, so the whole list is requested.
     let unknown = b"HTTP/1.1 410 Gone\r\nContent-Length: 0\r\n\r\n".to_vec();
     let next = Agent::scripted(&[Call::Bytes(unknown), Call::Reset(answer(&new)), Call::Refuse]);
     proxy.reload(&proxy.agent.address.to_string(), &next.address.to_string());
@@ -139,17 +141,17 @@
     assert_eq!(proxy.client().ask(&read("1", "history", 9000)).value.as_deref(), Some("old"));
 }
 
-/// Clients that rest fill all their places while discovery is down, and the machine holds the program to its limit.
+/// Idle clients fill their share of the descriptors while discovery is down. The machine enforces the limit.
 #[test]
-fn a_watch_and_hosts_get_their_descriptors_beside_clients_that_fill_theirs() {
-    let (old, new) = (served("old"), served("new"));
+fn discovery_and_hosts_get_descriptors_while_clients_fill_their_share() {
+    let (old, new) = (host_with_value("old"), host_with_value("new"));
     let proxy = Proxy::start(&[&old], 96);
     proxy.agent.asked();
     let next = Agent::scripted(&vec![Call::Silence; 1_000]);
     proxy.reload(&proxy.agent.address.to_string(), &next.address.to_string());
     next.asked();
-    let crowd: Vec<Client> = (0..39).map(|_| proxy.client()).collect();
-    // Further ones are refused, or take a place from another: some connections are in the middle of their close.
+    let idle_clients: Vec<Client> = (0..39).map(|_| proxy.client()).collect();
+    // Further clients are refused or replace another one, so that some connections are being closed.
     let others: Vec<Client> = (0..60).map(|_| Client::connect(proxy.address)).collect();
     let back = Agent::start();
     let returned = Instant::now();
@@ -159,15 +161,15 @@
     back.end_watch();
     assert!(back.asked().contains("stream=1&index=42 "));
     assert!(returned.elapsed() < Duration::from_millis(900), "{:?}", returned.elapsed());
-    // A newcomer has a place once one of those that are silent has made way.
+    // A new client is accepted once one of the silent clients has been closed.
     let served = (0..).find_map(|id| {
         let mut client = Client::connect(proxy.address);
         let both = [startup(), query(&read(&format!("{id}"), "history", 9000))].concat();
         let sent = client.stream.write_all(&both).is_ok() && client.answer().end == End::Ready;
         let value = sent.then(|| client.answer().value).flatten();
-        assert!(value.is_some() || returned.elapsed() < PATIENCE, "no newcomer is served");
+        assert!(value.is_some() || returned.elapsed() < PATIENCE, "no new client is served");
         value
     });
     assert_eq!(served.as_deref(), Some("new"));
-    drop((crowd, others));
+    drop((idle_clients, others));
 }
