--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -1,4 +1,4 @@
-//! The program as staff run it day by day: a story for each part that they use.
+//! The program as operators use it: the console, drains, manual overrides, upgrades and long values.
 
 mod support;
 
@@ -7,12 +7,13 @@
 use std::time::Instant;
 use support::*;
 
-fn served(value: &'static str) -> Host {
+/// A host that answers every statement with this value.
+fn host_with_value(value: &'static str) -> Host {
     Host::start(move |_, _| Reply::Row(value))
 }
 
 #[test]
-fn the_door_tells_figures_and_says_why_not_beside_full_places_and_callers_that_stay() {
+fn the_console_answers_while_clients_and_slow_callers_hold_all_connections() {
     let host = Host::start(|_, text| match text {
         _ if text.contains("id=no,") => Reply::Error("22000"),
         _ if text.contains("c=history") => Reply::Row("v"),
@@ -22,7 +23,7 @@
     proxy.agent.line(&list(42, true, &[(&host, "SERVING")]));
     let zero = serde_json::json!({"success":0,"busy":0,"failure":0,"backend_calls":0});
     assert_eq!(proxy.figures()["calls"]["ingest"], zero);
-    // All places are taken by clients whose writes are out, and more callers than there is room for stay.
+    // Clients with writes in flight hold all connections, and more callers connect than the console serves at once.
     let mut clients: Vec<Client> = (0..29).map(|_| proxy.client()).collect();
     assert_eq!(clients[0].ask(&read("yes", "history", 9000)).value.as_deref(), Some("v"));
     assert_eq!(clients[0].ask(&read("no", "history", 9000)).code, "22000");
@@ -35,18 +36,18 @@
         assert!(sent.elapsed() < PATIENCE, "{}", proxy.figures());
     }
     assert_eq!(Client::connect(proxy.address).answer().code, "53300");
-    let half = |_| {
-        let mut caller = TcpStream::connect(proxy.console).expect("the door is open");
+    let incomplete_call = |_| {
+        let mut caller = TcpStream::connect(proxy.console).expect("the console listens");
         caller.write_all(b"GET /ops/st").expect("written");
         caller
     };
-    let _callers: Vec<TcpStream> = (0..40).map(half).collect();
+    let _callers: Vec<TcpStream> = (0..40).map(incomplete_call).collect();
     let asked = Instant::now();
     assert_eq!(proxy.call("GET", "/ops/readiness", "").0, 200);
     let figures = proxy.figures();
-    assert!(asked.elapsed().as_secs() < 2, "a call waited for those that hold their connections");
+    assert!(asked.elapsed().as_secs() < 2, "a call waited for callers that keep their connections");
     let history = serde_json::json!({"success":1,"busy":0,"failure":1,"backend_calls":2});
-    // Its time is too short for any host: refused on arrival.
+    // Its deadline is too short for any host, so the request is refused on arrival.
     let browse = serde_json::json!({"success":0,"busy":1,"failure":0,"backend_calls":0});
     assert_eq!((&figures["calls"]["history"], &figures["calls"]["browse"]), (&history, &browse));
     assert_eq!((&figures["inflight"], &figures["hosts_listed"]), (&29.into(), &1.into()));
@@ -55,8 +56,8 @@
         ("POST", "/ops/stats", 405, "takes GET"),
         ("GET", "/ops/drain/start", 405, "takes POST"),
     ] {
-        let (said, text) = proxy.call(method, path, "");
-        assert!(said == status && text.contains(why), "{path}: {said} {text}");
+        let (answered, text) = proxy.call(method, path, "");
+        assert!(answered == status && text.contains(why), "{path}: {answered} {text}");
     }
     for (text, status) in [
         ("nonsense\r\n\r\n".to_string(), 400),
@@ -66,12 +67,12 @@
     ] {
         assert_eq!(call(proxy.console, text).0, status);
     }
-    // None of these has changed anything.
+    // None of these calls has changed the state.
     assert_eq!(proxy.call("GET", "/ops/readiness", "").0, 200);
 }
 
 #[test]
-fn a_drain_refuses_the_empty_query_serves_what_is_open_and_ends_every_connection() {
+fn a_drain_refuses_the_empty_query_and_closes_connections_after_their_answers() {
     let (answer_now, may_answer) = std::sync::mpsc::channel::<()>();
     let may_answer = std::sync::Mutex::new(may_answer);
     let host = Host::start(move |_, text| {
@@ -94,7 +95,7 @@
     assert_eq!(proxy.call("GET", "/ops/readiness", "").0, 503);
     let answer = proxy.client().ask("");
     assert_eq!((answer.code.as_str(), answer.end), ("57P03", End::Ready));
-    // One that asks on is served up to the answer behind which it ends, one at rest ends by itself.
+    // A connection that sends further requests is closed after an answer. An idle connection is closed at once.
     (0..).any(|i| other.ask(&read(&format!("o{i}"), "history", 9000)).end == End::Closed);
     assert_eq!(idle.answer().end, End::Closed);
     answer_now.send(()).expect("the host waits");
@@ -108,13 +109,13 @@
 }
 
 #[test]
-fn a_host_left_out_by_hand_gets_nothing_whatever_the_list_says_until_one_call_back() {
-    // Slower by far, so that one slow answer of the replica's does not keep reads from it for long.
+fn a_host_left_out_by_an_override_gets_no_requests_whatever_the_list_says() {
+    // Much slower than the replica, so that one slow answer of the replica does not keep reads away from it for long.
     let primary = Host::start(|_, _| {
         std::thread::sleep(std::time::Duration::from_millis(20));
         Reply::Row("primary")
     });
-    let replica = served("replica");
+    let replica = host_with_value("replica");
     let proxy = Proxy::with_console(&[&primary, &replica], 1024);
     let name = |host: &Host| format!(r#"{{"who":"s-{}"}}"#, host.address.port());
     let mut client = proxy.client();
@@ -126,21 +127,21 @@
     let read_there = |ask: &mut dyn FnMut() -> String| {
         let since = Instant::now();
         while ask() != "replica" {
-            assert!(since.elapsed() < PATIENCE, "a host in use gets no reads");
+            assert!(since.elapsed() < PATIENCE, "a host that is not left out gets no reads");
         }
     };
     assert_eq!(ask(), "replica");
     for (body, status, why) in
         [("{\"who\":\"s-nobody\"}", 404, "s-nobody"), ("{\"who\":7}", 400, "who"), ("s-1", 400, "who")]
     {
-        let (said, text) = proxy.call("POST", "/ops/database-hosts/down", body);
-        assert!(said == status && text.contains(why), "{body}: {said} {text}");
+        let (answered, text) = proxy.call("POST", "/ops/database-hosts/down", body);
+        assert!(answered == status && text.contains(why), "{body}: {answered} {text}");
     }
     read_there(&mut ask);
     for _ in 0..2 {
         assert_eq!(proxy.call("POST", "/ops/database-hosts/down", &name(&replica)).0, 200);
     }
-    // It is restarted meanwhile: it leaves the list and comes back.
+    // The host restarts meanwhile: it leaves the list and returns.
     proxy.agent.asked();
     for (index, status) in [(44, "DELETED"), (45, "SERVING")] {
         proxy.agent.line(&list(index, false, &[(&primary, "SERVING"), (&replica, status)]));
@@ -151,13 +152,13 @@
     let figures = proxy.figures();
     assert_eq!((&figures["hosts_listed"], &figures["hosts_down"]), (&2.into(), &1.into()));
     assert_eq!(proxy.call("POST", "/ops/database-hosts/up", &name(&replica)).0, 200);
-    // Cold, it gets a part of the reads.
+    // The host is cold and gets a part of the reads.
     read_there(&mut ask);
     assert_eq!(proxy.figures()["hosts_down"], 0);
 }
 
 #[test]
-fn a_new_version_takes_over_beside_the_old_one_and_what_was_done_by_hand_binds_both() {
+fn a_new_version_takes_over_and_overrides_apply_to_both_versions() {
     let (answer_now, may_answer) = std::sync::mpsc::channel::<()>();
     let may_answer = std::sync::Mutex::new(may_answer);
     let primary = Host::start(move |_, text| {
@@ -166,7 +167,7 @@
         }
         Reply::Row("primary")
     });
-    let replica = served("replica");
+    let replica = host_with_value("replica");
     let mut old = Proxy::with_console(&[&primary, &replica], 1024);
     let (mut busy, mut idle) = (old.client(), old.client());
     assert_eq!(idle.ask(&read("1", "browse", 9000)).value.as_deref(), Some("replica"));
@@ -174,7 +175,7 @@
     assert_eq!(old.call("POST", "/ops/database-hosts/down", &who).0, 200);
     busy.send(&query(&read("busy", "history", 9000)));
     while !matches!(primary.next(), Seen::Opened) {}
-    // Something that was left over hinders no start.
+    // A file that is no override does not prevent a start.
     std::fs::write(old.directory.join("hosts/zz"), "down soon").expect("written");
     let new = old.beside();
     new.logged("zz: the file is named after no host and is left as it is");
@@ -185,7 +186,7 @@
     new.logged("serves on");
     assert_eq!(new.call("GET", "/ops/readiness", "").0, 200);
     assert_eq!(new.figures()["hosts_down"], 1);
-    // The other process hears of it too; which one serves a newcomer is the machine's choice.
+    // The other process receives it too. The kernel chooses which process serves a new client.
     assert_eq!(new.call("POST", "/ops/database-hosts/up", &who).0, 200);
     old.logged("was used again by a manual override");
     assert_eq!(old.call("POST", "/ops/database-hosts/down", &who).0, 200);
@@ -208,12 +209,12 @@
     new.logged("the other process has ended");
 }
 
-/// A value of 4 MiB, and the longest statement it makes as hexadecimal text.
-const LONG: usize = 4 << 20;
+/// The length of a long value, 4 MiB. A statement that holds it as hexadecimal text has the maximum length.
+const LONG_VALUE_BYTES: usize = 4 << 20;
 
 #[test]
-fn long_values_pass_in_pieces_at_their_reader_s_pace_and_a_slow_one_holds_up_nobody() {
-    let long = row(&"x".repeat(LONG));
+fn a_long_value_is_streamed_at_its_client_s_pace_and_slow_clients_delay_no_other() {
+    let long = row(&"x".repeat(LONG_VALUE_BYTES));
     let host = Host::start(move |_, text| match text {
         _ if text.contains("long") => Reply::Bytes(long.clone()),
         _ => Reply::Row("v"),
@@ -223,26 +224,26 @@
     let mut slow: Vec<Client> = (0..12).map(|_| proxy.client()).collect();
     for (i, client) in slow.iter_mut().enumerate() {
         client.send(&query(&read(&format!("long{i}"), "history", 9000)));
-        // It has begun to read.
+        // The value's first bytes have arrived.
         assert_eq!(client.stream.peek(&mut [0]).expect("an answer"), 1);
         assert_eq!(other.ask(&read(&format!("{i}"), "history", 9000)).value.as_deref(), Some("v"));
     }
     let grown = proxy.memory_kb().saturating_sub(before);
-    assert!(grown < 8 << 10, "{grown} KB more, for 48 MiB that nobody reads");
+    assert!(grown < 8 << 10, "{grown} KB more, for 48 MiB that no client reads");
     for client in &mut slow {
-        assert_eq!(client.answer().value.map(|v| v.len()), Some(LONG));
-        // Its connection serves on.
+        assert_eq!(client.answer().value.map(|v| v.len()), Some(LONG_VALUE_BYTES));
+        // The connection serves further requests.
         assert!(client.ask("").empty);
     }
 }
 
 #[test]
-fn a_long_statement_reaches_its_host_as_it_was_written_and_one_in_vain_is_answered_before_its_end() {
-    let host = served("v");
+fn a_long_statement_is_streamed_unchanged_and_an_early_error_is_answered_before_its_end() {
+    let host = host_with_value("v");
     let proxy = Proxy::start(&[&host], 1024);
     let mut client = proxy.client();
     let text = |id: &str, group: u32| {
-        let value = "ab".repeat(LONG);
+        let value = "ab".repeat(LONG_VALUE_BYTES);
         format!(
             "/* id={id},c=ingest,d=9000,k=5c,cluster={group} */ INSERT INTO e VALUES ('7f', '\\x{value}')"
         )
@@ -250,7 +251,7 @@
     let whole = query(&text("1", 3));
     let (first, rest) = whole.split_at(10_000);
     client.send(first);
-    // It is on its way before its end, and takes no place of others.
+    // It is passed on before its end arrives, and does not delay other requests.
     while host.next() != Seen::Opened {}
     assert_eq!(proxy.client().ask(&read("2", "ingest", 9000)).value.as_deref(), Some("v"));
     rest.chunks(70_001).for_each(|piece| client.send(piece));
@@ -264,7 +265,7 @@
     assert_eq!((answer.code.as_str(), answer.end), ("42704", End::Ready));
     client.send(rest);
     assert_eq!(client.ask(&read("4", "history", 9000)).value.as_deref(), Some("v"));
-    // Whoever stops in the middle hears so.
+    // A client that stops in the middle of a statement gets an error.
     client.send(first);
     assert_eq!(client.answer().end, End::Ready);
     let answer = client.answer();
@@ -272,28 +273,28 @@
 }
 
 #[test]
-fn a_long_value_that_breaks_off_ends_its_client_s_connection_and_is_not_asked_for_again() {
-    let half = row(&"x".repeat(LONG))[..LONG / 2].to_vec();
-    let spoilt = row(&"x".repeat(LONG + 1))[..LONG / 2].to_vec();
+fn a_long_value_that_breaks_off_closes_the_client_s_connection_and_is_not_retried() {
+    let half = row(&"x".repeat(LONG_VALUE_BYTES))[..LONG_VALUE_BYTES / 2].to_vec();
+    let oversized = row(&"x".repeat(LONG_VALUE_BYTES + 1))[..LONG_VALUE_BYTES / 2].to_vec();
     let host = Host::start(move |n, _| match n {
         0 => Reply::Close(half.clone()),
-        1 => Reply::Bytes(spoilt.clone()),
+        1 => Reply::Bytes(oversized.clone()),
         _ => Reply::Row("v"),
     });
     let proxy = Proxy::start(&[&host], 1024);
     let answer = proxy.client().ask(&read("1", "history", 9000));
     assert_eq!((answer.value, answer.end), (None, End::Closed));
-    // Longer than any value: nothing of it was passed on, and another attempt serves.
+    // This value is longer than the maximum. Nothing of it was passed on, and another attempt succeeds.
     assert_eq!(proxy.client().ask(&read("2", "history", 9000)).value.as_deref(), Some("v"));
     assert!([host.query(), host.query(), host.query()].iter().filter(|q| q.contains("id=1,")).count() == 1);
 }
 
-/// A host broke off a long value of which its client had a part, and the connection was closed over requests that were
-/// read behind it: the console counted them as `closed_unanswered`, "2 requests, ValueBrokenOff" in the log. Only the value
-/// is lost by that: its client has an error in place of the command's end, and those behind it their answers.
+/// A host breaks off a long value of which the client has received a part. Guards against closing the client's connection with
+/// pipelined requests unanswered, which the console counted as `closed_unanswered` (log: "2 requests, ValueBrokenOff"). Only the
+/// value is lost: the client gets an error in place of the command's end, then the answers to the requests after it.
 #[test]
 fn a_long_value_that_breaks_off_leaves_the_requests_behind_it_their_answers() {
-    for is_behind_at_once in [true, false] {
+    for is_pipelined_at_once in [true, false] {
         let (reply, pieces) = Reply::in_pieces();
         let host = Host::start(move |_, text| match text {
             _ if text.contains("id=long,") => reply.clone(),
@@ -301,15 +302,17 @@
         });
         let proxy = Proxy::with_console(&[&host], 1024);
         let mut client = proxy.client();
-        let behind = ["2", "3"].map(|id| query(&read(id, "history", 9_000))).concat();
+        let pipelined = ["2", "3"].map(|id| query(&read(id, "history", 9_000))).concat();
         client.send(&query(&read("long", "browse", 9_000)));
-        if is_behind_at_once {
-            client.send(&behind);
+        if is_pipelined_at_once {
+            client.send(&pipelined);
         }
-        pieces.send(row(&"x".repeat(LONG))[..LONG / 2].to_vec()).expect("the host waits");
+        pieces
+            .send(row(&"x".repeat(LONG_VALUE_BYTES))[..LONG_VALUE_BYTES / 2].to_vec())
+            .expect("the host waits");
         assert_eq!(client.stream.peek(&mut [0]).expect("an answer"), 1);
-        if !is_behind_at_once {
-            client.send(&behind);
+        if !is_pipelined_at_once {
+            client.send(&pipelined);
         }
         drop(pieces);
         host.end_connections(b"");
@@ -323,19 +326,20 @@
     }
 }
 
-/// The beginning of an answer with a long value: its row is announced, and nothing of the value is there.
-fn announced() -> Vec<u8> {
-    let mut whole = row(&"x".repeat(LONG));
+/// The beginning of an answer with a long value, up to the value's length.
+fn value_head() -> Vec<u8> {
+    let mut whole = row(&"x".repeat(LONG_VALUE_BYTES));
     let description = 1 + u32::from_be_bytes([whole[1], whole[2], whole[3], whole[4]]) as usize;
-    // The message's head, the number of values, and the value's length.
+    // The row's message head, the number of values, and the value's length.
     whole.truncate(description + 5 + 2 + 4);
     whole
 }
 
-/// Its client has nothing of it yet: it hears that it failed, in its time, and so do those behind it.
+/// The client has received nothing of the value. It gets an error before its deadline, then the answers to the requests after
+/// it.
 #[test]
-fn a_long_value_of_which_nothing_comes_is_answered_as_failed_and_holds_up_nobody_behind_it() {
-    for reply in [Reply::Close(announced()), Reply::Bytes(announced())] {
+fn a_long_value_without_any_byte_fails_and_does_not_delay_the_requests_after_it() {
+    for reply in [Reply::Close(value_head()), Reply::Bytes(value_head())] {
         let host = Host::start(move |_, text| match text {
             _ if text.contains("long") => reply.clone(),
             _ => Reply::Row("v"),
@@ -351,7 +355,7 @@
     }
 }
 
-/// A stop comes while a long value is on its way: its reader gets all of it before the program ends.
+/// The program is stopped while a long value is streamed. The client gets the whole value before the program ends.
 #[test]
 fn a_stop_waits_for_a_long_value_that_is_on_its_way() {
     let (reply, pieces) = Reply::in_pieces();
@@ -359,8 +363,8 @@
     let mut proxy = Proxy::start_with(&[&host], 1024, |c| c.replacen('{', "{\"linger_ms\":1,", 1));
     let mut client = proxy.client();
     client.send(&query(&read("long", "browse", 1_500)));
-    let long = row(&"x".repeat(LONG));
-    let (begun, rest) = long.split_at(LONG / 2);
+    let long = row(&"x".repeat(LONG_VALUE_BYTES));
+    let (begun, rest) = long.split_at(LONG_VALUE_BYTES / 2);
     pieces.send(begun.to_vec()).expect("the host waits");
     assert_eq!(client.stream.peek(&mut [0]).expect("an answer"), 1);
     proxy.signal("TERM");
@@ -368,7 +372,7 @@
     proxy.logged("gives its last answers");
     pieces.send(rest.to_vec()).expect("the host waits");
     drop(pieces);
-    assert_eq!(client.answer().value.map(|v| v.len()), Some(LONG));
+    assert_eq!(client.answer().value.map(|v| v.len()), Some(LONG_VALUE_BYTES));
     assert_eq!(client.answer().end, End::Closed);
     assert!(proxy.wait().success());
 }
