--- a/crates/lab/src/sim/mod.rs
+++ b/crates/lab/src/sim/mod.rs
@@ -331,7 +331,7 @@
             text["peers"] = (0..self.plan.proxies).map(|q| address(4, q, 7946).to_string()).collect();
         }
         let started = seam::with(self.world.seen_by(machine), || {
-            let mut config = Config::of(text.to_string().as_bytes(), Some("/tmp/proxy".into()))?;
+            let mut config = Config::from_text(text.to_string().as_bytes(), Some("/tmp/proxy".into()))?;
             Proxy::start(&mut config, &Default::default(), &Spawner::of(&executor))
         });
         let proxy = match started {
@@ -671,7 +671,7 @@
         let Some(run) = &self.proxies[p] else { return };
         let name = self.fleet.hosts.borrow()[host].name.clone();
         // Before the list has come nobody knows the name.
-        if !run.core.knows(&name) {
+        if !run.core.knows_host(&name) {
             return;
         }
         let told = seam::with(self.world.seen_by(run.machine), || run.upgrade.set_override(&name, out));
@@ -747,7 +747,7 @@
 
     /// Whether a proxy holds nothing but what rests.
     fn given_back(&self, run: &Runs) -> Result<(), String> {
-        let (clients, bytes) = run.clients.admission.held();
+        let (clients, bytes) = run.clients.admission.usage();
         let figures = serde_json::to_value(run.core.figures()).unwrap_or_default();
         let out = figures["inflight"].as_u64().unwrap_or(u64::MAX);
         let machine = self.processes[run.process].machine;
--- a/crates/planner/src/main.rs
+++ b/crates/planner/src/main.rs
@@ -150,7 +150,7 @@
 }
 
 fn read_fleet(path: &Path) -> Result<Fleet, Vec<String>> {
-    let text = sillfold_conf::text(path).map_err(one)?;
+    let text = sillfold_conf::read_text(path).map_err(one)?;
     let name = path.display().to_string();
     let fleet: Fleet = sillfold_conf::parse(&name, &text)?;
     let place = |fault: &String| {
@@ -169,7 +169,7 @@
     for file in files {
         let bytes = std::fs::read(file).map_err(|e| one(format!("{}: {e}", file.display())))?;
         let (capture, fault) =
-            sillfold_capture::read(&bytes).map_err(|f| one(format!("{}: {f}", file.display())))?;
+            sillfold_capture::parse(&bytes).map_err(|f| one(format!("{}: {f}", file.display())))?;
         notes.extend(fault.map(|f| format!("{}: {f}; what is before counts", file.display())));
         let sum = capture.summary();
         seconds = if side_by_side { seconds.max(sum.seconds) } else { seconds + sum.seconds };
@@ -201,7 +201,7 @@
         let fleet = read_fleet(&self.fleet)?;
         let mut load = match &self.load {
             Some(path) => {
-                let text = sillfold_conf::text(path).map_err(one)?;
+                let text = sillfold_conf::read_text(path).map_err(one)?;
                 sillfold_conf::parse(&path.display().to_string(), &text)?
             }
             None => captured(&self.capture, self.side_by_side, &mut notes)?,
@@ -395,7 +395,7 @@
 fn show(file: &Path, json: bool) -> Result<ExitCode, Vec<String>> {
     let bytes = std::fs::read(file).map_err(|e| one(format!("{}: {e}", file.display())))?;
     let (capture, fault) =
-        sillfold_capture::read(&bytes).map_err(|f| one(format!("{}: {f}", file.display())))?;
+        sillfold_capture::parse(&bytes).map_err(|f| one(format!("{}: {f}", file.display())))?;
     let sum = capture.summary();
     if json {
         println!("{}", serde_json::json!({"header": capture.header, "summary": sum}));
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -1,84 +1,90 @@
-//! Decides about plain statements: their class, deadline, group and cost. Pure: no clock, no I/O; it is told
-//! what came and what it took, and says where it goes.
+//! Routing of plain statements: their class, deadline and group by the operator's rules, and their expected duration.
+//! Pure, without a clock or I/O: the caller passes the statements and reports how long they took.
 //!
 //! ```
-//! use sillfold_route::{Desk, Options, Target};
+//! use sillfold_route::{Options, StatementRouter, Target};
 //!
-//! let mut desk = Desk::new(Options::default());
-//! let read = desk.read("SELECT nextval('s')").unwrap();
-//! assert_eq!(read.target(), Target::Primary);
+//! let mut router = StatementRouter::new(Options::default());
+//! let statement = router.read("SELECT nextval('s')").unwrap();
+//! assert_eq!(statement.target(), Target::Primary);
 //! ```
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod block;
 mod cache;
 mod cost;
 mod hash;
+mod own_writes;
 mod rules;
-mod writes;
+mod transaction;
 
-pub use block::{Block, Met};
-pub use cache::{Asked, Shape, Shapes};
-pub use cost::{Costs, Estimate, Sketch};
+pub use cache::{CacheStats, Shape, ShapeCache};
+pub use cost::{CostModel, DurationHistogram, Estimate};
 pub use hash::fnv1a;
-pub use rules::{Band, Classes, Facts, Fault, Group, NoRoute, Pattern, Rule, faults, rendezvous};
+pub use own_writes::OwnWrites;
+pub use rules::{
+    Classes, DurationRange, GroupError, GroupSelector, Rule, RuleFault, StatementFacts, TablePattern,
+    find_faults, rendezvous,
+};
 pub use sillfold_sql as sql;
-pub use writes::OwnWrites;
+pub use transaction::{TransactionState, TransactionStep};
 
-use sillfold_sql::{Additions, Bounds, Control, Effect, Functions, Reading, Unreadable, Unsupported, judge};
+use sillfold_sql::{
+    Effect, FunctionAdditions, Functions, ParseLimits, ReadError, StatementReader, TransactionControl,
+    Unsupported, analyze,
+};
 use std::borrow::Cow;
 use std::rc::Rc;
 
-/// A reading keeps this much of its memory for the next one.
-const KEPT_BYTES: usize = 64 * 1024;
+/// The statement reader keeps its buffers for the next statement, up to this many bytes.
+const READER_BUFFER_BYTES: usize = 64 * 1024;
 
-/// What operators set.
+/// The operator's settings for plain statements.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The rules, the first that matches counts.
+    /// The rules. The first that matches counts.
     pub rules: Vec<Rule>,
-    /// Whether several statements in one text go to the primary whole; refused otherwise.
-    pub several: bool,
-    /// Bytes that the shape cache may hold.
+    /// Whether a text with several statements goes to the primary as a whole. If not, it is refused.
+    pub allow_multiple_statements: bool,
+    /// The size of the shape cache.
     pub cache_bytes: usize,
-    /// The longest shape that is kept, in bytes.
-    pub longest_kept: usize,
-    /// Bounds on the work for one statement.
-    pub bounds: Bounds,
-    /// What the simplest statement takes until better is known, in microseconds.
-    pub base_us: u64,
-    /// What is known of functions beside the list.
-    pub additions: Additions,
+    /// The longest shape that is cached.
+    pub max_cached_shape_bytes: usize,
+    /// Limits on the work for one statement.
+    pub limits: ParseLimits,
+    /// The assumed duration of the simplest statement until durations are recorded, in microseconds.
+    pub base_cost_us: u64,
+    /// The operator's additions to the built-in list of functions.
+    pub function_additions: FunctionAdditions,
 }
 
 impl Default for Options {
     fn default() -> Options {
         Options {
             rules: Vec::new(),
-            several: true,
+            allow_multiple_statements: true,
             cache_bytes: 2 << 20,
-            longest_kept: 8 * 1024,
-            bounds: Bounds::default(),
-            base_us: 2_000,
-            additions: Additions::default(),
+            max_cached_shape_bytes: 8 * 1024,
+            limits: ParseLimits::default(),
+            base_cost_us: 2_000,
+            function_additions: FunctionAdditions::default(),
         }
     }
 }
 
-/// Where a statement goes, by what it does.
+/// Which hosts may run a statement, by its effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Target {
     /// Any member that is current enough.
     Replica,
     /// Only the primary.
     Primary,
-    /// Nowhere.
+    /// None.
     Refuse,
 }
 
 impl Target {
-    /// Its name, as `explain` prints it.
+    /// The target's name, as `explain` prints it.
     pub fn name(self) -> &'static str {
         match self {
             Target::Replica => "replica",
@@ -88,95 +94,98 @@
     }
 }
 
-/// What was read of one statement's text.
-pub struct Read {
-    /// Its shape, with what was learnt of it.
+/// What is known of a statement's text once it was read.
+pub struct StatementInfo {
+    /// The shape, with its analysis and its measured durations.
     pub shape: Rc<Shape>,
-    /// Whether the cache had it.
+    /// Whether the shape came from the cache.
     pub cached: bool,
-    /// Statements in the text.
-    pub statements: usize,
-    /// What it does, maybe more strictly than its shape says.
+    /// The number of statements in the text.
+    pub statement_count: usize,
+    /// The effect, which may be stricter than the shape's.
     pub effect: Effect,
-    /// Why.
-    pub why: Cow<'static, str>,
-    /// What it is expected to take.
+    /// The reason for the effect.
+    pub reason: Cow<'static, str>,
+    /// The expected duration.
     pub estimate: Estimate,
-    unsure: bool,
+    quoting_is_ambiguous: bool,
 }
 
-impl Read {
-    /// What it says of transactions.
-    pub fn control(&self) -> Option<Control> {
+impl StatementInfo {
+    /// The last transaction control in the text.
+    pub fn transaction_control(&self) -> Option<TransactionControl> {
         match self.shape.analysis.unsupported {
             Some(Unsupported::Transaction(control)) => Some(control),
             _ => None,
         }
     }
 
-    /// Where it goes by its effect alone.
+    /// Where the statement goes by its effect alone, without the rules.
     pub fn target(&self) -> Target {
         match self.effect {
             _ if self.shape.analysis.unsupported.is_some() => Target::Refuse,
-            Effect::Read if self.statements == 1 => Target::Replica,
+            Effect::Read if self.statement_count == 1 => Target::Replica,
             Effect::Read | Effect::Write => Target::Primary,
             Effect::Session | Effect::Invalid => Target::Refuse,
         }
     }
 }
 
-/// A statement's terms.
+/// How a statement is to be served.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// The rule that gave them, by its place.
-    pub rule: usize,
-    /// Whether only the primary may run it.
+    /// The index of the rule that matched.
+    pub rule_index: usize,
+    /// Whether only the primary may run the statement.
     pub writes: bool,
-    /// Its group.
+    /// The statement's group.
     pub group: u32,
-    /// How long its client waits, in milliseconds.
+    /// How long the client waits, in milliseconds.
     pub deadline_ms: u64,
-    /// What an attempt is expected to take, in microseconds.
+    /// The expected duration of an attempt, in microseconds.
     pub expected_us: u64,
 }
 
-/// Why a statement is not served.
+/// Why a statement is not served. The text is sent to the client.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Refusal {
-    /// It can't be carried here: a transaction, state of a session, COPY, several statements.
-    NotCarried(String),
-    /// No rule gives it a route.
+pub enum RouteError {
+    /// The proxy doesn't support it: a transaction, session state, COPY or several statements in one text.
+    NotSupported(String),
+    /// No rule matches it, or the rule that does determines no group.
     NoRoute(String),
 }
 
-/// The desk at which statements are read and given their terms. Owns the cache, the costs and the rules.
-pub struct Desk {
+/// Reads statements and routes them by the rules. Owns the shape cache, the cost model and the rules.
+pub struct StatementRouter {
     options: Options,
     functions: Functions,
-    reading: Reading,
-    shapes: Shapes,
-    costs: Costs,
+    reader: StatementReader,
+    shape_cache: ShapeCache,
+    costs: CostModel,
 }
 
-impl Desk {
-    /// A desk that has seen nothing.
-    pub fn new(options: Options) -> Desk {
-        Desk {
-            functions: Functions::new(&options.additions),
-            reading: Reading::default(),
-            shapes: Shapes::new(options.cache_bytes, options.longest_kept),
-            costs: Costs::new(options.base_us),
+impl StatementRouter {
+    /// A router with an empty cache and no recorded durations.
+    pub fn new(options: Options) -> StatementRouter {
+        StatementRouter {
+            functions: Functions::new(&options.function_additions),
+            reader: StatementReader::default(),
+            shape_cache: ShapeCache::new(options.cache_bytes, options.max_cached_shape_bytes),
+            costs: CostModel::new(options.base_cost_us),
             options,
         }
     }
 
-    /// Other options from now on. Shapes and what was learnt of them stay, unless their verdicts may differ.
-    pub fn replace(&mut self, options: Options) {
-        let keys = |o: &Options| (o.cache_bytes, o.longest_kept, o.bounds, o.additions.clone(), o.base_us);
-        if keys(&options) == keys(&self.options) {
+    /// Replaces the options. The cache and the recorded durations are kept if only the rules and the handling of
+    /// several statements changed; any other change may alter an analysis or an estimate, and discards them.
+    pub fn replace_options(&mut self, options: Options) {
+        let cache_inputs = |o: &Options| {
+            (o.cache_bytes, o.max_cached_shape_bytes, o.limits, o.function_additions.clone(), o.base_cost_us)
+        };
+        if cache_inputs(&options) == cache_inputs(&self.options) {
             self.options = options;
         } else {
-            *self = Desk::new(options);
+            *self = StatementRouter::new(options);
         }
     }
 
@@ -185,95 +194,106 @@
         &self.options.rules
     }
 
-    /// The cache, for its figures.
-    pub fn shapes(&self) -> &Shapes {
-        &self.shapes
+    /// The shape cache, for its figures.
+    pub fn shape_cache(&self) -> &ShapeCache {
+        &self.shape_cache
     }
 
-    /// Reads a statement: its shape, from the cache or judged now.
-    pub fn read(&mut self, text: &str) -> Result<Read, Unreadable> {
-        self.reading.shrink(KEPT_BYTES);
-        self.reading.read(text)?;
-        let (shape, cached) = match self.shapes.get(self.reading.shape_bytes()) {
+    /// Reads a statement and looks up its shape in the cache. A new shape is analyzed and offered to the cache.
+    pub fn read(&mut self, text: &str) -> Result<StatementInfo, ReadError> {
+        self.reader.shrink(READER_BUFFER_BYTES);
+        self.reader.read(text)?;
+        let (shape, cached) = match self.shape_cache.get(self.reader.shape_bytes()) {
             Some(shape) => (shape, true),
             None => {
-                let analysis = judge(self.reading.shape(), &self.functions, &self.options.bounds);
-                let shape = Rc::new(Shape::new(self.reading.shape(), analysis));
-                self.shapes.put(shape.clone());
+                let analysis = analyze(self.reader.shape(), &self.functions, &self.options.limits);
+                let shape = Rc::new(Shape::new(self.reader.shape(), analysis));
+                self.shape_cache.put(shape.clone());
                 (shape, false)
             }
         };
         let estimate = shape.estimate(&self.costs);
-        let unsure = self.reading.unsure();
-        // Not the shape's alone: another setting of the server may cut this text otherwise.
-        let (effect, why) = if unsure {
-            let stricter = self.reading.unsure_of(shape.analysis.clone());
-            (stricter.effect, stricter.why)
+        let quoting_is_ambiguous = self.reader.quoting_is_ambiguous();
+        // The effect depends on the text too, not on the shape alone: with another setting, the server may end a string
+        // of this text elsewhere.
+        let (effect, reason) = if quoting_is_ambiguous {
+            let stricter = self.reader.restrict_if_ambiguous(shape.analysis.clone());
+            (stricter.effect, stricter.reason)
         } else {
-            (shape.analysis.effect, shape.analysis.why.clone())
+            (shape.analysis.effect, shape.analysis.reason.clone())
         };
-        let statements = self.reading.statements();
-        Ok(Read { shape, cached, statements, effect, why, estimate, unsure })
+        let statement_count = self.reader.statement_count();
+        Ok(StatementInfo { shape, cached, statement_count, effect, reason, estimate, quoting_is_ambiguous })
     }
 
-    /// What a text says of transactions, if it can be read.
-    pub fn control(&mut self, text: &str) -> Option<Control> {
-        self.read(text).ok()?.control()
+    /// The last transaction control in a text, if the text can be read.
+    pub fn transaction_control(&mut self, text: &str) -> Option<TransactionControl> {
+        self.read(text).ok()?.transaction_control()
     }
 
-    /// The terms of the statement that was read last; `text` is its text.
-    pub fn route(&self, read: &Read, text: &str, user: &str, database: &str) -> Result<Route, Refusal> {
-        let analysis = &read.shape.analysis;
-        if let Some(what) =
-            analysis.unsupported.or((read.effect == Effect::Session).then_some(Unsupported::Session))
+    /// The route of the statement that was read last. `text` must be the text that `statement` was read from.
+    pub fn route(
+        &self, statement: &StatementInfo, text: &str, user: &str, database: &str,
+    ) -> Result<Route, RouteError> {
+        let analysis = &statement.shape.analysis;
+        if let Some(unsupported) =
+            analysis.unsupported.or((statement.effect == Effect::Session).then_some(Unsupported::Session))
         {
-            let what = match what {
+            let message = match unsupported {
                 Unsupported::Transaction(_) => "no transaction is kept here",
                 Unsupported::Session => "no state of a session is kept here",
                 Unsupported::Copy => "no data stream is carried here",
             };
-            return Err(Refusal::NotCarried(format!("{what}: {}", read.why)));
+            return Err(RouteError::NotSupported(format!("{message}: {}", statement.reason)));
         }
-        if read.statements > 1 && !self.options.several {
-            let what = format!("{} statements in one text are not served here", read.statements);
-            return Err(Refusal::NotCarried(what));
+        if statement.statement_count > 1 && !self.options.allow_multiple_statements {
+            let message = format!("{} statements in one text are not served here", statement.statement_count);
+            return Err(RouteError::NotSupported(message));
         }
         let stricter;
-        let analysis = if read.unsure {
-            stricter = sillfold_sql::Analysis { effect: read.effect, ..analysis.clone() };
+        let analysis = if statement.quoting_is_ambiguous {
+            stricter = sillfold_sql::Analysis { effect: statement.effect, ..analysis.clone() };
             &stricter
         } else {
             analysis
         };
-        let Estimate { p50_us, p95_us, .. } = read.estimate;
-        let facts = Facts { analysis, statements: read.statements, p50_us, p95_us, user, database };
+        let Estimate { p50_us, p95_us, .. } = statement.estimate;
+        let facts = StatementFacts {
+            analysis,
+            statement_count: statement.statement_count,
+            p50_us,
+            p95_us,
+            user,
+            database,
+        };
         let writes = facts.effect() != Effect::Read;
         let found = self.options.rules.iter().enumerate().find(|(_, r)| r.matches(&facts));
-        let Some((rule, terms)) = found else {
+        let Some((rule_index, rule)) = found else {
             let tables = match analysis.tables.as_slice() {
                 [] => "no tables".to_string(),
                 tables => format!("tables {}", tables.join(", ")),
             };
-            return Err(Refusal::NoRoute(format!(
+            return Err(RouteError::NoRoute(format!(
                 "no rule takes this {} of {tables}, about {} ms, by {user:?} in {database:?}: {}",
                 facts.effect().name(),
                 p50_us.div_ceil(1_000),
-                read.why
+                statement.reason
             )));
         };
-        let slots = self.reading.slots();
-        let literal = |slot: u16| {
-            let slot = slots.get(usize::from(slot))?;
-            Some((text.get(slot.at.clone())?, slot.many))
+        let literals = self.reader.literals();
+        let literal = |index: u16| {
+            let literal = literals.get(usize::from(index))?;
+            Some((text.get(literal.span.clone())?, literal.folded))
         };
-        // A text that may be cut otherwise may have other literals too.
-        let literal = |slot: u16| literal(slot).filter(|_| !read.unsure);
-        let group = terms.group(&facts, literal).map_err(|NoRoute(what)| Refusal::NoRoute(what))?;
-        Ok(Route { rule, writes, group, deadline_ms: terms.deadline_ms, expected_us: p50_us })
+        // The server may find other literals in a text whose quoting is ambiguous, so none of them may give the group.
+        let literal = |index: u16| literal(index).filter(|_| !statement.quoting_is_ambiguous);
+        let group =
+            rule.group(&facts, literal).map_err(|GroupError(message)| RouteError::NoRoute(message))?;
+        Ok(Route { rule_index, writes, group, deadline_ms: rule.deadline_ms, expected_us: p50_us })
     }
 
-    /// A statement of this shape was served in this time.
-    pub fn learn(&mut self, shape: &Shape, us: u64) {
-        shape.learn(&mut self.costs, us);
+    /// Records how long a statement of this shape took, in microseconds.
+    pub fn record_duration(&mut self, shape: &Shape, us: u64) {
+        shape.record_duration(&mut self.costs, us);
     }
 }
--- a/src/net/capture.rs
+++ b/src/net/capture.rs
@@ -5,7 +5,7 @@
 use super::core::Core;
 use super::world;
 use crate::operator::CaptureConf;
-use sillfold_capture::{Header, Recorder, VERSION, line};
+use sillfold_capture::{Header, Recorder, VERSION, encode_line};
 use std::fs::{self, OpenOptions};
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
@@ -16,7 +16,7 @@
 /// Records load until the future is dropped. Returns at once if the operator's file names no file.
 pub async fn run(core: Rc<Core>, conf: CaptureConf, name: String) {
     let Some(file) = conf.file.as_ref().map(PathBuf::from) else { return };
-    core.record(Some(Recorder::new(core.dialect.classes.clone(), conf.sample)));
+    core.set_recorder(Some(Recorder::new(core.program_settings.class_names.clone(), conf.sample)));
     info!(target: "capture", "load is recorded to {}", file.display());
     let started_ms = core.clock.now() / 1_000;
     let header = Header { sillfold_capture: VERSION, name, started_ms, sample: conf.sample };
@@ -30,9 +30,9 @@
         world::at(due).await;
         due = (due + interval).max(world::now());
         let now_ms = core.clock.now() / 1_000;
-        let Some(record) = core.recorded(interval_start_ms, now_ms - interval_start_ms) else { return };
+        let Some(record) = core.take_record(interval_start_ms, now_ms - interval_start_ms) else { return };
         interval_start_ms = now_ms;
-        let (Ok(header), Ok(record)) = (line(&header), line(&record)) else { continue };
+        let (Ok(header), Ok(record)) = (encode_line(&header), encode_line(&record)) else { continue };
         let path = file.clone();
         let max_bytes = conf.most_kb * 1024;
         let keep = conf.keep;
--- a/src/net/console.rs
+++ b/src/net/console.rs
@@ -134,7 +134,7 @@
             Ok(HostCall { who }) => who,
             Err(e) => return error_answer(400, format!("the body is no {{\"who\":\"ID\"}}: {e}")),
         };
-        if !self.core.knows(&host) {
+        if !self.core.knows_host(&host) {
             return error_answer(404, format!("no database host is called {host:?}"));
         }
         match self.upgrade.set_override(&host, left_out) {
@@ -167,7 +167,7 @@
             return error_answer(405, format!("{path} takes {method}, not {}", call.method));
         }
         match path {
-            "/ops/readiness" => match self.clients.admission.unready() {
+            "/ops/readiness" => match self.clients.admission.not_ready_reason() {
                 None => Answer(200, json!({"ready": true})),
                 Some(why) => Answer(503, json!({"ready": false, "why": why})),
             },
@@ -190,11 +190,11 @@
             "/ops/database-hosts/down" => self.override_host(&call.body, true),
             "/ops/database-hosts/up" => self.override_host(&call.body, false),
             "/ops/drain/start" => {
-                self.clients.admission.drain();
+                self.clients.admission.start_draining();
                 Answer(200, json!({"draining": true}))
             }
             _ => {
-                self.clients.admission.undrain();
+                self.clients.admission.stop_draining();
                 Answer(200, json!({"draining": false}))
             }
         }
--- a/src/net/host_overrides.rs
+++ b/src/net/host_overrides.rs
@@ -49,7 +49,7 @@
     pub fn set(&self, host: &str, left_out: bool) -> Result<AppliedOverride, String> {
         // Another process may have accepted an override that this one has not received yet.
         self.read_folder(false);
-        if self.core.is_out(host) != left_out {
+        if self.core.is_left_out(host) != left_out {
             self.set_new(host, left_out)?;
         }
         let is_saved = self.table.borrow().is_saved(host, self.core.clock.now());
@@ -67,7 +67,7 @@
         self.table.borrow_mut().record(host, value);
         let state = if left_out { "left out" } else { "used again" };
         info!(target: "upgrade", "{host} is {state} by an operator's call to this process");
-        self.core.by_hand(host, left_out, value.stamp);
+        self.core.override_host(host, left_out, value.stamp);
         Ok(())
     }
 
@@ -174,6 +174,6 @@
     fn apply(&self, host: &str, value: HostOverride) {
         let state = if value.left_out { "left out" } else { "used again" };
         info!(target: "upgrade", "{host} was {state} by a manual override");
-        self.core.by_hand(host, value.left_out, value.stamp);
+        self.core.override_host(host, value.left_out, value.stamp);
     }
 }
--- a/src/net/hosts.rs
+++ b/src/net/hosts.rs
@@ -6,13 +6,13 @@
 
 mod connection;
 
-use super::core::{Chore, Clock, Core, StreamedWrite};
+use super::core::{Clock, Core, HostTask, StreamedWrite};
 use super::listing::{Listing, Status};
 use super::world::{self, Spawner};
 use super::{ResourceUsage, SharedLimit, read_into, timeout_at, warn_rate_limited};
-use crate::invariants::{self, Denial, RequestStart, Start, Started};
+use crate::invariants::{self, AttemptStart, Denial, RequestStart, StartedAttempt};
 use crate::mutants;
-use crate::pg::{self, Backend, Column, ErrorFields, Passed, Passing, PlainError, Statement};
+use crate::pg::{self, AnswerForwarder, Backend, Column, ErrorFields, ForwardStep, PlainError, Statement};
 use crate::{HostId, HostReport, Micros, Outcome, Role};
 use async_channel::Receiver;
 pub use connection::CompletedAttempt;
@@ -65,7 +65,7 @@
 
 /// The conditions under which the start of an attempt was allowed, and when they were checked.
 pub struct ApprovedStart {
-    start: Start,
+    start: AttemptStart,
     at: Micros,
 }
 
@@ -106,19 +106,19 @@
     /// Appends the next piece of the value and returns its length, 0 at the value's end. Fails if the value breaks off.
     pub async fn read_piece(&mut self, out: &mut Vec<u8>) -> io::Result<usize> {
         let c = &mut self.attempt.connection;
-        if self.remaining > 0 && c.inbox.is_empty() {
+        if self.remaining > 0 && c.read_buffer.is_empty() {
             let stall_deadline = world::now() + STALL_TIMEOUT;
             let deadline = if self.remaining == self.value_bytes {
                 stall_deadline.min(self.first_byte_deadline)
             } else {
                 stall_deadline
             };
-            let read = timeout_at(deadline, read_into(&c.stream, &mut c.inbox)).await;
+            let read = timeout_at(deadline, read_into(&c.stream, &mut c.read_buffer)).await;
             if read.unwrap_or_else(|| Err(ErrorKind::TimedOut.into()))? == 0 {
                 return Err(ErrorKind::UnexpectedEof.into());
             }
         }
-        let n = c.inbox.move_to(out, self.remaining);
+        let n = c.read_buffer.move_to(out, self.remaining);
         self.remaining -= n;
         Ok(n)
     }
@@ -127,7 +127,7 @@
 /// The answer to a plain statement, of which a part is not read yet.
 pub struct StreamedAnswer {
     attempt: AttemptConnection,
-    passing: Passing,
+    forwarder: AnswerForwarder,
     /// What the answer has reported about its host so far.
     pub report: HostReport,
     /// The beginning of the answer, for the client.
@@ -148,8 +148,8 @@
 
 impl StreamedAnswer {
     fn new(attempt: AttemptConnection) -> StreamedAnswer {
-        let (passing, report, beginning) = Default::default();
-        StreamedAnswer { attempt, passing, report, beginning, is_session_changed: false }
+        let (forwarder, report, beginning) = Default::default();
+        StreamedAnswer { attempt, forwarder, report, beginning, is_session_changed: false }
     }
 
     /// Appends what has arrived of the answer, up to `max_bytes` in `out`. Waits only if nothing has arrived.
@@ -157,18 +157,18 @@
         let c = &mut self.attempt.connection;
         let mut has_progress = false;
         while out.len() < max_bytes {
-            match self.passing.pass(&mut c.inbox, out).map_err(|e| ReadError::Protocol(e.0))? {
-                Passed::Some => has_progress = true,
-                Passed::Starved if has_progress => break,
-                Passed::Starved => match read_into(&c.stream, &mut c.inbox).await {
+            match self.forwarder.forward(&mut c.read_buffer, out).map_err(|e| ReadError::Protocol(e.0))? {
+                ForwardStep::Forwarded => has_progress = true,
+                ForwardStep::NeedsInput if has_progress => break,
+                ForwardStep::NeedsInput => match read_into(&c.stream, &mut c.read_buffer).await {
                     Ok(1..) => has_progress = true,
                     _ => return Err(ReadError::Disconnected),
                 },
-                Passed::Note { name, value } => {
+                ForwardStep::ParameterStatus { name, value } => {
                     self.is_session_changed |= !apply_parameter(&mut self.report, &name, &value);
                 }
-                Passed::Refused(e) => return Ok(AnswerStep::Rejected(e)),
-                Passed::Ready(idle) => {
+                ForwardStep::Error(e) => return Ok(AnswerStep::Rejected(e)),
+                ForwardStep::Ready(idle) => {
                     self.is_session_changed |= !idle;
                     return Ok(AnswerStep::Complete);
                 }
@@ -221,8 +221,8 @@
             pools: RefCell::default(),
             open: Rc::default(),
             limit: SharedLimit::new(limit),
-            connect_timeout: Duration::from_micros(core.dialect.dial_timeout_us),
-            max_idle: Duration::from_micros(core.dialect.keepalive_us).mul_f64(USABLE_IDLE_SHARE),
+            connect_timeout: Duration::from_micros(core.program_settings.dial_timeout_us),
+            max_idle: Duration::from_micros(core.program_settings.keepalive_us).mul_f64(USABLE_IDLE_SHARE),
             drain_grace,
             core,
         }
@@ -246,7 +246,7 @@
     /// Applies a message of discovery. `ids` are the numbers of its entries.
     pub fn listed(&self, ids: &[HostId], listing: &Listing) {
         let mut pools = self.pools.borrow_mut();
-        for forgotten in self.core.forget() {
+        for forgotten in self.core.forget_removed_hosts() {
             pools.remove(&forgotten);
         }
         let now = world::now();
@@ -305,10 +305,10 @@
         let extra_ms = if mutants::on("patience grows") { 1_000 } else { 0 };
         let patience_ms = deadline.saturating_sub(start.at).div_ceil(1_000).max(1) + extra_ms;
         let mut query = Vec::new();
-        pg::put_query(&mut query, &statement.with_patience(patience_ms));
+        pg::put_query(&mut query, &statement.with_deadline(patience_ms));
         // The statement's head holds the time that is left. The last byte must not be written once that is outdated.
         // Without its last byte nothing of the statement has run.
-        let write_deadline = self.core.clock.instant(invariants::write_until(start.at));
+        let write_deadline = self.core.clock.instant(invariants::write_deadline(start.at));
         match timeout_at(deadline_instant.min(write_deadline), attempt.connection.stream.write_all(&query))
             .await
         {
@@ -322,15 +322,15 @@
         self.read_answer(attempt, deadline, partial).await
     }
 
-    /// Reports an invariant that a written attempt has broken, if any. `patience` is the time that the statement tells
+    /// Reports an invariant that a written attempt has broken, if any. `announced_time` is the time that the statement tells
     /// its host, and `give_up_at` is when the attempt ends.
     pub fn check_started(
-        &self, attempt: &AttemptConnection, start: &ApprovedStart, id: &str, patience: Micros,
+        &self, attempt: &AttemptConnection, start: &ApprovedStart, id: &str, announced_time: Micros,
         give_up_at: Micros,
     ) {
         let now = self.core.clock.now();
-        let off_for = start.start.off_for.map(|off| off + now.saturating_sub(start.at));
-        let started = Started { off_for, patience, give_up_at };
+        let unavailable_for = start.start.unavailable_for.map(|off| off + now.saturating_sub(start.at));
+        let started = StartedAttempt { unavailable_for, announced_time, give_up_at };
         if let Some(violation) = invariants::check_started(&start.start, &started, now) {
             let address = attempt.connection.address;
             self.core.events.violated(violation, &format_args!("id {id:?} at {address}"));
@@ -365,7 +365,7 @@
                 let plain_stream = Some(Box::new(answer));
                 CompletedAttempt { report, plain_stream, ..CompletedAttempt::without_answer(Outcome::Ok) }
             }
-            Ok(AnswerStep::Complete) if answer.passing.begun() => {
+            Ok(AnswerStep::Complete) if answer.forwarder.started() => {
                 self.return_plain_connection(answer);
                 CompletedAttempt {
                     report,
@@ -390,9 +390,9 @@
                 if timeout_at(world::now() + READY_TIMEOUT, ready).await == Some(true) {
                     self.return_plain_connection(answer);
                 }
-                let outcome = match pg::plain_error(&e.code, writes) {
-                    PlainError::Miss => Outcome::Unsuitable,
-                    PlainError::Full => Outcome::Overloaded,
+                let outcome = match pg::classify_plain_error(&e.code, writes) {
+                    PlainError::Unsuitable => Outcome::Unsuitable,
+                    PlainError::Overloaded => Outcome::Overloaded,
                     PlainError::Failed => Outcome::Error,
                     PlainError::Answer => {
                         let statement_error = Some(e);
@@ -418,7 +418,7 @@
     /// Returns the connection of a complete answer to its pool, if its session is unchanged.
     pub fn return_plain_connection(&self, answer: StreamedAnswer) {
         // Guards against a setting or an open transaction that would affect the next client's statement.
-        if !answer.is_session_changed && answer.attempt.connection.inbox.is_empty() {
+        if !answer.is_session_changed && answer.attempt.connection.read_buffer.is_empty() {
             self.return_to_pool(answer.attempt.host, answer.attempt.connection);
         }
     }
@@ -446,9 +446,9 @@
             None => return Err(Outcome::ConnectFailed),
         };
         let at = self.core.clock.now();
-        let AttemptContext { client_disconnected: client_left, request } = context(at);
-        let (off_for, drain_grace) = (self.off_for(host), self.drain_grace);
-        let start = Start { off_for, drain_grace, client_left, request };
+        let AttemptContext { client_disconnected, request } = context(at);
+        let (unavailable_for, drain_grace) = (self.unavailable_for(host), self.drain_grace);
+        let start = AttemptStart { unavailable_for, drain_grace, client_disconnected, request };
         if let Err(denial) = invariants::may_start(&start, at) {
             self.core.events.denied(id, denial);
             if denial != Denial::HostOff {
@@ -471,7 +471,7 @@
         // The report of a replica is passed to the core at once, since the rest of the answer may never come.
         let on_wait = || {
             if partial.get().role == Some(Role::Replica) && !is_reported.replace(true) {
-                self.core.noted(host, partial.get());
+                self.core.partial_answer(host, partial.get());
             }
         };
         match timeout_at(self.core.clock.instant(deadline), attempt.connection.read_answer(partial, on_wait))
@@ -529,9 +529,9 @@
         }
         if report.role == Some(Role::Replica) {
             // The value was read long before, so the position of that time does not show how far the host lags now.
-            self.core.noted(host, HostReport { position: None, ..report });
+            self.core.partial_answer(host, HostReport { position: None, ..report });
         }
-        if ready == Some(Backend::ReadyForQuery) && connection.inbox.is_empty() {
+        if ready == Some(Backend::ReadyForQuery) && connection.read_buffer.is_empty() {
             self.return_to_pool(host, connection);
         }
         Some(tag)
@@ -542,7 +542,7 @@
         let deadline = world::now() + self.connect_timeout;
         let report = timeout_at(deadline, async {
             let mut connection = self.connection(host, &Cell::default()).await.ok()?;
-            if !invariants::takes_new(self.off_for(host), self.drain_grace) {
+            if !invariants::accepts_new_attempts(self.unavailable_for(host), self.drain_grace) {
                 return None;
             }
             let mut query = Vec::new();
@@ -559,30 +559,30 @@
             Some(self.parse_report(std::str::from_utf8(&value).ok()?))
         });
         let report = report.await.flatten();
-        self.core.probed(host, report);
+        self.core.probe_finished(host, report);
     }
 
     /// Parses the answer to `SHOW usage`, such as `x0=1767225600.123,x1=1,util=0.61`. The settings name the fields.
     fn parse_report(&self, text: &str) -> HostReport {
-        let d = &self.core.dialect;
+        let d = &self.core.program_settings;
         let get = |index: Option<usize>| {
-            let name = d.fields.get(index?)?;
+            let name = d.report_fields.get(index?)?;
             let value = text.split(',').filter_map(|p| p.split_once('=')).find(|p| p.0.trim() == name)?.1;
             value.trim().parse::<f64>().ok().filter(|v| v.is_finite() && *v >= 0.0)
         };
         HostReport {
-            position: get(d.position).map(Clock::from_unix_s),
-            role: get(d.role).map(|r| if r > 0.5 { Role::Primary } else { Role::Replica }),
-            in_flight: get(d.in_flight),
+            position: get(d.position_index).map(Clock::from_unix_s),
+            role: get(d.role_index).map(|r| if r > 0.5 { Role::Primary } else { Role::Replica }),
+            in_flight: get(d.in_flight_index),
         }
     }
 
     /// How long it has been known that the host drains, is removed or is left out by a manual override. `None` if none of
     /// these is true.
-    fn off_for(&self, host: HostId) -> Option<Micros> {
+    fn unavailable_for(&self, host: HostId) -> Option<Micros> {
         let off_since = self.pools.borrow().get(&host).and_then(|pool| pool.off_since);
         let off_by_list = off_since.map(|at| world::since(at).as_micros() as Micros);
-        let override_since = self.core.out_since(host);
+        let override_since = self.core.left_out_since(host);
         let off_by_override = override_since.map(|at| self.core.clock.now().saturating_sub(at));
         off_by_list.max(off_by_override)
     }
@@ -620,7 +620,7 @@
 
     /// Returns a connection to its host's pool, unless the host is off.
     fn return_to_pool(&self, host: HostId, mut connection: Connection) {
-        if self.off_for(host).is_some() {
+        if self.unavailable_for(host).is_some() {
             return;
         }
         let mut pools = self.pools.borrow_mut();
@@ -647,11 +647,11 @@
     }
 
     /// Does the decision module's tasks that belong to no request, for as long as the program runs.
-    pub async fn run_chores(self: Rc<Hosts>, todo: Receiver<Chore>, executor: Spawner) {
+    pub async fn run_chores(self: Rc<Hosts>, todo: Receiver<HostTask>, executor: Spawner) {
         while let Ok(chore) = todo.recv().await {
             match chore {
-                Chore::CloseIdle(host) => self.close_idle(host),
-                Chore::Probe(host) => {
+                HostTask::CloseIdle(host) => self.close_idle(host),
+                HostTask::Probe(host) => {
                     let hosts = self.clone();
                     executor.spawn(async move { hosts.probe(host).await });
                 }
--- a/src/net/hosts/connection.rs
+++ b/src/net/hosts/connection.rs
@@ -7,7 +7,7 @@
 use crate::net::core::Clock;
 use crate::net::world::{self, Stream};
 use crate::net::{read_into, timeout_at, warn_rate_limited};
-use crate::pg::{self, Backend, Column, ErrorFields, Inbox, Row, code};
+use crate::pg::{self, Backend, Column, ErrorFields, ReadBuffer, Row, code};
 use crate::{HostReport, Outcome, Role};
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -35,7 +35,7 @@
 pub(super) struct Connection {
     pub(super) stream: Stream,
     pub(super) address: SocketAddr,
-    pub(super) inbox: Inbox,
+    pub(super) read_buffer: ReadBuffer,
     /// When the connection was opened, or last returned to its pool.
     pub(super) idle_since: Instant,
     _permit: ConnectionPermit,
@@ -118,8 +118,8 @@
         shortage.set(false);
         stream.no_delay().map_err(|_| Outcome::ConnectFailed)?;
         stream.limit_receive_buffer();
-        let (inbox, idle_since) = (Inbox::default(), world::now());
-        let mut connection = Connection { stream, address, inbox, idle_since, _permit: permit };
+        let (read_buffer, idle_since) = (ReadBuffer::default(), world::now());
+        let mut connection = Connection { stream, address, read_buffer, idle_since, _permit: permit };
         connection.stream.write_all(startup).await.map_err(|_| Outcome::ConnectFailed)?;
         loop {
             match connection.message().await {
@@ -127,7 +127,7 @@
                 Ok(Backend::Error(e)) if e.code == code::TOO_MANY_CONNECTIONS => {
                     return Err(Outcome::Overloaded);
                 }
-                Ok(Backend::AuthenticationOk | Backend::ParameterStatus { .. } | Backend::Skipped) => {}
+                Ok(Backend::AuthenticationOk | Backend::ParameterStatus { .. } | Backend::Ignored) => {}
                 Ok(other) => {
                     warn_rate_limited(|| {
                         format!("hosts: {address}: {other:?} at a session's start; the connect has failed")
@@ -146,7 +146,7 @@
     /// Whether the connection has been idle for less than `max_idle`, has not ended, and has received nothing that no query
     /// asked for.
     pub(super) fn is_usable(&self, max_idle: Duration) -> bool {
-        self.stream.is_idle() && self.inbox.is_empty() && world::since(self.idle_since) < max_idle
+        self.stream.is_idle() && self.read_buffer.is_empty() && world::since(self.idle_since) < max_idle
     }
 
     pub(super) async fn message(&mut self) -> Result<Backend, ReadError> {
@@ -158,12 +158,12 @@
         &mut self, deadline: Option<Instant>, on_wait: impl Fn(),
     ) -> Result<Backend, ReadError> {
         loop {
-            match pg::decode_backend(&mut self.inbox) {
+            match pg::decode_backend(&mut self.read_buffer) {
                 Ok(Some(message)) => return Ok(message),
                 Ok(None) => on_wait(),
                 Err(e) => return Err(ReadError::Protocol(e.0)),
             }
-            let read = read_into(&self.stream, &mut self.inbox);
+            let read = read_into(&self.stream, &mut self.read_buffer);
             let read = match deadline {
                 Some(deadline) => timeout_at(deadline, read).await.ok_or(ReadError::TimedOut)?,
                 None => read.await,
@@ -179,7 +179,7 @@
         loop {
             match self.message().await.ok()? {
                 Backend::ParameterStatus { name, value } => drop(apply_parameter(report, &name, &value)),
-                Backend::Skipped => {}
+                Backend::Ignored => {}
                 other => return Some(other),
             }
         }
@@ -222,7 +222,7 @@
                     _ => break Some(ReadError::Protocol(format!("{tag} without one row of one column"))),
                 },
                 Ok(Backend::Error(e)) => error = Some(e),
-                Ok(Backend::Skipped) => {}
+                Ok(Backend::Ignored) => {}
                 Ok(other) => break Some(ReadError::Protocol(format!("{other:?} in an answer"))),
                 Err(e) => break Some(e),
             }
@@ -236,7 +236,7 @@
                 code::TOO_MANY_CONNECTIONS => Outcome::Overloaded,
                 // Guards against an invalid statement that is tried at one host after the other, and counts as a failure
                 // of each.
-                other if code::blames_statement(other) => {
+                other if code::is_statement_error(other) => {
                     statement_error = error.take();
                     Outcome::NotSent
                 }
@@ -253,7 +253,7 @@
         };
         let row = row.filter(|_| outcome == Outcome::Ok);
         // Guards against unrequested bytes that pass for the answer to the next request.
-        let reusable = read_error.is_none() && self.inbox.is_empty();
+        let reusable = read_error.is_none() && self.read_buffer.is_empty();
         Answer::Complete(
             CompletedAttempt { report, row, statement_error, ..CompletedAttempt::without_answer(outcome) },
             reusable,
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -14,8 +14,8 @@
 //! - `peers`: datagrams from and to other proxies;
 //! - `statements`: classification of plain statements;
 //! - `admission`: limits on clients;
-//! - `line`: a client's connection;
-//! - `life`: one request from its arrival to its answer;
+//! - `client_connection`: a client's connection;
+//! - `request`: one request from its arrival to its answer;
 //! - `pipeline`: the requests of a connection, answered in order;
 //! - `client`: clients' sessions;
 //! - `override_files`: the files of manual overrides;
@@ -34,6 +34,7 @@
 pub mod backoff;
 pub mod capture;
 pub mod client;
+pub mod client_connection;
 pub mod console;
 pub mod core;
 pub mod discovery;
@@ -42,19 +43,18 @@
 pub mod faults;
 pub mod host_overrides;
 pub mod hosts;
-pub mod life;
-pub mod line;
 pub mod listing;
 pub mod override_files;
 pub mod peers;
 pub mod pipeline;
 pub mod proxy;
+pub mod request;
 pub mod signals;
 pub mod statements;
 pub mod upgrade;
 pub mod world;
 
-use crate::pg::Inbox;
+use crate::pg::ReadBuffer;
 use futures_lite::future;
 use serde::{Deserialize, Serialize};
 use std::cell::Cell;
@@ -119,9 +119,9 @@
     }
 }
 
-/// Waits for bytes and puts them into the inbox. Returns 0 at the end of the connection.
-async fn read_into(stream: &Stream, inbox: &mut Inbox) -> io::Result<usize> {
-    stream.read_with(|bytes| inbox.put(bytes)).await
+/// Waits for bytes and puts them into the read buffer. Returns 0 at the end of the connection.
+async fn read_into(stream: &Stream, read_buffer: &mut ReadBuffer) -> io::Result<usize> {
+    stream.read_with(|bytes| read_buffer.append(bytes)).await
 }
 
 /// Returns the future's result, or `None` once the deadline has passed. The future is then dropped.
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -11,8 +11,8 @@
 use super::world::{self, DatagramSocket};
 use async_channel::{Receiver, Sender};
 use futures_lite::future;
-use sillfold_talk::message::MOST;
-use sillfold_talk::{Door, Figures, Item};
+use sillfold_talk::message::MAX_DATAGRAM_BYTES;
+use sillfold_talk::{Counters, Item, PeerChannel};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::io::ErrorKind;
@@ -34,7 +34,7 @@
     endpoints: PeerEndpoints,
     /// The number of the proxy at each address.
     ordinals: BTreeMap<SocketAddr, u16>,
-    door: RefCell<Door>,
+    door: RefCell<PeerChannel>,
     /// Messages from the core to the other proxies.
     outgoing: Receiver<Vec<Item>>,
     /// Closed once the proxy is told to stop.
@@ -45,17 +45,17 @@
     /// Registers at the core for its messages to other proxies. Nothing is sent or received before `run`.
     pub fn new(core: Rc<Core>, endpoints: PeerEndpoints) -> Peers {
         let started_ms = core.clock.now() / 1_000;
-        let door = RefCell::new(Door::new(endpoints.ordinal, endpoints.each.len(), started_ms));
+        let door = RefCell::new(PeerChannel::new(endpoints.ordinal, endpoints.each.len(), started_ms));
         let (sender, outgoing) = async_channel::bounded(MAX_QUEUED_MESSAGES);
-        core.talks_to(sender);
+        core.set_peer_outbox(sender);
         // If two proxies have one address, the address belongs to the first.
         let ordinals = endpoints.each.iter().copied().zip(0..=u16::MAX).rev().collect();
         Peers { core, endpoints, ordinals, door, outgoing, stopping: async_channel::bounded(1) }
     }
 
     /// The counters since the start.
-    pub fn figures(&self) -> Figures {
-        self.door.borrow().figures
+    pub fn figures(&self) -> Counters {
+        self.door.borrow().counters
     }
 
     /// Stops the exchange and releases the address at once.
@@ -141,17 +141,17 @@
                 others.fold(true, |all_sent, (_, to)| send_to(*to) && all_sent)
             }
         };
-        door.sent(&datagram, all_sent);
+        door.record_sent(&datagram, all_sent);
         packed
     }
 
     /// Receives datagrams, at a limited rate, and passes the accepted ones to the core.
     async fn receive(&self, socket: &DatagramSocket) {
         // One byte more than any valid datagram, so that a longer one is recognised.
-        let mut bytes = [0; MOST + 1];
+        let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             let now = self.core.clock.now();
-            let may_read = self.door.borrow_mut().may_read(now);
+            let may_read = self.door.borrow_mut().reserve_read(now);
             if let Err(from) = may_read {
                 world::at(self.core.clock.instant(from)).await;
                 continue;
@@ -166,9 +166,9 @@
                 }
             };
             let sender = self.ordinals.get(&from).copied();
-            let accepted = self.door.borrow_mut().take(sender, &bytes[..n], self.core.clock.now() / 1_000);
+            let accepted = self.door.borrow_mut().receive(sender, &bytes[..n], self.core.clock.now() / 1_000);
             if let Ok(message) = accepted {
-                self.core.heard(message.sender.ordinal, &message.items);
+                self.core.receive_from_peer(message.sender.ordinal, &message.items);
             }
         }
     }
--- a/src/net/upgrade.rs
+++ b/src/net/upgrade.rs
@@ -271,7 +271,7 @@
         };
         self.others.borrow_mut().insert(number, other);
         self.share_limits();
-        self.core.other_process(true);
+        self.core.set_other_process(true);
         let _ = self.folder_due.0.try_send(());
         number
     }
@@ -283,7 +283,7 @@
         }
         info!(target: "upgrade", "the other process has ended");
         self.share_limits();
-        self.core.other_process(self.has_other_process());
+        self.core.set_other_process(self.has_other_process());
         self.overrides.read_folder(false);
         self.overrides.save();
         let _ = self.folder_due.0.try_send(());
@@ -353,8 +353,8 @@
 
     /// What this process holds, together with all others except the one of this connection.
     fn held_except(&self, number: u64) -> ResourceUsage {
-        let (clients, bytes) = self.admission.held();
-        let ready = self.admission.unready().is_none();
+        let (clients, bytes) = self.admission.usage();
+        let ready = self.admission.not_ready_reason().is_none();
         let own = ResourceUsage { ready, clients, bytes, hosts: self.hosts.open_connections() };
         let others = self.others.borrow();
         others
@@ -413,7 +413,7 @@
             .values()
             .map(|other| other.held)
             .reduce(|sum, held| sum.combined_with(&held));
-        self.admission.share(others);
+        self.admission.share_limits(others);
         self.hosts.share_limit(others);
     }
 
