--- a/src/net/console.rs
+++ b/src/net/console.rs
@@ -131,7 +131,7 @@
     /// Leaves the host that the body names out, or uses it again.
     fn override_host(&self, body: &[u8], left_out: bool) -> Answer {
         let host = match serde_json::from_slice::<HostCall>(body) {
-            Ok(HostCall { who }) => who,
+            Ok(HostCall { host }) => host,
             Err(e) => return error_answer(400, format!("the body is no {{\"who\":\"ID\"}}: {e}")),
         };
         if !self.core.knows_host(&host) {
@@ -172,18 +172,18 @@
                 Some(why) => Answer(503, json!({"ready": false, "why": why})),
             },
             "/ops/stats" => match serde_json::to_value(self.core.figures()) {
-                Ok(mut figures) => {
+                Ok(mut stats) => {
                     if let Some(statements) = self.clients.statements() {
-                        figures["statements"] = json!(statements.figures());
+                        stats["statements"] = json!(statements.figures());
                     }
                     #[cfg(feature = "faults")]
                     {
-                        figures["faults"] = json!(super::faults::injected_counts());
+                        stats["faults"] = json!(super::faults::injected_counts());
                     }
                     if let Some(peers) = &self.peers {
-                        figures["peers"] = json!(peers.figures());
+                        stats["peers"] = json!(peers.counters());
                     }
-                    Answer(200, figures)
+                    Answer(200, stats)
                 }
                 Err(e) => error_answer(500, e.to_string()),
             },
@@ -201,10 +201,11 @@
     }
 }
 
-/// The body of a call about one database host, which it names.
+/// The body of a call about one database host.
 #[derive(Deserialize)]
 struct HostCall {
-    who: String,
+    #[serde(rename = "who")]
+    host: String,
 }
 
 /// Reads one call. The error is the answer to the caller.
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -97,7 +97,7 @@
         return Err(format!("status {} for {path}", http.status));
     }
     *accepted = Some(world::now());
-    let mut apply = |listing: &Listing| hosts.listed(&core.apply_listing(listing, false), listing);
+    let mut apply = |listing: &Listing| hosts.apply_listing(&core.apply_listing(listing, false), listing);
     if path == PATH {
         let body = timeout_at(world::now() + HEARTBEAT_TIMEOUT, http.body()).await;
         let parsed = Listing::parse(&body.ok_or("a list that does not end in time")??);
--- a/src/net/hosts.rs
+++ b/src/net/hosts.rs
@@ -46,7 +46,7 @@
     /// Idle connections, the longest idle first.
     idle: Vec<Connection>,
     /// When discovery first reported that the host drains or is removed.
-    off_since: Option<Instant>,
+    unavailable_since: Option<Instant>,
 }
 
 /// What the request's handler knows as an attempt is about to start.
@@ -65,8 +65,8 @@
 
 /// The conditions under which the start of an attempt was allowed, and when they were checked.
 pub struct ApprovedStart {
-    start: AttemptStart,
-    at: Micros,
+    conditions: AttemptStart,
+    checked_at: Micros,
 }
 
 impl AttemptConnection {
@@ -244,7 +244,7 @@
     }
 
     /// Applies a message of discovery. `ids` are the numbers of its entries.
-    pub fn listed(&self, ids: &[HostId], listing: &Listing) {
+    pub fn apply_listing(&self, ids: &[HostId], listing: &Listing) {
         let mut pools = self.pools.borrow_mut();
         for forgotten in self.core.forget_removed_hosts() {
             pools.remove(&forgotten);
@@ -252,11 +252,11 @@
         let now = world::now();
         if listing.full {
             for (id, pool) in pools.iter_mut().filter(|(id, _)| !ids.contains(id)) {
-                if pool.off_since.is_none() {
+                if pool.unavailable_since.is_none() {
                     debug!(target: "hosts", address = %pool.address, number = id, "not in the list any more; \
                         gets no new attempts");
                 }
-                pool.off_since.get_or_insert(now);
+                pool.unavailable_since.get_or_insert(now);
                 pool.idle.clear();
             }
         }
@@ -265,7 +265,7 @@
                 let pool = pools.entry(id).or_insert_with(|| HostPool {
                     address,
                     idle: Vec::new(),
-                    off_since: None,
+                    unavailable_since: None,
                 });
                 if pool.address != address {
                     pool.idle.clear();
@@ -273,14 +273,14 @@
                 }
             }
             let Some(pool) = pools.get_mut(&id) else { continue };
-            if pool.off_since.is_some() != (e.status != Status::Serving) {
+            if pool.unavailable_since.is_some() != (e.status != Status::Serving) {
                 debug!(target: "hosts", host = %e.name, status = ?e.status, "the host's status in the list changed");
             }
             match e.status {
-                Status::Serving => pool.off_since = None,
-                Status::Draining => drop(pool.off_since.get_or_insert(now)),
+                Status::Serving => pool.unavailable_since = None,
+                Status::Draining => drop(pool.unavailable_since.get_or_insert(now)),
                 Status::Deleted => {
-                    pool.off_since.get_or_insert(now);
+                    pool.unavailable_since.get_or_insert(now);
                     pool.idle.clear();
                 }
             }
@@ -303,12 +303,12 @@
             Err(outcome) => return CompletedAttempt::without_answer(outcome),
         };
         let extra_ms = if mutants::on("patience grows") { 1_000 } else { 0 };
-        let patience_ms = deadline.saturating_sub(start.at).div_ceil(1_000).max(1) + extra_ms;
+        let patience_ms = deadline.saturating_sub(start.checked_at).div_ceil(1_000).max(1) + extra_ms;
         let mut query = Vec::new();
         pg::put_query(&mut query, &statement.with_deadline(patience_ms));
         // The statement's head holds the time that is left. The last byte must not be written once that is outdated.
         // Without its last byte nothing of the statement has run.
-        let write_deadline = self.core.clock.instant(invariants::write_deadline(start.at));
+        let write_deadline = self.core.clock.instant(invariants::write_deadline(start.checked_at));
         match timeout_at(deadline_instant.min(write_deadline), attempt.connection.stream.write_all(&query))
             .await
         {
@@ -329,9 +329,10 @@
         give_up_at: Micros,
     ) {
         let now = self.core.clock.now();
-        let unavailable_for = start.start.unavailable_for.map(|off| off + now.saturating_sub(start.at));
+        let unavailable_for =
+            start.conditions.unavailable_for.map(|before| before + now.saturating_sub(start.checked_at));
         let started = StartedAttempt { unavailable_for, announced_time, give_up_at };
-        if let Some(violation) = invariants::check_started(&start.start, &started, now) {
+        if let Some(violation) = invariants::check_started(&start.conditions, &started, now) {
             let address = attempt.connection.address;
             self.core.events.violated(violation, &format_args!("id {id:?} at {address}"));
         }
@@ -445,18 +446,18 @@
             }
             None => return Err(Outcome::ConnectFailed),
         };
-        let at = self.core.clock.now();
-        let AttemptContext { client_disconnected, request } = context(at);
+        let checked_at = self.core.clock.now();
+        let AttemptContext { client_disconnected, request } = context(checked_at);
         let (unavailable_for, drain_grace) = (self.unavailable_for(host), self.drain_grace);
-        let start = AttemptStart { unavailable_for, drain_grace, client_disconnected, request };
-        if let Err(denial) = invariants::may_start(&start, at) {
+        let conditions = AttemptStart { unavailable_for, drain_grace, client_disconnected, request };
+        if let Err(denial) = invariants::may_start(&conditions, checked_at) {
             self.core.events.denied(id, denial);
             if denial != Denial::HostOff {
                 self.return_to_pool(host, connection);
             }
             return Err(Outcome::NotSent);
         }
-        Ok((AttemptConnection { host, connection }, ApprovedStart { start, at }))
+        Ok((AttemptConnection { host, connection }, ApprovedStart { conditions, checked_at }))
     }
 
     /// Reads the answer to a statement that was written, until `deadline` at the latest. What the answer has reported
@@ -580,11 +581,11 @@
     /// How long it has been known that the host drains, is removed or is left out by a manual override. `None` if none of
     /// these is true.
     fn unavailable_for(&self, host: HostId) -> Option<Micros> {
-        let off_since = self.pools.borrow().get(&host).and_then(|pool| pool.off_since);
-        let off_by_list = off_since.map(|at| world::since(at).as_micros() as Micros);
+        let unavailable_since = self.pools.borrow().get(&host).and_then(|pool| pool.unavailable_since);
+        let unavailable_by_list = unavailable_since.map(|at| world::since(at).as_micros() as Micros);
         let override_since = self.core.left_out_since(host);
-        let off_by_override = override_since.map(|at| self.core.clock.now().saturating_sub(at));
-        off_by_list.max(off_by_override)
+        let unavailable_by_override = override_since.map(|at| self.core.clock.now().saturating_sub(at));
+        unavailable_by_list.max(unavailable_by_override)
     }
 
     /// Returns an idle connection that is still usable, or a new one, or the outcome of an attempt that gets none. Sets
@@ -618,7 +619,7 @@
         Some(ConnectionPermit(self.open.clone()))
     }
 
-    /// Returns a connection to its host's pool, unless the host is off.
+    /// Returns a connection to its host's pool, unless the host drains, is removed or is left out.
     fn return_to_pool(&self, host: HostId, mut connection: Connection) {
         if self.unavailable_for(host).is_some() {
             return;
@@ -647,9 +648,9 @@
     }
 
     /// Does the decision module's tasks that belong to no request, for as long as the program runs.
-    pub async fn run_chores(self: Rc<Hosts>, todo: Receiver<HostTask>, executor: Spawner) {
-        while let Ok(chore) = todo.recv().await {
-            match chore {
+    pub async fn run_host_tasks(self: Rc<Hosts>, tasks: Receiver<HostTask>, executor: Spawner) {
+        while let Ok(task) = tasks.recv().await {
+            match task {
                 HostTask::CloseIdle(host) => self.close_idle(host),
                 HostTask::Probe(host) => {
                     let hosts = self.clone();
--- a/src/net/peers.rs
+++ b/src/net/peers.rs
@@ -34,7 +34,7 @@
     endpoints: PeerEndpoints,
     /// The number of the proxy at each address.
     ordinals: BTreeMap<SocketAddr, u16>,
-    door: RefCell<PeerChannel>,
+    channel: RefCell<PeerChannel>,
     /// Messages from the core to the other proxies.
     outgoing: Receiver<Vec<Item>>,
     /// Closed once the proxy is told to stop.
@@ -45,17 +45,17 @@
     /// Registers at the core for its messages to other proxies. Nothing is sent or received before `run`.
     pub fn new(core: Rc<Core>, endpoints: PeerEndpoints) -> Peers {
         let started_ms = core.clock.now() / 1_000;
-        let door = RefCell::new(PeerChannel::new(endpoints.ordinal, endpoints.each.len(), started_ms));
+        let channel = RefCell::new(PeerChannel::new(endpoints.ordinal, endpoints.each.len(), started_ms));
         let (sender, outgoing) = async_channel::bounded(MAX_QUEUED_MESSAGES);
         core.set_peer_outbox(sender);
         // If two proxies have one address, the address belongs to the first.
         let ordinals = endpoints.each.iter().copied().zip(0..=u16::MAX).rev().collect();
-        Peers { core, endpoints, ordinals, door, outgoing, stopping: async_channel::bounded(1) }
+        Peers { core, endpoints, ordinals, channel, outgoing, stopping: async_channel::bounded(1) }
     }
 
     /// The counters since the start.
-    pub fn figures(&self) -> Counters {
-        self.door.borrow().counters
+    pub fn counters(&self) -> Counters {
+        self.channel.borrow().counters
     }
 
     /// Stops the exchange and releases the address at once.
@@ -130,8 +130,8 @@
     /// Sends as many items as one datagram holds, to the address of all proxies if there is one, otherwise to each proxy.
     /// Returns the number of items.
     fn send_first(&self, socket: &DatagramSocket, items: &[Item]) -> usize {
-        let mut door = self.door.borrow_mut();
-        let (datagram, packed) = door.pack(items);
+        let mut channel = self.channel.borrow_mut();
+        let (datagram, packed) = channel.pack(items);
         let send_to = |to| socket.send_now(datagram.bytes(), to).is_ok();
         let all_sent = match self.endpoints.all {
             Some(all) => send_to(all),
@@ -141,7 +141,7 @@
                 others.fold(true, |all_sent, (_, to)| send_to(*to) && all_sent)
             }
         };
-        door.record_sent(&datagram, all_sent);
+        channel.record_sent(&datagram, all_sent);
         packed
     }
 
@@ -151,7 +151,7 @@
         let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             let now = self.core.clock.now();
-            let may_read = self.door.borrow_mut().reserve_read(now);
+            let may_read = self.channel.borrow_mut().reserve_read(now);
             if let Err(from) = may_read {
                 world::at(self.core.clock.instant(from)).await;
                 continue;
@@ -166,7 +166,8 @@
                 }
             };
             let sender = self.ordinals.get(&from).copied();
-            let accepted = self.door.borrow_mut().receive(sender, &bytes[..n], self.core.clock.now() / 1_000);
+            let accepted =
+                self.channel.borrow_mut().receive(sender, &bytes[..n], self.core.clock.now() / 1_000);
             if let Ok(message) = accepted {
                 self.core.receive_from_peer(message.sender.ordinal, &message.items);
             }
--- a/src/net/proxy.rs
+++ b/src/net/proxy.rs
@@ -70,7 +70,7 @@
         clients.set_statements(Statements::from_config(&file.statements, &config.program_settings));
 
         if let Some(known) = &config.known_list {
-            hosts.listed(&core.apply_listing(known, true), known);
+            hosts.apply_listing(&core.apply_listing(known, true), known);
         }
         let upgrade =
             Upgrade::new(config.state_dir.clone(), core.clone(), clients.admission.clone(), hosts.clone());
@@ -84,7 +84,7 @@
         }
         upgrade.start(executor);
         let known = config.known_list.take().map(|k| k.index);
-        executor.spawn(hosts.clone().run_chores(todo, executor.clone()));
+        executor.spawn(hosts.clone().run_host_tasks(todo, executor.clone()));
         executor.spawn({
             let hosts = hosts.clone();
             async move { hosts.run_pool_maintenance().await }
