--- a/src/lib.rs
+++ b/src/lib.rs
@@ -62,7 +62,7 @@
 #[doc(hidden)]
 pub mod operator;
 #[doc(hidden)]
-pub mod orders;
+pub mod overrides;
 #[doc(hidden)]
 pub mod pg;
 #[doc(hidden)]
--- a/src/net/client.rs
+++ b/src/net/client.rs
@@ -7,7 +7,6 @@
 use super::client_connection::{
     AbandonReason, ClientConnection, ReadAhead, ReadAheadMode, ReadResult, put_fatal,
 };
-use super::complain;
 use super::core::{Clock, Core, Request, fnv1a};
 use super::events::RefusalReason;
 use super::hosts::Hosts;
@@ -17,6 +16,7 @@
     stream_plain_answer, stream_value,
 };
 use super::statements::{PlainRoute, StatementRefusal, Statements};
+use super::warn_rate_limited;
 use super::world::{self, Listener, Spawner, Stream};
 use crate::Micros;
 use crate::invariants::{self, CloseReason, Violation};
@@ -99,7 +99,7 @@
                     future::yield_now().await;
                 }
                 Err(e) => {
-                    complain(|| {
+                    warn_rate_limited(|| {
                         format!("clients: accepting a connection failed, trying again in 20 ms: {e}")
                     });
                     world::after(ACCEPT_RETRY_DELAY).await;
@@ -124,7 +124,7 @@
                     return warn!(target: "clients", "accepting at the stop failed too often, and ends: {e}");
                 }
                 Err(e) => {
-                    complain(|| {
+                    warn_rate_limited(|| {
                         format!("clients: accepting a connection failed, trying again in 20 ms: {e}")
                     });
                     retries_left -= 1;
@@ -144,7 +144,7 @@
     /// Starts a client's session, or refuses the client if all slots are taken.
     fn start_session(self: &Rc<Clients>, stream: Stream) {
         let _ = stream.no_delay();
-        stream.bound_sending();
+        stream.limit_send_buffer();
         if self.admission.is_full() {
             // Written before the client's first message: it fits into the send buffer of any new connection.
             let mut out = Vec::new();
@@ -573,7 +573,7 @@
 
     /// Whether the limits admit one more request to the pipeline.
     fn may_pipeline_more(&mut self) -> bool {
-        let max_open = self.clients.hosts.most() / PIPELINE_SHARE_DIVISOR;
+        let max_open = self.clients.hosts.max_connections() / PIPELINE_SHARE_DIVISOR;
         self.pipeline.len() + 1 < max_open
             && self.connection.request_bytes < MAX_PIPELINE_BYTES
             && self.connection.fits_memory()
--- a/src/net/proxy.rs
+++ b/src/net/proxy.rs
@@ -11,7 +11,7 @@
 use super::statements::Statements;
 use super::upgrade::Upgrade;
 use super::world::{self, Bound, Listener, Spawner};
-use super::{by, capture, discovery};
+use super::{capture, discovery, timeout_at};
 use crate::Micros;
 use crate::config::Config;
 use crate::invariants;
@@ -72,7 +72,7 @@
         clients.set_statements(Statements::from_config(&file.statements, &config.program_settings));
 
         if let Some(known) = &config.known_list {
-            hosts.listed(&core.apply_listing(known, true), known);
+            hosts.apply_listing(&core.apply_listing(known, true), known);
         }
         let upgrade =
             Upgrade::new(config.state_dir.clone(), core.clone(), clients.admission.clone(), hosts.clone());
@@ -84,12 +84,12 @@
                 Rc::new(Console::new(core.clone(), clients.clone(), upgrade.clone(), peers.clone()));
             executor.spawn(console.run(console_listener, executor.clone()));
         }
-        upgrade.meet(executor);
+        upgrade.start(executor);
         let known_index = config.known_list.take().map(|k| k.index);
-        executor.spawn(hosts.clone().run_chores(host_tasks, executor.clone()));
+        executor.spawn(hosts.clone().run_host_tasks(host_tasks, executor.clone()));
         executor.spawn({
             let hosts = hosts.clone();
-            async move { hosts.run_upkeep().await }
+            async move { hosts.run_pool_maintenance().await }
         });
         executor.spawn({
             let core = core.clone();
@@ -132,9 +132,9 @@
             self;
         // Next to another version, clients are accepted only once they can be served.
         let ready = async {
-            if upgrade.accompanied() {
-                let ready = future::zip(core.ready(), upgrade.until_introduced());
-                future::or(async { _ = ready.await }, upgrade.alone()).await;
+            if upgrade.has_other_process() {
+                let ready = future::zip(core.ready(), upgrade.wait_for_introductions());
+                future::or(async { _ = ready.await }, upgrade.wait_until_alone()).await;
             }
             true
         };
@@ -159,7 +159,7 @@
         // The other version, if there is one, exchanges updates with other proxies from now on.
         peers.iter().for_each(|peers| peers.stop());
         info!(target: "sillfold", "{name} stops");
-        if upgrade.relieved() {
+        if upgrade.other_is_ready() {
             // The other version accepts new clients. This one closes connections behind their answers first. Guards
             // against a close that crosses a request.
             clients.admission.close_after_answers();
@@ -172,7 +172,7 @@
             clients.accept_backlog(&listener).await;
             drop(listener);
         }
-        if by(cut_off, clients.admission.close()).await.is_some() {
+        if timeout_at(cut_off, clients.admission.close()).await.is_some() {
             return Ok(());
         }
         if mutants::on("stops with requests open") {
@@ -181,7 +181,7 @@
         // Requests that are still open get a final answer. Guards against a close on a request that was accepted.
         info!(target: "sillfold", "{name} gives its last answers");
         clients.admission.cut_off();
-        if by(world::now() + LAST_ANSWERS_TIMEOUT, clients.admission.close()).await.is_none() {
+        if timeout_at(world::now() + LAST_ANSWERS_TIMEOUT, clients.admission.close()).await.is_none() {
             info!(target: "sillfold", "{name} stops although some clients have not read their last answers");
         }
         Ok(())
--- a/src/net/request.rs
+++ b/src/net/request.rs
@@ -6,7 +6,9 @@
 use super::client_connection::{AbandonReason, ClientConnection, ReadResult};
 use super::core::{AttemptEnd, Core, Directive, Request, RequestHandle};
 use super::events::RefusalReason;
-use super::hosts::{Asking, Attempted, CheckedStart, Hosts, LongAnswer, Opened, PlainAnswer};
+use super::hosts::{
+    ApprovedStart, AttemptConnection, AttemptContext, CompletedAttempt, Hosts, StreamedAnswer, StreamedValue,
+};
 use super::statements::PlainRoute;
 use super::world::{self, Stream};
 use crate::invariants::{self, Violation};
@@ -47,9 +49,9 @@
 pub enum PendingAnswer {
     Complete(FinalAnswer),
     /// A row whose value is streamed as fast as the client reads it.
-    StreamedRow(Box<LongAnswer>),
+    StreamedRow(Box<StreamedValue>),
     /// The results of a plain statement, streamed as fast as the client reads them.
-    StreamedResult(Box<PlainAnswer>),
+    StreamedResult(Box<StreamedAnswer>),
 }
 
 impl PendingAnswer {
@@ -201,11 +203,11 @@
 
 /// What ended the wait for an attempt.
 enum AttemptEvent {
-    Ended(Attempted),
+    Ended(CompletedAttempt),
     /// The module sent another directive.
     Directed(Directive),
     /// The upload of a long statement ended.
-    Uploaded(Result<Opened, UploadError>),
+    Uploaded(Result<AttemptConnection, UploadError>),
     Abandoned(AbandonReason),
 }
 
@@ -256,7 +258,7 @@
             ClientLink::Complete(watch) => Some(*watch),
             ClientLink::Uploading { .. } => None,
         };
-        let start_conditions = |now| Asking {
+        let start_conditions = |now| AttemptContext {
             client_disconnected: watch.is_some_and(ClientWatch::is_disconnected),
             request: handle.start_conditions(now),
         };
@@ -317,7 +319,7 @@
                 let give_up_at = give_up_at(statement, core.clock.now(), self.response_margin);
                 on_written();
                 handle.complete(give_up_at);
-                let answer = pin!(hosts.answer(opened, give_up_at, &partial_report));
+                let answer = pin!(hosts.read_answer(opened, give_up_at, &partial_report));
                 event = self.until_attempt_event(answer, &handle).await;
             }
             let outcome = event.outcome();
@@ -401,10 +403,18 @@
 
     /// Reports the end of an attempt to the module, and returns the request's next step.
     fn handle_attempt_end(
-        &mut self, attempted: Attempted, attempt: &Attempt, handle: &RequestHandle<'_>, request: &Request,
-        statement: &Statement, not_repeatable: bool,
+        &mut self, attempted: CompletedAttempt, attempt: &Attempt, handle: &RequestHandle<'_>,
+        request: &Request, statement: &Statement, not_repeatable: bool,
     ) -> NextStep {
-        let Attempted { mut outcome, note, mut row, rejected, long, plain, stream } = attempted;
+        let CompletedAttempt {
+            mut outcome,
+            report: note,
+            mut row,
+            statement_error: rejected,
+            long_value: long,
+            plain_answer: plain,
+            plain_stream: stream,
+        } = attempted;
         if let Some(error) = rejected {
             handle.mark_answered();
             attempt.ended(handle, outcome, note);
@@ -451,7 +461,7 @@
     /// received takes precedence, for what it reports about its host; the connection is checked after it, before another
     /// attempt starts.
     async fn until_attempt_event(
-        &mut self, attempt: Pin<&mut impl Future<Output = Attempted>>, handle: &RequestHandle<'_>,
+        &mut self, attempt: Pin<&mut impl Future<Output = CompletedAttempt>>, handle: &RequestHandle<'_>,
     ) -> AttemptEvent {
         let ended = async { AttemptEvent::Ended(attempt.await) };
         let directed = async { AttemptEvent::Directed(handle.next_directive().await) };
@@ -467,7 +477,7 @@
         let (hosts, admission) = (self.hosts, self.admission);
         let upload = async {
             let client = &self.client;
-            let start_conditions = |now| Asking {
+            let start_conditions = |now| AttemptContext {
                 client_disconnected: client.is_disconnected(),
                 request: handle.start_conditions(now),
             };
@@ -509,7 +519,7 @@
 /// A long statement that is written to its host as fast as its client sends it.
 struct LongUpload<'u> {
     hosts: &'u Hosts,
-    opened: Opened,
+    opened: AttemptConnection,
     statement: &'u Statement,
     /// Bytes of the statement that are still to come.
     remaining: &'u mut usize,
@@ -517,12 +527,12 @@
 
 impl LongUpload<'_> {
     /// Writes the beginning of the statement.
-    async fn write_head(&mut self, start: CheckedStart) -> Result<(), UploadError> {
+    async fn write_head(&mut self, start: ApprovedStart) -> Result<(), UploadError> {
         let mut piece = Vec::new();
         pg::put_long_query(&mut piece, self.statement.text(), *self.remaining);
         self.write(&piece).await?;
         // The host receives the client's own patience, which begins with the last byte: no limit applies to it yet.
-        self.hosts.check(&self.opened, &start, &self.statement.id, 0, Micros::MAX);
+        self.hosts.check_started(&self.opened, &start, &self.statement.id, 0, Micros::MAX);
         Ok(())
     }
 
@@ -566,16 +576,16 @@
 
 /// Streams a value to the client as fast as the client reads it.
 pub async fn stream_value(
-    connection: &mut ClientConnection<'_>, hosts: &Hosts, mut long: Box<LongAnswer>,
+    connection: &mut ClientConnection<'_>, hosts: &Hosts, mut long: Box<StreamedValue>,
 ) -> StreamResult {
     let length_before = connection.out.len();
-    pg::put_long_row(&mut connection.out, &long.column, long.value);
+    pg::put_long_row(&mut connection.out, &long.column, long.value_bytes);
     let mut any_sent = false;
     loop {
-        match long.piece(&mut connection.out).await {
+        match long.read_piece(&mut connection.out).await {
             Ok(0) => break,
             Ok(_) => {}
-            Err(_) if any_sent => return StreamResult::BrokenOff { missing: long.missing() },
+            Err(_) if any_sent => return StreamResult::BrokenOff { missing: long.remaining_bytes() },
             Err(_) => {
                 connection.out.truncate(length_before);
                 return StreamResult::NothingSent;
@@ -586,7 +596,7 @@
             return StreamResult::ClientFailed;
         }
     }
-    match hosts.finish(long).await {
+    match hosts.finish_value(long).await {
         Some(tag) => {
             pg::put_command_complete(&mut connection.out, &tag);
             StreamResult::Complete
@@ -610,14 +620,14 @@
 /// Streams the answer to a plain statement as fast as the client reads it. Returns the commit position that the answer
 /// reports, if any; the outer `None` means that the host broke off the answer, or that writing to the client failed.
 pub async fn stream_plain_answer(
-    connection: &mut ClientConnection<'_>, hosts: &Hosts, mut answer: Box<PlainAnswer>,
+    connection: &mut ClientConnection<'_>, hosts: &Hosts, mut answer: Box<StreamedAnswer>,
 ) -> Option<Option<Micros>> {
     connection.out.append(&mut answer.beginning);
     connection.flush().await.ok()?;
-    while answer.piece(&mut connection.out).await.ok()? {
+    while answer.read_piece(&mut connection.out).await.ok()? {
         connection.flush().await.ok()?;
     }
-    let position = answer.note.position;
-    hosts.give_back_plain(*answer);
+    let position = answer.report.position;
+    hosts.return_plain_connection(*answer);
     Some(position)
 }
