--- a/src/net/client.rs
+++ b/src/net/client.rs
@@ -1,6 +1,6 @@
 //! Accepts clients and runs one session for each connection, in a task of its own. A session decodes messages, serves
 //! requests in order, and writes exactly one answer to each. It calls `request` for the serving of one request, `pipeline`
-//! for the requests behind another, `client_connection` for the bytes, and `admission` for places and limits. It must
+//! for the requests behind another, `client_connection` for the bytes, and `admission` for slots and limits. It must
 //! never choose a host or judge an outcome.
 
 use super::admission::{Admission, IdClaim};
@@ -49,7 +49,7 @@
     core: Rc<Core>,
     hosts: Rc<Hosts>,
     pub admission: Rc<Admission>,
-    /// How long an answer takes to a client.
+    /// The time taken off a client's deadline for sending the answer back.
     response_margin: Micros,
     /// How plain statements are routed, if they are served.
     statements: RefCell<Option<Rc<Statements>>>,
@@ -100,7 +100,9 @@
                 }
                 Err(e) => {
                     complain(|| {
-                        format!("clients: accepting a connection failed, trying again in 20 ms: {e}")
+                        format!(
+                            "clients: accepting a connection failed, trying again in {ACCEPT_RETRY_DELAY:?}: {e}"
+                        )
                     });
                     world::after(ACCEPT_RETRY_DELAY).await;
                 }
@@ -125,7 +127,9 @@
                 }
                 Err(e) => {
                     complain(|| {
-                        format!("clients: accepting a connection failed, trying again in 20 ms: {e}")
+                        format!(
+                            "clients: accepting a connection failed, trying again in {ACCEPT_RETRY_DELAY:?}: {e}"
+                        )
                     });
                     retries_left -= 1;
                     world::after(ACCEPT_RETRY_DELAY).await;
@@ -194,7 +198,7 @@
     statement: Statement,
     /// The claim of the request's id. A plain statement has no id.
     claim: Option<IdClaim<'a>>,
-    /// How a plain statement is routed; `None` for a request with a leading comment.
+    /// How a plain statement is routed; `None` for a statement with the leading comment of a request.
     plain: Option<PlainRoute>,
 }
 
@@ -233,7 +237,7 @@
     /// The writes of this session's plain statements, which its reads have to see.
     own_writes: OwnWrites,
     /// Whether the session is in a transaction block that was refused.
-    block: TransactionState,
+    transaction: TransactionState,
     commit_and_duration: CommitAndDuration,
 }
 
@@ -266,7 +270,7 @@
             unanswered: false,
             user_and_database: None,
             own_writes: OwnWrites::default(),
-            block: TransactionState::default(),
+            transaction: TransactionState::default(),
             commit_and_duration: None,
         }
     }
@@ -409,7 +413,7 @@
                 return Ok(true);
             }
             Err(StatementRefusal { fields, control }) => {
-                self.block.advance(control);
+                self.transaction.advance(control);
                 pg::put_error(&mut self.connection.out, &fields);
                 self.put_ready();
                 return Ok(true);
@@ -582,7 +586,7 @@
     /// Whether a statement doesn't depend on earlier ones of its session. Plain statements do: they have to see the
     /// session's writes, and a transaction that was refused applies to those behind it.
     fn is_independent(&self, text: &str) -> bool {
-        self.block != TransactionState::Refused
+        self.transaction != TransactionState::Refused
             && (self.clients.statements().is_none() || Statement::has_request_comment(text))
     }
 
@@ -722,11 +726,11 @@
 
     /// Answers a statement inside a transaction block that was refused; false if the session isn't in one.
     fn answer_in_refused_block(&mut self, text: &str) -> bool {
-        let met = match self.clients.statements().filter(|_| self.block == TransactionState::Refused) {
-            Some(statements) => self.block.advance(statements.control(text)),
+        let step = match self.clients.statements().filter(|_| self.transaction == TransactionState::Refused) {
+            Some(statements) => self.transaction.advance(statements.transaction_control(text)),
             None => TransactionStep::Process,
         };
-        match met {
+        match step {
             TransactionStep::Process => return false,
             TransactionStep::End => pg::put_command_complete(&mut self.connection.out, "ROLLBACK"),
             TransactionStep::Refuse => {
@@ -740,14 +744,14 @@
 
     /// Tells the client that the session is ready for the next query.
     fn put_ready(&mut self) {
-        pg::put_ready(&mut self.connection.out, self.block == TransactionState::Refused);
+        pg::put_ready(&mut self.connection.out, self.transaction == TransactionState::Refused);
     }
 
     /// Records the end of a plain statement: the duration for its shape, and the session's write.
     fn record_plain(&mut self, route: &PlainRoute, answer: &FinalAnswer) {
         if let (Some(statements), Some((_, duration))) = (self.clients.statements(), self.commit_and_duration)
         {
-            statements.learn(route, duration);
+            statements.record_duration(route, duration);
             self.clients
                 .core
                 .record_load(|r| r.shape_served(route.shape_number(), duration.as_micros() as u64));
--- a/src/net/client_connection.rs
+++ b/src/net/client_connection.rs
@@ -52,7 +52,7 @@
 
 /// How a wait for more bytes ended.
 pub enum ReadResult {
-    /// There are bytes in the inbox.
+    /// There are bytes in the read buffer.
     Bytes,
     /// The connection has ended, or has to end: it was idle for too long, or its slot is wanted for another client.
     End,
@@ -115,13 +115,13 @@
     pub received_message: bool,
     /// The session has received a request.
     pub received_request: bool,
-    /// Since when the inbox has held only a part of a message.
+    /// Since when the read buffer has held only a part of a message.
     pub partial_since: Option<Instant>,
     /// The connection was asked to end, because another client needs its slot.
     pub evicted: bool,
     /// The client has sent more than the read-ahead limits allow.
     pub overrun: bool,
-    /// When bytes of the client were last received.
+    /// When bytes of the client were last received, or a wait for them ended.
     last_received: Instant,
     /// Notified when the connection has to end because another client needs its slot.
     eviction: (Sender<()>, Receiver<()>),
@@ -165,7 +165,7 @@
         self.close_reason.unwrap_or(CloseReason::ClientEnded)
     }
 
-    /// Waits for more bytes of a message that has begun, unless there are some in the inbox.
+    /// Waits for more bytes of a message that has begun, unless the read buffer holds some.
     pub async fn read_more(&mut self) -> io::Result<ReadResult> {
         if !self.read_buffer.is_empty() {
             return Ok(ReadResult::Bytes);
--- a/src/net/core.rs
+++ b/src/net/core.rs
@@ -119,18 +119,20 @@
     pub client_retry: bool,
     /// The client's tenant, where the request names one of the settings.
     pub tenant: Option<u16>,
-    /// Hosts receive no deadline and no key with the statement.
+    /// Hosts know nothing of the request's key and freshness bound: they recognise no second run and don't check
+    /// freshness.
     pub plain: bool,
     /// How long an attempt is expected to take; 0 where only the class tells.
     pub expected_duration: Micros,
 }
 
-/// How one attempt ended, and what the answer reported about its host.
+/// How one attempt ended.
 pub struct AttemptEnd {
     pub host: HostId,
     pub number: u8,
     pub outcome: Outcome,
     pub latency: Duration,
+    /// What the answer reported about its host.
     pub note: HostReport,
 }
 
@@ -394,9 +396,9 @@
 
     /// Applies a manual override: operators leave a database host out, or use it again. The override of a host that isn't
     /// listed yet is kept until a list names the host.
-    pub fn override_host(&self, name: &str, out: bool, since: Micros) {
+    pub fn override_host(&self, name: &str, left_out: bool, since: Micros) {
         let host = self.inner.borrow_mut().host_id(name);
-        self.feed(Event::HostOverride { host, left_out: out, since });
+        self.feed(Event::HostOverride { host, left_out, since });
     }
 
     /// Whether operators leave a database host out.
--- a/src/net/events.rs
+++ b/src/net/events.rs
@@ -105,7 +105,7 @@
     }
 
     /// Counts a retry of a request after an attempt with this outcome.
-    pub fn repeated(&self, id: &str, outcome: Outcome) {
+    pub fn retried(&self, id: &str, outcome: Outcome) {
         let Some(reason) = RepeatReason::of(outcome) else { return };
         debug!(target: "requests", id, ?reason, "repeated");
         count(&self.repeats, reason);
--- a/src/net/request.rs
+++ b/src/net/request.rs
@@ -183,7 +183,7 @@
     pub core: &'l Rc<Core>,
     pub hosts: &'l Rc<Hosts>,
     pub admission: &'l Rc<Admission>,
-    /// How long an answer takes to the client.
+    /// The time taken off the client's deadline for sending the answer back.
     pub response_margin: Micros,
     /// The commit position that the last answer reported, and how long the attempt took; of plain statements only.
     pub commit_and_duration: Option<(Option<Micros>, Duration)>,
@@ -282,7 +282,7 @@
                 Directive::Withdraw => continue,
             };
             if let Some(outcome) = last_outcome.take() {
-                core.events.repeated(&statement.id, outcome);
+                core.events.retried(&statement.id, outcome);
             }
             // What an answer that isn't complete yet has reported about its host.
             let partial_report = Cell::default();
--- a/src/net/statements.rs
+++ b/src/net/statements.rs
@@ -1,6 +1,6 @@
-//! Routes plain statements, those without a leading comment. It owns the router of the `sillfold-route` crate, and
-//! translates its results into class numbers and client errors. It must never decide a route itself, nor hold a borrow
-//! across an await.
+//! Routes plain statements, those without the leading comment of a request. It owns the router of the `sillfold-route`
+//! crate, and translates its results into class numbers and client errors. It must never decide a route itself, nor hold a
+//! borrow across an await.
 
 use crate::Micros;
 use crate::operator::Statements as Conf;
@@ -122,12 +122,12 @@
     }
 
     /// The transaction control in a text, if there is any.
-    pub fn control(&self, text: &str) -> Option<TransactionControl> {
+    pub fn transaction_control(&self, text: &str) -> Option<TransactionControl> {
         self.router.borrow_mut().transaction_control(text)
     }
 
-    /// Learns from a served statement how long its shape takes.
-    pub fn learn(&self, route: &PlainRoute, duration: Duration) {
+    /// Records how long a served statement took, from which the router learns the cost of its shape.
+    pub fn record_duration(&self, route: &PlainRoute, duration: Duration) {
         self.router.borrow_mut().record_duration(&route.shape, duration.as_micros() as u64);
     }
 
--- a/tests/plain.rs
+++ b/tests/plain.rs
@@ -1,5 +1,5 @@
-//! Tests of plain statements, those without a leading comment, through the program with the lab's stand-ins: one for each
-//! guarantee, and for each failure that they may meet.
+//! Tests of plain statements, those without the leading comment of a request, through the program with the lab's
+//! stand-ins: one for each guarantee, and for each failure that they may meet.
 
 use sillfold_lab::{
     Agent, Answer, Client, Entry, Fault, Group, Host, Options, Proxy, Seen, address, settings,
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -166,7 +166,7 @@
     let proxy = Proxy::start_with(&[&host], 1024, config);
     let mut asking = proxy.client();
     let mut idle: Vec<Client> = (0..40).map(|_| Client::connect(proxy.address)).collect();
-    proxy.logged("trying again in 20 ms: Too many open files");
+    proxy.logged("trying again in 20ms: Too many open files");
     asking.send(&query(&read("1", "history", 9_000)));
     proxy.logged("connecting: Too many open files");
     idle.clear();
