--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -169,7 +169,7 @@
     let proxy = Proxy::start_with(&[&host], 1024, config);
     let mut asking = proxy.client();
     let mut idle: Vec<Client> = (0..40).map(|_| Client::connect(proxy.address)).collect();
-    proxy.logged("trying again in 20 ms: Too many open files");
+    proxy.logged("trying again in 20ms: Too many open files");
     asking.send(&query(&read("1", "history", 9_000)));
     proxy.logged("connecting: Too many open files");
     idle.clear();
