--- a/tests/by_hand.rs
+++ b/tests/by_hand.rs
@@ -25,7 +25,7 @@
 
 fn order(proxy: &Proxy, host: &Host, what: &str) {
     let who = format!(r#"{{"who":"{}"}}"#, name_of(host));
-    assert_eq!(proxy.call("POST", &format!("/ops/database-hosts/{what}"), &who).0, 200);
+    assert_eq!(proxy.console_request("POST", &format!("/ops/database-hosts/{what}"), &who).0, 200);
 }
 
 /// Neither the folder of orders nor anything in it can be read or written, until `restore`.
@@ -62,7 +62,7 @@
     }
 
     fn over(stream: UnixStream) -> OtherProcess {
-        stream.set_read_timeout(Some(PATIENCE)).expect("set");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
         let lines = BufReader::new(stream.try_clone().expect("a copy"));
         OtherProcess { stream, lines }
     }
@@ -91,7 +91,7 @@
         let asked = Instant::now();
         loop {
             let line = self.hears().expect("the proxy goes on");
-            assert!(asked.elapsed() < PATIENCE, "no order is told");
+            assert!(asked.elapsed() < TEST_TIMEOUT, "no order is told");
             if let Some(order) = line["orders"].as_array().and_then(|orders| orders.first()) {
                 return order.clone();
             }
@@ -110,9 +110,9 @@
 
 /// The same, the so manieth one.
 fn beside_at(proxy: &Proxy, hosts: &[&Host], nth: u16) -> Proxy {
-    let next = proxy.nth_beside(nth);
+    let next = proxy.start_nth_beside(nth);
     let hosts: Vec<(&Host, &str)> = hosts.iter().map(|&h| (h, "SERVING")).collect();
-    next.agent.line(&list(42, true, &hosts));
+    next.agent.send_line(&list(42, true, &hosts));
     next.logged("serves on");
     next
 }
@@ -128,11 +128,11 @@
     std::fs::rename(&file, &aside).expect("the order is in its file");
     std::fs::create_dir(&file).expect("nothing is there");
     let next = beside(&first, &[&primary, &replica]);
-    assert_eq!(next.figures()["hosts_down"], 0);
+    assert_eq!(next.stats()["hosts_down"], 0);
     std::fs::remove_dir(&file).expect("it is empty");
     std::fs::rename(&aside, &file).expect("it is put back");
     next.logged("was left out by hand");
-    assert_eq!(next.figures()["hosts_down"], 1);
+    assert_eq!(next.stats()["hosts_down"], 1);
 }
 
 /// An order of a process whose clock was an hour behind when it started.
@@ -142,13 +142,13 @@
     let old = Proxy::with_console(&[&primary, &replica], 1024);
     order(&old, &replica, "down");
     let new = beside(&old, &[&primary, &replica]);
-    assert_eq!(new.figures()["hosts_down"], 1);
+    assert_eq!(new.stats()["hosts_down"], 1);
     let (file, next) = (file_of(&old, &replica), old.directory.join("next"));
     let an_hour_ago = (unix_ms() - 3_600_000) * 1_000;
     std::fs::write(&next, format!("up {an_hour_ago}")).expect("written");
     std::fs::rename(&next, &file).expect("put in place");
     new.logged("was used again by hand");
-    assert_eq!(new.figures()["hosts_down"], 0);
+    assert_eq!(new.stats()["hosts_down"], 0);
 }
 
 /// Of three processes the one in the middle is killed: the first and the third hear of each other's orders all the same.
@@ -178,11 +178,11 @@
     let old = Proxy::with_console(&hosts, 1024);
     let new = beside(&old, &hosts);
     old.logged("a new process has started");
-    new.agent.asked();
-    old.freeze();
+    new.agent.next_request();
+    old.pause();
     // The watch of the other is quiet meanwhile: only time passes.
-    assert_eq!(new.agent.asked_within(Duration::from_millis(2_600)), None);
-    old.thaw();
+    assert_eq!(new.agent.next_request_within(Duration::from_millis(2_600)), None);
+    old.resume();
     order(&new, &replica, "down");
     old.logged("was left out by hand");
 }
@@ -197,17 +197,17 @@
     let old = Proxy::with_console(&hosts, 1024);
     order(&old, &replica, "down");
     let folder = BrokenFolder::of(&old);
-    old.freeze();
-    let new = old.beside();
-    new.agent.line(&list(42, true, &[(&primary, "SERVING"), (&replica, "SERVING")]));
+    old.pause();
+    let new = old.start_beside();
+    new.agent.send_line(&list(42, true, &[(&primary, "SERVING"), (&replica, "SERVING")]));
     // It has its list, and for as long as the other says nothing it is not ready.
     new.logged("another process runs");
-    while new.figures()["hosts_listed"] != 2 {}
-    assert_eq!(new.call("GET", "/ops/readiness", "").0, 503);
-    old.thaw();
+    while new.stats()["hosts_listed"] != 2 {}
+    assert_eq!(new.console_request("GET", "/ops/readiness", "").0, 503);
+    old.resume();
     new.logged("was left out by hand");
     new.logged("serves on");
-    assert_eq!(new.figures()["hosts_down"], 1);
+    assert_eq!(new.stats()["hosts_down"], 1);
     folder.restore();
 }
 
@@ -217,12 +217,12 @@
 fn a_process_that_says_nothing_holds_up_a_new_version_for_a_bounded_time_only() {
     let (primary, replica) = (served("primary"), served("replica"));
     let old = Proxy::with_console(&[&primary, &replica], 1024);
-    old.freeze();
+    old.pause();
     let started = Instant::now();
     let new = beside(&old, &[&primary, &replica]);
     assert!(started.elapsed() > Duration::from_millis(1_500), "it did not wait");
     assert!(started.elapsed() < Duration::from_secs(6), "ready by 10 s, with room");
-    old.thaw();
+    old.resume();
     order(&old, &replica, "down");
     new.logged("was left out by hand");
 }
@@ -237,7 +237,7 @@
     let second = beside(&first, &hosts);
     let third = beside_at(&first, &hosts, 2);
     for later in [&second, &third] {
-        assert_eq!(later.figures()["hosts_down"], 1);
+        assert_eq!(later.stats()["hosts_down"], 1);
     }
     folder.restore();
 }
@@ -261,8 +261,8 @@
     second.signal("KILL");
     let third = beside_at(&first, &hosts, 2);
     // Nobody is beside it: it serves before its list is there.
-    while third.figures()["hosts_listed"] != 2 {}
-    assert_eq!(third.figures()["hosts_down"], 1);
+    while third.stats()["hosts_listed"] != 2 {}
+    assert_eq!(third.stats()["hosts_down"], 1);
 }
 
 /// An order that cannot be written holds nowhere, and its operator hears so; one that can hears for how many processes it
@@ -276,14 +276,14 @@
     old.logged("a new process has started");
     let folder = BrokenFolder::of(&old);
     let who = format!(r#"{{"who":"{}"}}"#, name_of(&replica));
-    let (status, text) = old.call("POST", "/ops/database-hosts/down", &who);
+    let (status, text) = old.console_request("POST", "/ops/database-hosts/down", &who);
     assert!(
         status == 500 && text.contains("the order holds nowhere, nothing has changed"),
         "{status} {text}"
     );
-    assert_eq!((&old.figures()["hosts_down"], &new.figures()["hosts_down"]), (&0.into(), &0.into()));
+    assert_eq!((&old.stats()["hosts_down"], &new.stats()["hosts_down"]), (&0.into(), &0.into()));
     folder.restore();
-    let (status, text) = old.call("POST", "/ops/database-hosts/down", &who);
+    let (status, text) = old.console_request("POST", "/ops/database-hosts/down", &who);
     let said: serde_json::Value = serde_json::from_str(&text).expect("JSON");
     assert_eq!((status, &said["processes"], &said["outlasts_processes"]), (200, &2.into(), &true.into()));
     new.logged("was left out by hand");
@@ -313,7 +313,7 @@
     proxy.logged("was left out by hand");
     other.tells(&format!(r#"{{"host":"{host}","out":false,"stamp":{}}}"#, ahead + 3));
     proxy.logged("was used again by hand");
-    assert_eq!(proxy.figures()["hosts_down"], 0);
+    assert_eq!(proxy.stats()["hosts_down"], 0);
 }
 
 /// A process of an earlier version tells no orders: it is not waited for beyond its first line, and what it puts into the
@@ -327,8 +327,8 @@
     let socket = gone.directory.join("sillfold.sock");
     std::fs::remove_file(&socket).expect("it was left");
     let listener = UnixListener::bind(&socket).expect("nothing is there");
-    let proxy = gone.beside();
-    proxy.agent.line(&list(42, true, &[(&primary, "SERVING"), (&replica, "SERVING")]));
+    let proxy = gone.start_beside();
+    proxy.agent.send_line(&list(42, true, &[(&primary, "SERVING"), (&replica, "SERVING")]));
     let (stream, _) = listener.accept().expect("it is met");
     let mut other = OtherProcess::over(stream);
     other.says(r#"{"process":1,"ready":true,"clients":3,"bytes":0,"hosts":2}"#);
@@ -361,7 +361,7 @@
     let met = Instant::now();
     loop {
         let line = other.hears().expect("the proxy goes on");
-        assert!(met.elapsed() < PATIENCE, "not all is told");
+        assert!(met.elapsed() < TEST_TIMEOUT, "not all is told");
         assert!(line.to_string().len() < 48 * 1024, "{} bytes", line.to_string().len());
         told += line["orders"].as_array().expect("orders").len();
         if line["complete"] == true {
@@ -399,14 +399,14 @@
     other.tells(&format!(r#"{{"host":"{host}","out":false,"stamp":5}}"#));
     other.tells(r#"{"host":"nobody","out":true,"stamp":5,"by":"me"}"#);
     proxy.logged("nobody was left out by hand");
-    assert_eq!(proxy.figures()["hosts_down"], 1);
+    assert_eq!(proxy.stats()["hosts_down"], 1);
     for bad in ["nonsense".to_string(), "x".repeat(70_000)] {
         other.says(&bad);
         while other.hears().is_some() {}
         proxy.logged("the other process has ended");
         other = OtherProcess::beside(&proxy);
     }
-    assert_eq!(proxy.figures()["hosts_down"], 1);
+    assert_eq!(proxy.stats()["hosts_down"], 1);
 }
 
 /// A process that had become the latest still took itself for superseded, since an older one had called it: when that ended it
@@ -455,7 +455,7 @@
     assert!(file_of(&proxy, &replica).is_file());
     std::fs::create_dir(file_of(&proxy, &primary)).expect("nothing is there");
     let who = format!(r#"{{"who":"{}"}}"#, name_of(&primary));
-    assert_eq!(proxy.call("POST", "/ops/database-hosts/down", &who).0, 500);
+    assert_eq!(proxy.console_request("POST", "/ops/database-hosts/down", &who).0, 500);
     let names = std::fs::read_dir(proxy.directory.join("hosts")).expect("it is there");
     let names: Vec<_> = names.map(|entry| entry.expect("an entry").file_name()).collect();
     assert!(names.iter().all(|name| !name.to_string_lossy().starts_with('.')), "{names:?}");
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -19,8 +19,9 @@
 fn told() -> (Host, Sender<Reply>) {
     let (tell, told) = channel::<Reply>();
     let told = Mutex::new(told);
-    let answer =
-        move |_: usize, _: &str| told.lock().expect("lock").recv_timeout(PATIENCE).unwrap_or(Reply::Silence);
+    let answer = move |_: usize, _: &str| {
+        told.lock().expect("lock").recv_timeout(TEST_TIMEOUT).unwrap_or(Reply::NoAnswer)
+    };
     (Host::start(answer), tell)
 }
 
@@ -37,8 +38,8 @@
 /// The stop's time ends long before the client's patience does.
 #[test]
 fn a_stop_answers_what_is_still_open_in_words_and_what_came_behind_it() {
-    let host = Host::start(|_, _| Reply::Silence);
-    let mute = Host::mute();
+    let host = Host::start(|_, _| Reply::NoAnswer);
+    let mute = Host::without_sessions();
     let mut proxy = Proxy::start_with(&[&host], 1024, linger(100));
     let mut never = Proxy::start_with(&[&mute], 1024, |c| {
         linger(100)(c).replace("\"dialTimeoutUs\":1500000", "\"dialTimeoutUs\":19000000")
@@ -46,9 +47,9 @@
     let (mut sent, mut unsent, mut half) = (proxy.client(), never.client(), proxy.client());
     let behind: Vec<u8> = ["2", "3"].iter().flat_map(|id| query(&read(id, "history", 20_000))).collect();
     sent.send(&[query(&write("1", 20_000)), behind].concat());
-    host.query();
+    host.next_query();
     unsent.send(&query(&write("4", 20_000)));
-    assert_eq!(mute.next(), Seen::Opened);
+    assert_eq!(mute.next_event(), HostEvent::Opened);
     proxy.signal("TERM");
     never.signal("TERM");
     proxy.logged("stops");
@@ -66,7 +67,7 @@
     assert_eq!((answer.code.as_str(), answer.end), ("53300", End::Ready));
     assert_eq!(half.answer().code, "08P01");
     assert!(proxy.wait().success() && never.wait().success());
-    assert_eq!(host.next(), Seen::Closed);
+    assert_eq!(host.next_event(), HostEvent::Closed);
 }
 
 /// A request on a resting connection that is being shut: the client sees the end, and no reset.
@@ -75,16 +76,16 @@
     let host = served("v");
     let mut proxy = Proxy::start_with(&[&host], 1024, linger(1));
     let mut client = proxy.client();
-    assert_eq!(client.ask(&read("1", "history", 9000)).value.as_deref(), Some("v"));
+    assert_eq!(client.query(&read("1", "history", 9000)).value.as_deref(), Some("v"));
     proxy.signal("TERM");
     assert_eq!(client.answer().end, End::Closed);
     client.send(&query(&read("2", "history", 9000)));
     assert!(proxy.wait().success());
     let after = client.stream.read(&mut [0]);
     assert!(matches!(after, Ok(0)), "{after:?}");
-    assert_eq!(host.next(), Seen::Opened);
-    assert!(matches!(host.next(), Seen::Query(text) if text.contains("id=1,")));
-    assert_eq!(host.next(), Seen::Closed);
+    assert_eq!(host.next_event(), HostEvent::Opened);
+    assert!(matches!(host.next_event(), HostEvent::Query(text) if text.contains("id=1,")));
+    assert_eq!(host.next_event(), HostEvent::Closed);
 }
 
 /// All of it is there at once when the program goes on: what was written before the shutdown is answered.
@@ -93,13 +94,13 @@
     let host = served("v");
     let mut proxy = Proxy::start_with(&[&host], 1024, linger(1));
     let (mut old, mut new) = (proxy.client(), Client::connect(proxy.address));
-    proxy.freeze();
+    proxy.pause();
     proxy.signal("TERM");
     proxy.signal("HUP");
     proxy.signal("TERM");
     old.send(&query(&read("1", "history", 9000)));
     new.send(&[startup(), query(&read("2", "history", 9000))].concat());
-    proxy.thaw();
+    proxy.resume();
     assert_eq!(old.answer().value.as_deref(), Some("v"));
     assert_eq!(new.answer().end, End::Ready);
     assert_eq!(new.answer().value.as_deref(), Some("v"));
@@ -115,15 +116,15 @@
     let mut client = proxy.client();
     let all: Vec<u8> = texts.iter().flat_map(|text| query(text)).collect();
     client.send(&all);
-    assert!(host.query().contains("id=1,"));
-    proxy.freeze();
+    assert!(host.next_query().contains("id=1,"));
+    proxy.pause();
     drop(client);
     tell.send(reply).expect("the host waits");
-    host.replied();
-    proxy.thaw();
+    host.wait_for_reply();
+    proxy.resume();
     tell.send(Reply::Row("v")).expect("the host waits");
-    assert_eq!(proxy.client().ask(&read("9", "history", 9000)).value.as_deref(), Some("v"));
-    assert!(host.query().contains("id=9,"));
+    assert_eq!(proxy.client().query(&read("9", "history", 9000)).value.as_deref(), Some("v"));
+    assert!(host.next_query().contains("id=9,"));
 }
 
 /// An error that would be followed by another attempt.
@@ -147,29 +148,29 @@
     let proxy = Proxy::start(&[&host], 1024);
     let mut client = proxy.client();
     client.send(&query(&read("1", "history", 20_000)));
-    assert_eq!(host.next(), Seen::Opened);
-    proxy.freeze();
+    assert_eq!(host.next_event(), HostEvent::Opened);
+    proxy.pause();
     drop(client);
     host.release_sessions();
-    host.session_up();
-    proxy.thaw();
-    assert_eq!(proxy.client().ask(&read("9", "history", 9_000)).value.as_deref(), Some("v"));
-    assert!(host.query().contains("id=9,"));
+    host.wait_for_session();
+    proxy.resume();
+    assert_eq!(proxy.client().query(&read("9", "history", 9_000)).value.as_deref(), Some("v"));
+    assert!(host.next_query().contains("id=9,"));
 }
 
 /// It has sent more than is read ahead, so its end is behind bytes that nobody reads.
 #[test]
 fn a_departure_behind_more_than_is_read_ahead_withdraws_the_attempt() {
-    let host = Host::start(|_, _| Reply::Silence);
+    let host = Host::start(|_, _| Reply::NoAnswer);
     let proxy = Proxy::start(&[&host], 1024);
     let mut client = proxy.client();
     client.send(&query(&read("1", "history", 20_000)));
-    host.query();
+    host.next_query();
     client.send(&query("SELECT 1").repeat((3 << 20) / 14));
     let left = Instant::now();
     drop(client);
-    assert_eq!(host.next(), Seen::Closed);
-    assert!(left.elapsed() < PATIENCE / 2, "the attempt ended with its time, not with its client");
+    assert_eq!(host.next_event(), HostEvent::Closed);
+    assert!(left.elapsed() < TEST_TIMEOUT / 2, "the attempt ended with its time, not with its client");
     assert!(proxy.memory_kb() < 40_000, "{} KB", proxy.memory_kb());
 }
 
@@ -180,7 +181,7 @@
     let proxy = Proxy::start(&[&host], 1024);
     let mut client = proxy.client();
     client.send(&query(&read("1", "history", 20_000)));
-    assert!(host.query().contains("id=1,"));
+    assert!(host.next_query().contains("id=1,"));
     // More than both machines' buffers hold: most of it has been read when this returns.
     client.send(&query("SELECT 1").repeat((16 << 20) / 14));
     tell.send(Reply::Row("v")).expect("the host waits");
@@ -206,7 +207,7 @@
         client.stream.shutdown(Shutdown::Write).expect("open");
         assert_eq!(Client { stream: client.stream }.answer().end, End::Closed);
     }
-    assert_eq!(proxy.client().ask(&read("1", "history", 9000)).code, "57P03");
+    assert_eq!(proxy.client().query(&read("1", "history", 9000)).code, "57P03");
 }
 
 /// Told while it cannot serve yet, or before it has looked at anything: it ends, in order.
@@ -216,7 +217,7 @@
     let mut client = proxy.client();
     client.send(&query(""));
     // Another is answered after it: the empty query waits by now.
-    assert_eq!(proxy.client().ask(&read("1", "history", 9000)).code, "57P03");
+    assert_eq!(proxy.client().query(&read("1", "history", 9000)).code, "57P03");
     proxy.signal("TERM");
     proxy.logged("stops");
     proxy.signal("TERM");
@@ -234,17 +235,17 @@
     let proxy = Proxy::start_with(&[&host], 1024, one);
     let mut client = proxy.client();
     tell.send(Reply::Row("v")).expect("the host waits");
-    assert_eq!(client.ask(&read("1", "history", 9000)).value.as_deref(), Some("v"));
-    host.query();
-    proxy.freeze();
+    assert_eq!(client.query(&read("1", "history", 9000)).value.as_deref(), Some("v"));
+    host.next_query();
+    proxy.pause();
     client.send(&query(&read("2", "history", 9000)));
     host.end_connections(b"E\0\0\0");
-    assert_eq!(host.next(), Seen::Closed);
-    proxy.thaw();
+    assert_eq!(host.next_event(), HostEvent::Closed);
+    proxy.resume();
     tell.send(Reply::Row("w")).expect("the host waits");
     let answer = client.answer();
     assert_eq!(answer.value.as_deref(), Some("w"), "{answer:?}");
-    assert_eq!(host.next(), Seen::Opened);
+    assert_eq!(host.next_event(), HostEvent::Opened);
 }
 
 /// It writes on and on and reads nothing; whoever is beside it is served.
@@ -259,25 +260,25 @@
         let sent = client.stream.write_all(&much);
         assert!(sent.is_ok() || sent.is_err_and(|e| e.kind() != ErrorKind::WouldBlock));
     }
-    assert_eq!(proxy.client().ask(&read("1", "history", 9000)).value.as_deref(), Some("v"));
+    assert_eq!(proxy.client().query(&read("1", "history", 9000)).value.as_deref(), Some("v"));
     assert!(proxy.memory_kb() < 40_000, "{} KB", proxy.memory_kb());
 }
 
 /// The first attempt may have run; the connection for the next comes up when the key may be forgotten.
 #[test]
 fn a_keyed_write_does_not_go_again_over_a_connection_that_came_up_after_its_window() {
-    let host = Host::late(std::time::Duration::from_millis(900));
+    let host = Host::with_slow_sessions(std::time::Duration::from_millis(900));
     let window = |config: String| config.replace("\"dedupWindowUs\":9000000", "\"dedupWindowUs\":700000");
     let proxy = Proxy::start_with(&[&host], 1024, window);
-    let answer = proxy.client().ask(&write("1", 9_000));
+    let answer = proxy.client().query(&write("1", 9_000));
     assert_eq!((answer.code.as_str(), answer.end), ("40003", End::Ready), "{}", answer.message);
-    assert!(host.query().contains("id=1,"));
-    assert_eq!(host.next(), Seen::Closed);
-    assert_eq!(host.next(), Seen::Opened);
+    assert!(host.next_query().contains("id=1,"));
+    assert_eq!(host.next_event(), HostEvent::Closed);
+    assert_eq!(host.next_event(), HostEvent::Opened);
     // The late connection is there for whoever comes next, or closed; no query came over it before.
-    let next = proxy.client().ask(&write("2", 9_000));
+    let next = proxy.client().query(&write("2", 9_000));
     assert_eq!(next.value.as_deref(), Some("v"));
-    assert!(host.query().contains("id=2,"));
+    assert!(host.next_query().contains("id=2,"));
 }
 
 /// The configuration is a pipe: the program stands in the middle of its start until the test writes to it.
@@ -353,7 +354,7 @@
         let told = [beginning, message(b'S', b"server_role\0reader\0")].concat();
         let host = Host::start(move |_, _| Reply::Bytes(told.clone()));
         let proxy = Proxy::start(&[&host], 1024);
-        let answer = proxy.client().ask(&read("1", "browse", 700));
+        let answer = proxy.client().query(&read("1", "browse", 700));
         assert_eq!((answer.code.as_str(), answer.value.as_deref()), (code, value));
         proxy.logged("is no longer primary");
     }
@@ -366,13 +367,13 @@
     let proxy = Proxy::start(&[&host], 1024);
     let mut client = proxy.client();
     client.send(&query(&read("1", "history", 20_000)));
-    assert!(host.query().contains("id=1,"));
-    proxy.freeze();
+    assert!(host.next_query().contains("id=1,"));
+    proxy.pause();
     drop(client);
     let text = [row_alone(), message(b'S', b"server_role\0reader\0"), message(b'Z', b"I")].concat();
     tell.send(Reply::Bytes(text)).expect("the host waits");
-    host.replied();
-    proxy.thaw();
+    host.wait_for_reply();
+    proxy.resume();
     proxy.logged("is no longer primary");
 }
 
@@ -386,7 +387,7 @@
     let silent: Vec<Client> = (0..39).map(|_| Client::connect(proxy.address)).collect();
     let mut asking = Client::connect(proxy.address);
     asking.send(&[startup(), query(&read("1", "history", 9000))].concat());
-    proxy.has_accepted_all();
+    proxy.wait_until_all_accepted();
     proxy.signal("TERM");
     let mut came = Vec::new();
     let ended = asking.stream.read_to_end(&mut came);
@@ -405,7 +406,7 @@
     // Small segments and a small window: the machine takes little of a statement at once.
     stuck.set_recv_buffer_size(4_096).expect("set");
     stuck.set_tcp_mss(536).expect("set");
-    stuck.bind(&SocketAddr::new(address(), 0).into()).expect("bound");
+    stuck.bind(&SocketAddr::new(loopback_address(), 0).into()).expect("bound");
     stuck.listen(64).expect("it listens");
     let listener = TcpListener::from(stuck);
     let mut stuck = Host::start(|_, _| Reply::Row("v"));
@@ -419,7 +420,7 @@
                 small.push(stream);
                 continue;
             }
-            let _ = may_read.recv_timeout(PATIENCE);
+            let _ = may_read.recv_timeout(TEST_TIMEOUT);
             let mut rest = Vec::new();
             let _ = stream.set_read_timeout(Some(Duration::from_millis(500)));
             let _ = stream.read_to_end(&mut rest);
@@ -430,11 +431,11 @@
     let mut client = proxy.client();
     let statement = format!("{} WHERE ref = '{}'", read("1", "history", 9_000), "x".repeat(150 * 1024));
     client.send(&query(&statement));
-    proxy.has_open(1);
-    clock_passes(unix_ms() + 300);
+    proxy.wait_for_open_requests(1);
+    wait_until_after(unix_ms() + 300);
     read_on.send(()).expect("the host waits");
-    assert!(!whole.recv_timeout(PATIENCE).expect("the host reads"), "the host has all of it, 0.3 s late");
-    assert_eq!(proxy.figures()["invariants"]["patience_exceeded"], 0);
+    assert!(!whole.recv_timeout(TEST_TIMEOUT).expect("the host reads"), "the host has all of it, 0.3 s late");
+    assert_eq!(proxy.stats()["invariants"]["patience_exceeded"], 0);
     assert_eq!(client.answer().end, End::Ready);
 }
 
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -16,23 +16,23 @@
     let host = Host::start(|_, text| match text {
         _ if text.contains("id=no,") => Reply::Error("22000"),
         _ if text.contains("c=history") => Reply::Row("v"),
-        _ => Reply::Silence,
+        _ => Reply::NoAnswer,
     });
     let proxy = Proxy::with_console(&[&host], 96);
-    proxy.agent.line(&list(42, true, &[(&host, "SERVING")]));
+    proxy.agent.send_line(&list(42, true, &[(&host, "SERVING")]));
     let zero = serde_json::json!({"success":0,"busy":0,"failure":0,"backend_calls":0});
-    assert_eq!(proxy.figures()["calls"]["ingest"], zero);
+    assert_eq!(proxy.stats()["calls"]["ingest"], zero);
     // All places are taken by clients whose writes are out, and more callers than there is room for stay.
     let mut clients: Vec<Client> = (0..29).map(|_| proxy.client()).collect();
-    assert_eq!(clients[0].ask(&read("yes", "history", 9000)).value.as_deref(), Some("v"));
-    assert_eq!(clients[0].ask(&read("no", "history", 9000)).code, "22000");
-    assert_eq!(clients[0].ask(&read("late", "browse", 50)).code, "53300");
+    assert_eq!(clients[0].query(&read("yes", "history", 9000)).value.as_deref(), Some("v"));
+    assert_eq!(clients[0].query(&read("no", "history", 9000)).code, "22000");
+    assert_eq!(clients[0].query(&read("late", "browse", 50)).code, "53300");
     for (i, client) in clients.iter_mut().enumerate() {
         client.send(&query(&read(&format!("w{i}"), "ingest", 20_000)));
     }
     let sent = Instant::now();
-    while proxy.figures()["inflight"] != 29 {
-        assert!(sent.elapsed() < PATIENCE, "{}", proxy.figures());
+    while proxy.stats()["inflight"] != 29 {
+        assert!(sent.elapsed() < TEST_TIMEOUT, "{}", proxy.stats());
     }
     assert_eq!(Client::connect(proxy.address).answer().code, "53300");
     let half = |_| {
@@ -42,8 +42,8 @@
     };
     let _callers: Vec<TcpStream> = (0..40).map(half).collect();
     let asked = Instant::now();
-    assert_eq!(proxy.call("GET", "/ops/readiness", "").0, 200);
-    let figures = proxy.figures();
+    assert_eq!(proxy.console_request("GET", "/ops/readiness", "").0, 200);
+    let figures = proxy.stats();
     assert!(asked.elapsed().as_secs() < 2, "a call waited for those that hold their connections");
     let history = serde_json::json!({"success":1,"busy":0,"failure":1,"backend_calls":2});
     // Its time is too short for any host: refused on arrival.
@@ -55,7 +55,7 @@
         ("POST", "/ops/stats", 405, "takes GET"),
         ("GET", "/ops/drain/start", 405, "takes POST"),
     ] {
-        let (said, text) = proxy.call(method, path, "");
+        let (said, text) = proxy.console_request(method, path, "");
         assert!(said == status && text.contains(why), "{path}: {said} {text}");
     }
     for (text, status) in [
@@ -64,10 +64,10 @@
         ("POST /ops/drain/start HTTP/1.1\r\nContent-Length: 99999\r\n\r\n".to_string(), 413),
         (format!("GET /ops/stats HTTP/1.1\r\nX: {}\r\n\r\n", "x".repeat(9000)), 431),
     ] {
-        assert_eq!(call(proxy.console, text).0, status);
+        assert_eq!(send_console_request(proxy.console, text).0, status);
     }
     // None of these has changed anything.
-    assert_eq!(proxy.call("GET", "/ops/readiness", "").0, 200);
+    assert_eq!(proxy.console_request("GET", "/ops/readiness", "").0, 200);
 }
 
 #[test]
@@ -76,35 +76,35 @@
     let may_answer = std::sync::Mutex::new(may_answer);
     let host = Host::start(move |_, text| {
         if text.contains("id=busy,") {
-            let _ = may_answer.lock().expect("lock").recv_timeout(PATIENCE);
+            let _ = may_answer.lock().expect("lock").recv_timeout(TEST_TIMEOUT);
         }
         Reply::Row("v")
     });
     let proxy = Proxy::with_console(&[&host], 1024);
-    proxy.agent.line(&list(42, true, &[(&host, "SERVING")]));
+    proxy.agent.send_line(&list(42, true, &[(&host, "SERVING")]));
     let (mut busy, mut idle, mut other) = (proxy.client(), proxy.client(), proxy.client());
-    assert!(idle.ask("").empty);
+    assert!(idle.query("").empty);
     for (client, id) in [(&mut idle, "i"), (&mut other, "o")] {
-        assert_eq!(client.ask(&read(id, "history", 9000)).value.as_deref(), Some("v"));
+        assert_eq!(client.query(&read(id, "history", 9000)).value.as_deref(), Some("v"));
     }
     busy.send(&query(&read("busy", "history", 9000)));
-    while !matches!(host.next(), Seen::Opened) {}
-    assert_eq!(proxy.call("POST", "/ops/drain/start", "").0, 200);
-    assert_eq!(proxy.call("POST", "/ops/drain/start", "").0, 200);
-    assert_eq!(proxy.call("GET", "/ops/readiness", "").0, 503);
-    let answer = proxy.client().ask("");
+    while !matches!(host.next_event(), HostEvent::Opened) {}
+    assert_eq!(proxy.console_request("POST", "/ops/drain/start", "").0, 200);
+    assert_eq!(proxy.console_request("POST", "/ops/drain/start", "").0, 200);
+    assert_eq!(proxy.console_request("GET", "/ops/readiness", "").0, 503);
+    let answer = proxy.client().query("");
     assert_eq!((answer.code.as_str(), answer.end), ("57P03", End::Ready));
     // One that asks on is served up to the answer behind which it ends, one at rest ends by itself.
-    (0..).any(|i| other.ask(&read(&format!("o{i}"), "history", 9000)).end == End::Closed);
+    (0..).any(|i| other.query(&read(&format!("o{i}"), "history", 9000)).end == End::Closed);
     assert_eq!(idle.answer().end, End::Closed);
     answer_now.send(()).expect("the host waits");
     assert_eq!(busy.answer().value.as_deref(), Some("v"));
     assert_eq!(busy.answer().end, End::Closed);
-    assert_eq!(proxy.call("POST", "/ops/drain/stop", "").0, 200);
-    assert_eq!(proxy.call("GET", "/ops/readiness", "").0, 200);
+    assert_eq!(proxy.console_request("POST", "/ops/drain/stop", "").0, 200);
+    assert_eq!(proxy.console_request("GET", "/ops/readiness", "").0, 200);
     let mut client = proxy.client();
-    assert!(client.ask("").empty);
-    assert_eq!(client.ask(&read("again", "history", 9000)).value.as_deref(), Some("v"));
+    assert!(client.query("").empty);
+    assert_eq!(client.query(&read("again", "history", 9000)).value.as_deref(), Some("v"));
 }
 
 #[test]
@@ -121,39 +121,39 @@
     let mut last = 0;
     let mut ask = || {
         last += 1;
-        client.ask(&read(&format!("{last}"), "browse", 9000)).value.expect("a value")
+        client.query(&read(&format!("{last}"), "browse", 9000)).value.expect("a value")
     };
     let read_there = |ask: &mut dyn FnMut() -> String| {
         let since = Instant::now();
         while ask() != "replica" {
-            assert!(since.elapsed() < PATIENCE, "a host in use gets no reads");
+            assert!(since.elapsed() < TEST_TIMEOUT, "a host in use gets no reads");
         }
     };
     assert_eq!(ask(), "replica");
     for (body, status, why) in
         [("{\"who\":\"s-nobody\"}", 404, "s-nobody"), ("{\"who\":7}", 400, "who"), ("s-1", 400, "who")]
     {
-        let (said, text) = proxy.call("POST", "/ops/database-hosts/down", body);
+        let (said, text) = proxy.console_request("POST", "/ops/database-hosts/down", body);
         assert!(said == status && text.contains(why), "{body}: {said} {text}");
     }
     read_there(&mut ask);
     for _ in 0..2 {
-        assert_eq!(proxy.call("POST", "/ops/database-hosts/down", &name(&replica)).0, 200);
+        assert_eq!(proxy.console_request("POST", "/ops/database-hosts/down", &name(&replica)).0, 200);
     }
     // It is restarted meanwhile: it leaves the list and comes back.
-    proxy.agent.asked();
+    proxy.agent.next_request();
     for (index, status) in [(44, "DELETED"), (45, "SERVING")] {
-        proxy.agent.line(&list(index, false, &[(&primary, "SERVING"), (&replica, status)]));
+        proxy.agent.send_line(&list(index, false, &[(&primary, "SERVING"), (&replica, status)]));
         proxy.agent.end_watch();
-        assert!(proxy.agent.asked().contains(&format!("index={index} ")));
+        assert!(proxy.agent.next_request().contains(&format!("index={index} ")));
     }
     assert!((0..20).all(|_| ask() == "primary"));
-    let figures = proxy.figures();
+    let figures = proxy.stats();
     assert_eq!((&figures["hosts_listed"], &figures["hosts_down"]), (&2.into(), &1.into()));
-    assert_eq!(proxy.call("POST", "/ops/database-hosts/up", &name(&replica)).0, 200);
+    assert_eq!(proxy.console_request("POST", "/ops/database-hosts/up", &name(&replica)).0, 200);
     // Cold, it gets a part of the reads.
     read_there(&mut ask);
-    assert_eq!(proxy.figures()["hosts_down"], 0);
+    assert_eq!(proxy.stats()["hosts_down"], 0);
 }
 
 #[test]
@@ -162,44 +162,44 @@
     let may_answer = std::sync::Mutex::new(may_answer);
     let primary = Host::start(move |_, text| {
         if text.contains("id=busy,") {
-            let _ = may_answer.lock().expect("lock").recv_timeout(PATIENCE);
+            let _ = may_answer.lock().expect("lock").recv_timeout(TEST_TIMEOUT);
         }
         Reply::Row("primary")
     });
     let replica = served("replica");
     let mut old = Proxy::with_console(&[&primary, &replica], 1024);
     let (mut busy, mut idle) = (old.client(), old.client());
-    assert_eq!(idle.ask(&read("1", "browse", 9000)).value.as_deref(), Some("replica"));
+    assert_eq!(idle.query(&read("1", "browse", 9000)).value.as_deref(), Some("replica"));
     let who = format!(r#"{{"who":"s-{}"}}"#, replica.address.port());
-    assert_eq!(old.call("POST", "/ops/database-hosts/down", &who).0, 200);
+    assert_eq!(old.console_request("POST", "/ops/database-hosts/down", &who).0, 200);
     busy.send(&query(&read("busy", "history", 9000)));
-    while !matches!(primary.next(), Seen::Opened) {}
+    while !matches!(primary.next_event(), HostEvent::Opened) {}
     // Something that was left over hinders no start.
     std::fs::write(old.directory.join("hosts/zz"), "down soon").expect("written");
-    let new = old.beside();
+    let new = old.start_beside();
     new.logged("zz: unreadable");
     old.logged("a new process has started");
-    assert_eq!(new.call("GET", "/ops/readiness", "").0, 503);
-    new.agent.asked();
-    new.agent.line(&list(42, true, &[(&primary, "SERVING"), (&replica, "SERVING")]));
+    assert_eq!(new.console_request("GET", "/ops/readiness", "").0, 503);
+    new.agent.next_request();
+    new.agent.send_line(&list(42, true, &[(&primary, "SERVING"), (&replica, "SERVING")]));
     new.logged("serves on");
-    assert_eq!(new.call("GET", "/ops/readiness", "").0, 200);
-    assert_eq!(new.figures()["hosts_down"], 1);
+    assert_eq!(new.console_request("GET", "/ops/readiness", "").0, 200);
+    assert_eq!(new.stats()["hosts_down"], 1);
     // The other process hears of it too; which one serves a newcomer is the machine's choice.
-    assert_eq!(new.call("POST", "/ops/database-hosts/up", &who).0, 200);
+    assert_eq!(new.console_request("POST", "/ops/database-hosts/up", &who).0, 200);
     old.logged("was used again by hand");
-    assert_eq!(old.call("POST", "/ops/database-hosts/down", &who).0, 200);
+    assert_eq!(old.console_request("POST", "/ops/database-hosts/down", &who).0, 200);
     new.logged("was left out by hand");
     for id in 10..30 {
         let text = read(&format!("{id}"), "browse", 9000);
-        assert_eq!(new.client().ask(&text).value.as_deref(), Some("primary"));
+        assert_eq!(new.client().query(&text).value.as_deref(), Some("primary"));
     }
     old.signal("TERM");
     old.logged("stops");
     assert_eq!(idle.answer().end, End::Closed);
     for id in 30..50 {
         let text = read(&format!("{id}"), "browse", 9000);
-        assert_eq!(new.client().ask(&text).value.as_deref(), Some("primary"));
+        assert_eq!(new.client().query(&text).value.as_deref(), Some("primary"));
     }
     answer_now.send(()).expect("the host waits");
     assert_eq!(busy.answer().value.as_deref(), Some("primary"));
@@ -225,14 +225,14 @@
         client.send(&query(&read(&format!("long{i}"), "history", 9000)));
         // It has begun to read.
         assert_eq!(client.stream.peek(&mut [0]).expect("an answer"), 1);
-        assert_eq!(other.ask(&read(&format!("{i}"), "history", 9000)).value.as_deref(), Some("v"));
+        assert_eq!(other.query(&read(&format!("{i}"), "history", 9000)).value.as_deref(), Some("v"));
     }
     let grown = proxy.memory_kb().saturating_sub(before);
     assert!(grown < 8 << 10, "{grown} KB more, for 48 MiB that nobody reads");
     for client in &mut slow {
         assert_eq!(client.answer().value.map(|v| v.len()), Some(LONG));
         // Its connection serves on.
-        assert!(client.ask("").empty);
+        assert!(client.query("").empty);
     }
 }
 
@@ -251,11 +251,11 @@
     let (first, rest) = whole.split_at(10_000);
     client.send(first);
     // It is on its way before its end, and takes no place of others.
-    while host.next() != Seen::Opened {}
-    assert_eq!(proxy.client().ask(&read("2", "ingest", 9000)).value.as_deref(), Some("v"));
+    while host.next_event() != HostEvent::Opened {}
+    assert_eq!(proxy.client().query(&read("2", "ingest", 9000)).value.as_deref(), Some("v"));
     rest.chunks(70_001).for_each(|piece| client.send(piece));
     assert_eq!(client.answer().value.as_deref(), Some("v"));
-    let passed = [host.query(), host.query()];
+    let passed = [host.next_query(), host.next_query()];
     assert!(passed.contains(&text("1", 3)));
     let whole = query(&text("3", 8));
     let (first, rest) = whole.split_at(10_000);
@@ -263,7 +263,7 @@
     let answer = client.answer();
     assert_eq!((answer.code.as_str(), answer.end), ("42704", End::Ready));
     client.send(rest);
-    assert_eq!(client.ask(&read("4", "history", 9000)).value.as_deref(), Some("v"));
+    assert_eq!(client.query(&read("4", "history", 9000)).value.as_deref(), Some("v"));
     // Whoever stops in the middle hears so.
     client.send(first);
     assert_eq!(client.answer().end, End::Ready);
@@ -281,11 +281,17 @@
         _ => Reply::Row("v"),
     });
     let proxy = Proxy::start(&[&host], 1024);
-    let answer = proxy.client().ask(&read("1", "history", 9000));
+    let answer = proxy.client().query(&read("1", "history", 9000));
     assert_eq!((answer.value, answer.end), (None, End::Closed));
     // Longer than any value: nothing of it was passed on, and another attempt serves.
-    assert_eq!(proxy.client().ask(&read("2", "history", 9000)).value.as_deref(), Some("v"));
-    assert!([host.query(), host.query(), host.query()].iter().filter(|q| q.contains("id=1,")).count() == 1);
+    assert_eq!(proxy.client().query(&read("2", "history", 9000)).value.as_deref(), Some("v"));
+    assert!(
+        [host.next_query(), host.next_query(), host.next_query()]
+            .iter()
+            .filter(|q| q.contains("id=1,"))
+            .count()
+            == 1
+    );
 }
 
 /// A host broke off a long value of which its client had a part, and the connection was closed over requests that were
@@ -294,7 +300,7 @@
 #[test]
 fn a_long_value_that_breaks_off_leaves_the_requests_behind_it_their_answers() {
     for is_behind_at_once in [true, false] {
-        let (reply, pieces) = Reply::in_pieces();
+        let (reply, pieces) = Reply::streamed();
         let host = Host::start(move |_, text| match text {
             _ if text.contains("id=long,") => reply.clone(),
             _ => Reply::Row("v"),
@@ -319,7 +325,7 @@
             let next = client.answer();
             assert_eq!((next.value.as_deref(), next.end), (Some("v"), End::Ready));
         }
-        assert_eq!(proxy.figures()["invariants"]["closed_unanswered"], 0);
+        assert_eq!(proxy.stats()["invariants"]["closed_unanswered"], 0);
     }
 }
 
@@ -354,7 +360,7 @@
 /// A stop comes while a long value is on its way: its reader gets all of it before the program ends.
 #[test]
 fn a_stop_waits_for_a_long_value_that_is_on_its_way() {
-    let (reply, pieces) = Reply::in_pieces();
+    let (reply, pieces) = Reply::streamed();
     let host = Host::start(move |_, _| reply.clone());
     let mut proxy = Proxy::start_with(&[&host], 1024, |c| c.replacen('{', "{\"linger_ms\":1,", 1));
     let mut client = proxy.client();
--- a/tests/pipeline.rs
+++ b/tests/pipeline.rs
@@ -28,7 +28,7 @@
     }
     fn pass(&self, id: &str) {
         let held = self.held.0.lock().expect("lock");
-        let waited = self.held.1.wait_timeout_while(held, PATIENCE, |held| held.contains(id));
+        let waited = self.held.1.wait_timeout_while(held, TEST_TIMEOUT, |held| held.contains(id));
         drop(waited.expect("lock"));
     }
 }
@@ -63,7 +63,7 @@
 
 /// The ids of the next queries that a host sees, sorted.
 fn seen(host: &Host, count: usize) -> Vec<String> {
-    let mut ids: Vec<String> = (0..count).map(|_| id_of(&host.query())).collect();
+    let mut ids: Vec<String> = (0..count).map(|_| id_of(&host.next_query())).collect();
     ids.sort();
     ids
 }
@@ -77,13 +77,13 @@
 fn assert_next_is_anothers(proxy: &Proxy, host: &Host, id: &str) {
     let mut other = proxy.client();
     other.send(&query(&history(id)));
-    assert_eq!(id_of(&host.query()), id);
+    assert_eq!(id_of(&host.next_query()), id);
     assert_served(&mut other, id);
 }
 
 /// Nothing has come for this client, though another's request that was sent later has been answered.
 fn assert_nothing_came(proxy: &Proxy, client: &Client, id: &str) {
-    assert_eq!(proxy.client().ask(&history(id)).value.as_deref(), Some(id));
+    assert_eq!(proxy.client().query(&history(id)).value.as_deref(), Some(id));
     client.stream.set_nonblocking(true).expect("set");
     let came = client.stream.peek(&mut [0]);
     client.stream.set_nonblocking(false).expect("set");
@@ -100,13 +100,13 @@
     client.send(&queries(&ids.iter().map(|id| history(id)).collect::<Vec<_>>()));
     assert_eq!(seen(&host, 20), ids);
     for _ in 1..20 {
-        host.replied();
+        host.wait_for_reply();
     }
     // All others have their answers, which wait for their turn.
     assert_nothing_came(&proxy, &client, "99");
     gate.let_go("10");
     ids.iter().for_each(|id| assert_served(&mut client, id));
-    assert!(client.ask("").empty);
+    assert!(client.query("").empty);
 }
 
 /// The third waits for the second only, and is there before the fourth has its own.
@@ -135,7 +135,7 @@
     let gate = Gate::holding(&["1"]);
     let passing = gate.clone();
     let host = Host::start(move |_, text| match id_of(text).as_str() {
-        "2" => Reply::Silence,
+        "2" => Reply::NoAnswer,
         id => {
             passing.pass(id);
             Reply::Bytes(row(id))
@@ -145,7 +145,7 @@
     let mut client = proxy.client();
     client.send(&queries(&[history("1"), read("2", "browse", 700), history("3")]));
     assert_eq!(seen(&host, 3), ["1", "2", "3"]);
-    while host.next() != Seen::Closed {}
+    while host.next_event() != HostEvent::Closed {}
     assert_nothing_came(&proxy, &client, "9");
     gate.let_go("1");
     assert_served(&mut client, "1");
@@ -163,10 +163,10 @@
     let proxy = Proxy::start(&[&host], 1024);
     let (mut client, mut later) = (proxy.client(), proxy.client());
     client.send(&queries(&[write("1"), read("2", "browse", 700)]));
-    assert_eq!(id_of(&host.query()), "1");
+    assert_eq!(id_of(&host.next_query()), "1");
     // Sent behind it and with more time, so that the other's is over when this one's is.
     later.send(&query(&read("7", "browse", 1000)));
-    assert_eq!(id_of(&host.query()), "7");
+    assert_eq!(id_of(&host.next_query()), "7");
     assert!(later.answer().value.is_none());
     gate.let_go("1");
     assert_served(&mut client, "1");
@@ -190,7 +190,7 @@
     gate.let_go("1");
     assert_served(&mut client, "1");
     assert_served(&mut client, "2");
-    assert_eq!(id_of(&host.query()), "3");
+    assert_eq!(id_of(&host.next_query()), "3");
     assert_next_is_anothers(&proxy, &host, "11");
     gate.let_go("3");
     assert_served(&mut client, "3");
@@ -286,8 +286,8 @@
     let all: Vec<u8> = ids.iter().flat_map(|id| query(&format!("{} -- {padding}", history(id)))).collect();
     let mut sending = client.stream.try_clone().expect("clone");
     let sender = thread::spawn(move || sending.write_all(&all).expect("the program reads"));
-    while id_of(&host.query()) != "1" {}
-    assert_eq!(proxy.client().ask(&history("0")).value.as_deref(), Some("0"));
+    while id_of(&host.next_query()) != "1" {}
+    assert_eq!(proxy.client().query(&history("0")).value.as_deref(), Some("0"));
     assert!(proxy.memory_kb() < 20_000, "{} KB", proxy.memory_kb());
     gate.let_go("1");
     ids.iter().for_each(|id| assert_served(&mut client, id));
@@ -320,7 +320,7 @@
 fn all_are_withdrawn_once_their_client_leaves() {
     let host = Host::start(|_, text| match id_of(text).as_str() {
         "9" => Reply::Bytes(row("9")),
-        _ => Reply::Silence,
+        _ => Reply::NoAnswer,
     });
     let proxy = Proxy::start(&[&host], 1024);
     let mut client = proxy.client();
@@ -330,16 +330,16 @@
     let left = Instant::now();
     drop(client);
     for _ in 0..3 {
-        assert_eq!(host.next(), Seen::Closed);
+        assert_eq!(host.next_event(), HostEvent::Closed);
     }
-    assert!(left.elapsed() < PATIENCE / 2, "they ended with their time, not with their client");
+    assert!(left.elapsed() < TEST_TIMEOUT / 2, "they ended with their time, not with their client");
     assert_next_is_anothers(&proxy, &host, "9");
 }
 
 /// The stop's time ends long before the clients' patience does.
 #[test]
 fn a_stop_answers_all_that_were_taken_in_their_order() {
-    let host = Host::start(|_, _| Reply::Silence);
+    let host = Host::start(|_, _| Reply::NoAnswer);
     let linger = |config: String| config.replacen('{', "{\"linger_ms\":100,", 1);
     let mut proxy = Proxy::start_with(&[&host], 1024, linger);
     let mut client = proxy.client();
@@ -364,12 +364,12 @@
     let mut client = proxy.client();
     client.send(&queries(&["1", "2", "3"].map(history)));
     assert_eq!(seen(&old, 3), ["1", "2", "3"]);
-    proxy.agent.line(&list(42, true, &[(&new, "SERVING"), (&old, "DRAINING")]));
+    proxy.agent.send_line(&list(42, true, &[(&new, "SERVING"), (&old, "DRAINING")]));
     // What comes from now on goes to the new host, which shows that the list is known.
     let asked = (100..200).map(|id| id.to_string());
-    let mut answered = asked.map(|id| proxy.client().ask(&history(&id)).value.as_deref() == Some(&id));
+    let mut answered = asked.map(|id| proxy.client().query(&history(&id)).value.as_deref() == Some(&id));
     assert!(answered.all(|served| served));
-    assert_eq!(new.next(), Seen::Opened);
+    assert_eq!(new.next_event(), HostEvent::Opened);
     old.end_connections(b"");
     ["1", "2", "3"].iter().for_each(|id| assert_served(&mut client, id));
     client.send(&queries(&["4", "5"].map(history)));
@@ -394,7 +394,7 @@
     client.send(&queries(&["1", "2"].map(history)));
     assert_eq!(seen(&host, 2), ["1", "2"]);
     assert_nothing_came(&proxy, &client, "8");
-    assert_eq!(id_of(&host.query()), "8");
+    assert_eq!(id_of(&host.next_query()), "8");
     gate.let_go("1");
     assert_served(&mut client, "1");
     assert_eq!(client.answer().value.map(|v| v.len()), Some(LONG));
--- a/tests/rig/mod.rs
+++ b/tests/rig/mod.rs
@@ -7,7 +7,7 @@
 /// A millisecond on the router's clock.
 pub const MS: Micros = 1_000;
 /// When each rig begins.
-pub const T0: Micros = 1_000_000_000;
+pub const START: Micros = 1_000_000_000;
 
 pub fn class(access: Access, idempotency: Idempotency) -> Class {
     Class {
@@ -73,7 +73,7 @@
 }
 
 /// Servers 1 (primary, by the list's hint), 2 and 3.
-pub fn three() -> Event {
+pub fn three_hosts() -> Event {
     let ready = |id, primary| entry(id, HostStatus::Ready, primary, 0);
     list(ListUpdate::Cached, vec![ready(1, true), ready(2, false), ready(3, false)])
 }
@@ -91,7 +91,7 @@
 }
 
 /// A request of no session that its client gives up after 100 ms.
-pub fn brief(id: RequestId, class: u8, group: GroupId, now: Micros) -> Event {
+pub fn short_request(id: RequestId, class: u8, group: GroupId, now: Micros) -> Event {
     Event::Request(RequestInfo {
         id,
         class,
@@ -103,29 +103,33 @@
     })
 }
 
-/// A router of three servers among scripted events, and its clock.
+/// A router of three hosts among scripted events, and its clock.
 pub struct Rig {
     pub router: Router,
     pub now: Micros,
-    pub sent: BTreeMap<RequestId, u8>,
+    pub attempts_sent: BTreeMap<RequestId, u8>,
     pub probed: Vec<HostId>,
 }
 
 impl Rig {
     pub fn new(settings: Settings) -> Rig {
-        let mut rig =
-            Rig { router: Router::new(settings, 11), now: T0, sent: BTreeMap::new(), probed: Vec::new() };
-        rig.at(0, &[three()]);
+        let mut rig = Rig {
+            router: Router::new(settings, 11),
+            now: START,
+            attempts_sent: BTreeMap::new(),
+            probed: Vec::new(),
+        };
+        rig.advance(0, &[three_hosts()]);
         rig
     }
     /// Advances the clock and hands in events.
-    pub fn at(&mut self, later: Micros, events: &[Event]) -> Vec<Action> {
+    pub fn advance(&mut self, later: Micros, events: &[Event]) -> Vec<Action> {
         self.now += later;
         let mut out = Vec::new();
         self.router.handle(self.now, events, &mut out);
         for a in &out {
             if let Action::Send { id, .. } = a {
-                *self.sent.entry(*id).or_insert(0) += 1;
+                *self.attempts_sent.entry(*id).or_insert(0) += 1;
             }
             if let Action::Probe(host) = a {
                 self.probed.push(*host);
@@ -133,12 +137,12 @@
         }
         out
     }
-    pub fn ask(&mut self, id: RequestId, class: u8) -> Vec<Action> {
+    pub fn send_request(&mut self, id: RequestId, class: u8) -> Vec<Action> {
         let event = request(id, class, self.now);
-        self.at(0, &[event])
+        self.advance(0, &[event])
     }
     /// The last attempt of a request ends after `latency` with a position `behind` the clock.
-    pub fn end(
+    pub fn end_attempt(
         &mut self, id: RequestId, host: HostId, outcome: Outcome, latency: Micros, role: Role, behind: Micros,
     ) -> Vec<Action> {
         self.now += latency;
@@ -147,7 +151,7 @@
             matches!(outcome, Outcome::Ok | Outcome::Unsuitable | Outcome::Overloaded | Outcome::Error);
         let event = Event::Outcome(AttemptResult {
             id,
-            attempt: self.sent[&id] - 1,
+            attempt: self.attempts_sent[&id] - 1,
             host,
             outcome,
             latency,
@@ -155,23 +159,25 @@
             note: if answered { note } else { HostReport::default() },
             report: HostReport::default(),
         });
-        self.at(0, &[event])
+        self.advance(0, &[event])
     }
     /// The same, where answers tell nothing of their server.
-    pub fn end_untold(&mut self, id: RequestId, host: HostId, outcome: Outcome, latency: Micros) {
+    pub fn end_attempt_without_report(
+        &mut self, id: RequestId, host: HostId, outcome: Outcome, latency: Micros,
+    ) {
         self.now += latency;
-        let (attempt, finished) = (self.sent[&id] - 1, outcome == Outcome::Ok);
+        let (attempt, finished) = (self.attempts_sent[&id] - 1, outcome == Outcome::Ok);
         let (note, report) = Default::default();
         let event = AttemptResult { id, attempt, host, outcome, latency, finished, note, report };
-        self.at(0, &[Event::Outcome(event)]);
+        self.advance(0, &[Event::Outcome(event)]);
     }
-    pub fn heard(&mut self, host: HostId, role: Role, behind: Micros) {
+    pub fn receive_probe(&mut self, host: HostId, role: Role, behind: Micros) {
         let report = HostReport { position: Some(self.now - behind), role: Some(role), in_flight: None };
-        self.at(0, &[Event::Probed { host, ok: true, report }]);
+        self.advance(0, &[Event::Probed { host, ok: true, report }]);
     }
 }
 
-pub fn target(actions: &[Action], id: RequestId) -> Option<HostId> {
+pub fn sent_to(actions: &[Action], id: RequestId) -> Option<HostId> {
     actions.iter().find_map(|a| match a {
         Action::Send { id: i, host, .. } if *i == id => Some(*host),
         _ => None,
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -33,11 +33,11 @@
     let mut rig = Rig::new(settings());
     let mut counts = BTreeMap::new();
     for id in 0..400 {
-        let out = rig.ask(id, 0);
-        let host = target(&out, id).unwrap();
+        let out = rig.send_request(id, 0);
+        let host = sent_to(&out, id).unwrap();
         let latency = if host == 2 { 80 * MS } else { 20 * MS };
         let role = role_of(host);
-        rig.end(id, host, Outcome::Ok, latency, role, 0);
+        rig.end_attempt(id, host, Outcome::Ok, latency, role, 0);
         if id >= 100 {
             *counts.entry(host).or_insert(0) += 1;
         }
@@ -53,12 +53,12 @@
         let mut rig = Rig::new(settings());
         let mut reads = 0;
         for id in 0..6_000 {
-            let out = rig.ask(id, 0);
-            let host = target(&out, id).expect("sent");
+            let out = rig.send_request(id, 0);
+            let host = sent_to(&out, id).expect("sent");
             let latency = if host == 2 && (stays || reads == 0) { 50 * MS } else { 2 * MS };
             reads += u32::from(host == 2);
-            rig.end(id, host, Outcome::Ok, latency, role_of(host), 0);
-            rig.at(8 * MS, &[]);
+            rig.end_attempt(id, host, Outcome::Ok, latency, role_of(host), 0);
+            rig.advance(8 * MS, &[]);
         }
         // A minute of a hundred reads a second.
         if stays {
@@ -73,12 +73,12 @@
 fn unchecked_replicas_get_bounded_reads_only_inside_the_bound() {
     for (behind, expected) in [(200 * MS, true), (301 * MS, false)] {
         let mut rig = Rig::new(settings());
-        rig.heard(2, Role::Replica, behind);
-        rig.heard(3, Role::Replica, behind);
+        rig.receive_probe(2, Role::Replica, behind);
+        rig.receive_probe(3, Role::Replica, behind);
         let mut replicas = false;
         for id in 0..20 {
-            let out = rig.ask(id, 1);
-            replicas |= target(&out, id).is_some_and(|s| s != 1);
+            let out = rig.send_request(id, 1);
+            replicas |= sent_to(&out, id).is_some_and(|s| s != 1);
         }
         assert_eq!(replicas, expected, "behind by {behind}");
     }
@@ -87,8 +87,8 @@
 #[test]
 fn an_unheard_replica_gets_no_bounded_read_where_replicas_do_not_check() {
     let mut rig = Rig::new(settings());
-    let out = rig.ask(1, 1);
-    assert_eq!(target(&out, 1), Some(1));
+    let out = rig.send_request(1, 1);
+    assert_eq!(sent_to(&out, 1), Some(1));
 }
 
 /// Replicas that turn stale reads away themselves; no primary known.
@@ -102,33 +102,33 @@
 #[test]
 fn where_replicas_check_the_most_advanced_is_tried() {
     let mut rig = Rig::new(checked());
-    rig.heard(1, Role::Replica, 2_000 * MS);
-    rig.heard(2, Role::Replica, 1_600 * MS);
-    rig.heard(3, Role::Replica, 1_200 * MS);
-    let out = rig.ask(1, 1);
-    assert_eq!(target(&out, 1), Some(3));
+    rig.receive_probe(1, Role::Replica, 2_000 * MS);
+    rig.receive_probe(2, Role::Replica, 1_600 * MS);
+    rig.receive_probe(3, Role::Replica, 1_200 * MS);
+    let out = rig.send_request(1, 1);
+    assert_eq!(sent_to(&out, 1), Some(3));
 }
 
 /// One of hundreds of routers hears a replica once in many seconds: bounded reads must not crowd the primary.
 #[test]
 fn a_replica_heard_seconds_ago_is_held_to_keep_up_where_replicas_check() {
     let mut rig = Rig::new(checked());
-    rig.heard(1, Role::Primary, 0);
-    rig.heard(2, Role::Replica, 10 * MS);
-    rig.heard(3, Role::Replica, 1_500 * MS);
-    rig.at(3_000 * MS, &[]);
-    let out = rig.ask(1, 1);
-    assert_eq!(target(&out, 1), Some(2), "server 2 kept up when last heard, server 3 did not");
+    rig.receive_probe(1, Role::Primary, 0);
+    rig.receive_probe(2, Role::Replica, 10 * MS);
+    rig.receive_probe(3, Role::Replica, 1_500 * MS);
+    rig.advance(3_000 * MS, &[]);
+    let out = rig.send_request(1, 1);
+    assert_eq!(sent_to(&out, 1), Some(2), "server 2 kept up when last heard, server 3 did not");
     // Turned away after all: what the answer says counts at once.
-    let out = rig.end(1, 2, Outcome::Unsuitable, MS, Role::Replica, 3_000 * MS);
-    assert_eq!(target(&out, 1), Some(1));
+    let out = rig.end_attempt(1, 2, Outcome::Unsuitable, MS, Role::Replica, 3_000 * MS);
+    assert_eq!(sent_to(&out, 1), Some(1));
 }
 
 #[test]
 fn where_answers_tell_no_position_a_read_turned_away_and_a_new_start_do() {
     let mut rig = Rig::new(Settings { answers_carry_positions: false, ..checked() });
     for host in 1..=3 {
-        rig.heard(host, role_of(host), 0);
+        rig.receive_probe(host, role_of(host), 0);
     }
     let mut next = 0;
     // How many of 40 bounded reads go to a server, each served with no word of the position.
@@ -136,41 +136,41 @@
         let mut count = 0;
         for _ in 0..40 {
             next += 1;
-            let host = target(&rig.ask(next, 1), next).expect("sent");
+            let host = sent_to(&rig.send_request(next, 1), next).expect("sent");
             count += usize::from(host == of);
-            rig.end_untold(next, host, Outcome::Ok, MS);
+            rig.end_attempt_without_report(next, host, Outcome::Ok, MS);
         }
         count
     };
-    rig.at(1_000 * MS, &[]);
+    rig.advance(1_000 * MS, &[]);
     // Turned away after its wait, it is behind, and is left alone until a probe says otherwise.
-    let behind = target(&rig.ask(1_000, 1), 1_000).expect("sent");
-    rig.end_untold(1_000, behind, Outcome::Unsuitable, 100 * MS);
+    let behind = sent_to(&rig.send_request(1_000, 1), 1_000).expect("sent");
+    rig.end_attempt_without_report(1_000, behind, Outcome::Unsuitable, 100 * MS);
     assert_eq!(share(&mut rig, behind), 0);
-    rig.heard(behind, Role::Replica, 0);
+    rig.receive_probe(behind, Role::Replica, 0);
     assert!(share(&mut rig, behind) > 0);
     // One that started lately goes on from an old copy: it is asked before it is read from.
     let started = rig.now - 4_000 * MS;
-    rig.at(0, &[list(ListUpdate::Delta, vec![entry(4, HostStatus::Ready, false, started)])]);
+    rig.advance(0, &[list(ListUpdate::Delta, vec![entry(4, HostStatus::Ready, false, started)])]);
     assert_eq!(share(&mut rig, 4), 0);
-    rig.at(100 * MS, &[]);
+    rig.advance(100 * MS, &[]);
     assert!(rig.probed.contains(&4), "{:?}", rig.probed);
-    rig.heard(4, Role::Replica, 0);
+    rig.receive_probe(4, Role::Replica, 0);
     assert!(share(&mut rig, 4) > 0);
 }
 
 #[test]
 fn a_member_that_turns_writes_away_is_not_primary_whatever_it_calls_itself() {
     let mut rig = Rig::new(settings());
-    assert_eq!(target(&rig.ask(1, 5), 1), Some(1));
+    assert_eq!(sent_to(&rig.send_request(1, 5), 1), Some(1));
     let mut asked = Vec::new();
-    let mut out = rig.end(1, 1, Outcome::Unsuitable, 2 * MS, Role::Primary, 0);
+    let mut out = rig.end_attempt(1, 1, Outcome::Unsuitable, 2 * MS, Role::Primary, 0);
     for _ in 0..10 {
-        if let Some(host) = target(&out, 1) {
+        if let Some(host) = sent_to(&out, 1) {
             asked.push(host);
-            out = rig.end(1, host, Outcome::Unsuitable, 2 * MS, Role::Primary, 0);
+            out = rig.end_attempt(1, host, Outcome::Unsuitable, 2 * MS, Role::Primary, 0);
         } else {
-            out = rig.at(10 * MS, &[]);
+            out = rig.advance(10 * MS, &[]);
         }
     }
     // Once more the list's hint, then the others in turn.
@@ -182,18 +182,18 @@
     let mut set = settings();
     set.list_role = ListRole::Absent;
     let mut rig = Rig::new(set);
-    rig.heard(1, Role::Primary, 0);
-    rig.heard(2, Role::Replica, 10 * MS);
-    rig.at(3_000 * MS, &[]);
-    let out = rig.ask(1, 1);
-    assert_eq!(target(&out, 1), Some(1));
+    rig.receive_probe(1, Role::Primary, 0);
+    rig.receive_probe(2, Role::Replica, 10 * MS);
+    rig.advance(3_000 * MS, &[]);
+    let out = rig.send_request(1, 1);
+    assert_eq!(sent_to(&out, 1), Some(1));
 }
 
 #[test]
 fn a_session_read_waits_for_its_token() {
     let mut rig = Rig::new(settings());
-    rig.heard(2, Role::Replica, 100 * MS);
-    rig.heard(3, Role::Replica, 400 * MS);
+    rig.receive_probe(2, Role::Replica, 100 * MS);
+    rig.receive_probe(3, Role::Replica, 400 * MS);
     let now = rig.now;
     let mut reached = [0; 4];
     for id in 0..6 {
@@ -207,8 +207,8 @@
             token_ms: 200.0,
             ..RequestInfo::default()
         });
-        let out = rig.at(0, &[read]);
-        reached[target(&out, id).unwrap_or(0) as usize] += 1;
+        let out = rig.advance(0, &[read]);
+        reached[sent_to(&out, id).unwrap_or(0) as usize] += 1;
     }
     assert_eq!(reached[3], 0, "{reached:?}");
     assert!(reached[2] > 0, "{reached:?}");
@@ -219,19 +219,19 @@
     let mut set = settings();
     set.session_tokens = SessionTokens::TrackedByProxy;
     let mut rig = Rig::new(set);
-    rig.ask(1, 4);
-    rig.end(1, 1, Outcome::Ok, 20 * MS, Role::Primary, 0);
-    rig.heard(2, Role::Replica, 50 * MS);
-    rig.heard(3, Role::Replica, 50 * MS);
-    let out = rig.ask(2, 2);
-    assert_eq!(target(&out, 2), Some(1), "no replica holds the session's write yet");
+    rig.send_request(1, 4);
+    rig.end_attempt(1, 1, Outcome::Ok, 20 * MS, Role::Primary, 0);
+    rig.receive_probe(2, Role::Replica, 50 * MS);
+    rig.receive_probe(3, Role::Replica, 50 * MS);
+    let out = rig.send_request(2, 2);
+    assert_eq!(sent_to(&out, 2), Some(1), "no replica holds the session's write yet");
 }
 
 #[test]
 fn a_nonsense_token_asks_for_the_present() {
     for token_ms in [f32::NAN, -5.0] {
         let mut rig = Rig::new(settings());
-        rig.heard(2, Role::Replica, 10 * MS);
+        rig.receive_probe(2, Role::Replica, 10 * MS);
         let give_up_at = rig.now + 2_000 * MS;
         let read = Event::Request(RequestInfo {
             id: 1,
@@ -242,8 +242,8 @@
             token_ms,
             ..RequestInfo::default()
         });
-        let out = rig.at(0, &[read]);
-        assert_eq!(target(&out, 1), Some(1));
+        let out = rig.advance(0, &[read]);
+        assert_eq!(sent_to(&out, 1), Some(1));
     }
 }
 
@@ -263,29 +263,29 @@
     ] {
         assert_eq!(outcome.never_ran(), never_ran);
         let mut rig = Rig::new(settings());
-        let out = rig.ask(1, 4);
-        assert_eq!(target(&out, 1), Some(1));
-        let out = rig.end(1, 1, outcome, 5 * MS, Role::Replica, 0);
+        let out = rig.send_request(1, 4);
+        assert_eq!(sent_to(&out, 1), Some(1));
+        let out = rig.end_attempt(1, 1, outcome, 5 * MS, Role::Replica, 0);
         assert_eq!(failed(&out, 1), !never_ran, "{outcome:?}: an unsafe write that may have run fails");
         assert!(!refused(&out, 1));
         // A keyed write may go again inside its group while its window lasts, but never be refused.
         let mut rig = Rig::new(settings());
-        rig.ask(1, 5);
-        let mut out = rig.end(1, 1, outcome, 5 * MS, Role::Primary, 0);
+        rig.send_request(1, 5);
+        let mut out = rig.end_attempt(1, 1, outcome, 5 * MS, Role::Primary, 0);
         for _ in 0..250 {
-            out.extend(rig.at(10 * MS, &[Event::Timer(0)]));
+            out.extend(rig.advance(10 * MS, &[Event::Timer(0)]));
         }
         assert!(never_ran || !refused(&out, 1), "{outcome:?}");
-        assert!(refused(&out, 1) || failed(&out, 1) || target(&out, 1).is_some(), "{outcome:?}");
+        assert!(refused(&out, 1) || failed(&out, 1) || sent_to(&out, 1).is_some(), "{outcome:?}");
     }
 }
 
 #[test]
 fn a_keyed_write_is_not_sent_again_after_its_window() {
     let mut rig = Rig::new(settings());
-    rig.ask(1, 5);
-    let out = rig.end(1, 1, Outcome::Timeout, 980 * MS, Role::Primary, 0);
-    assert_eq!(target(&out, 1), None);
+    rig.send_request(1, 5);
+    let out = rig.end_attempt(1, 1, Outcome::Timeout, 980 * MS, Role::Primary, 0);
+    assert_eq!(sent_to(&out, 1), None);
     assert!(failed(&out, 1));
 }
 
@@ -295,19 +295,19 @@
     for (class, window) in [(5, Some(1_000 * MS)), (0, None)] {
         let mut rig = Rig::new(settings());
         let first = rig.now;
-        let out = rig.ask(1, class);
-        let host = target(&out, 1).expect("it is sent");
+        let out = rig.send_request(1, class);
+        let host = sent_to(&out, 1).expect("it is sent");
         let mut unbound = Rig::new(settings());
-        unbound.ask(1, class);
+        unbound.send_request(1, class);
         assert!(
             unbound.router.may_start_attempt(first + 3_600_000 * MS, 1),
             "class {class}: the first attempt"
         );
-        let mut out = rig.end(1, host, Outcome::Reset, 5 * MS, Role::Primary, 0);
+        let mut out = rig.end_attempt(1, host, Outcome::Reset, 5 * MS, Role::Primary, 0);
         for _ in 0..20 {
-            out.extend(rig.at(10 * MS, &[Event::Timer(0)]));
+            out.extend(rig.advance(10 * MS, &[Event::Timer(0)]));
         }
-        assert!(target(&out, 1).is_some(), "class {class} is not sent again: {out:?}");
+        assert!(sent_to(&out, 1).is_some(), "class {class} is not sent again: {out:?}");
         assert!(rig.router.may_start_attempt(rig.now, 1));
         let late = window.map_or(3_600_000 * MS, |window| window - 50 * MS);
         assert_eq!(rig.router.may_start_attempt(first + late, 1), window.is_none(), "class {class}");
@@ -317,25 +317,25 @@
 #[test]
 fn draining_ends_reads_at_once_and_writes_inside_the_grace() {
     let mut rig = Rig::new(settings());
-    rig.at(0, &[list(ListUpdate::Delta, vec![entry(1, HostStatus::Draining, true, 0)])]);
-    let out = rig.ask(1, 4);
-    assert_eq!(target(&out, 1), Some(1), "no successor is known yet");
+    rig.advance(0, &[list(ListUpdate::Delta, vec![entry(1, HostStatus::Draining, true, 0)])]);
+    let out = rig.send_request(1, 4);
+    assert_eq!(sent_to(&out, 1), Some(1), "no successor is known yet");
     for id in 2..12 {
-        let out = rig.ask(id, 0);
-        assert_ne!(target(&out, id), Some(1));
+        let out = rig.send_request(id, 0);
+        assert_ne!(sent_to(&out, id), Some(1));
     }
     rig.now += 1_999 * MS;
-    let out = rig.ask(20, 4);
-    assert_ne!(target(&out, 20), Some(1));
+    let out = rig.send_request(20, 4);
+    assert_ne!(sent_to(&out, 20), Some(1));
 }
 
 #[test]
 fn a_server_missing_from_a_full_list_is_gone() {
     let mut rig = Rig::new(settings());
-    rig.at(0, &[list(ListUpdate::Full, vec![entry(2, HostStatus::Ready, false, 0)])]);
+    rig.advance(0, &[list(ListUpdate::Full, vec![entry(2, HostStatus::Ready, false, 0)])]);
     for id in 0..4 {
-        let out = rig.ask(id, 0);
-        assert_eq!(target(&out, id), Some(2));
+        let out = rig.send_request(id, 0);
+        assert_eq!(sent_to(&out, id), Some(2));
     }
 }
 
@@ -346,10 +346,10 @@
     for seed in 0..400 {
         let mut router = Router::new(settings(), seed);
         let mut out = Vec::new();
-        router.handle(T0, &[three()], &mut out);
-        let start = list(ListUpdate::Delta, vec![entry(3, HostStatus::Ready, false, T0 + 1)]);
-        router.handle(T0 + MS, &[start, request(1, 0, T0)], &mut out);
-        counts[target(&out, 1).unwrap() as usize] += 1;
+        router.handle(START, &[three_hosts()], &mut out);
+        let start = list(ListUpdate::Delta, vec![entry(3, HostStatus::Ready, false, START + 1)]);
+        router.handle(START + MS, &[start, request(1, 0, START)], &mut out);
+        counts[sent_to(&out, 1).unwrap() as usize] += 1;
     }
     // A fair third is 133; the server starts at a fifth of its capacity.
     assert!(counts[3] > 0 && counts[3] <= 133 / 4, "{counts:?}");
@@ -362,12 +362,12 @@
         let mut router = Router::new(Settings { proxy_count, ..settings() }, seed);
         let mut out = Vec::new();
         let ready = |id| entry(id, HostStatus::Ready, id == 1, 0);
-        router.handle(T0, &[list(ListUpdate::Cached, (1..=5).map(ready).collect())], &mut out);
+        router.handle(START, &[list(ListUpdate::Cached, (1..=5).map(ready).collect())], &mut out);
         let left = (4..=5).map(|id| entry(id, HostStatus::Draining, false, 0));
-        let new = (6..=7).map(|id| entry(id, HostStatus::Ready, false, T0 + 1));
+        let new = (6..=7).map(|id| entry(id, HostStatus::Ready, false, START + 1));
         let news = list(ListUpdate::Delta, left.chain(new).collect());
-        router.handle(T0 + MS, &[news, request(1, 0, T0)], &mut out);
-        cold += u64::from(target(&out, 1) > Some(5));
+        router.handle(START + MS, &[news, request(1, 0, START)], &mut out);
+        cold += u64::from(sent_to(&out, 1) > Some(5));
     }
     cold
 }
@@ -411,28 +411,28 @@
     let mut rig = Rig::new(set.clone());
     rig.router = Router::new(set, 11);
     let ready = |id| entry(id, HostStatus::Ready, false, 0);
-    rig.at(0, &[list(ListUpdate::Cached, (1..=60).map(ready).collect())]);
+    rig.advance(0, &[list(ListUpdate::Cached, (1..=60).map(ready).collect())]);
     // Its first probes are for the servers of its start.
-    rig.at(100 * MS, &[]);
+    rig.advance(100 * MS, &[]);
     rig.probed.clear();
     let started = rig.now;
-    rig.at(0, &[list(ListUpdate::Delta, vec![entry(61, HostStatus::Ready, false, started)])]);
+    rig.advance(0, &[list(ListUpdate::Delta, vec![entry(61, HostStatus::Ready, false, started)])]);
     let mut reads = 0;
     for n in 0..400 {
-        let out = rig.ask(n, 1);
-        let host = target(&out, n).expect("sent");
+        let out = rig.send_request(n, 1);
+        let host = sent_to(&out, n).expect("sent");
         reads += usize::from(host == 61);
-        rig.end_untold(n, host, Outcome::Ok, MS);
-        rig.at(9 * MS, &[]);
+        rig.end_attempt_without_report(n, host, Outcome::Ok, MS);
+        rig.advance(9 * MS, &[]);
     }
     assert_eq!(rig.probed.first(), Some(&61), "{:?}", rig.probed);
     assert_eq!(reads, 0, "it goes on from an old copy");
-    rig.at(2_000 * MS, &[]);
+    rig.advance(2_000 * MS, &[]);
     for n in 400..2_400 {
-        let out = rig.ask(n, 1);
-        let host = target(&out, n).expect("sent");
+        let out = rig.send_request(n, 1);
+        let host = sent_to(&out, n).expect("sent");
         reads += usize::from(host == 61);
-        rig.end_untold(n, host, Outcome::Ok, MS);
+        rig.end_attempt_without_report(n, host, Outcome::Ok, MS);
     }
     assert!(reads > 0, "unheard for long, it may try");
 }
@@ -446,10 +446,10 @@
         zone: u8::from(id.is_multiple_of(2)),
         ..entry(id, HostStatus::Ready, id == 1, 0)
     };
-    rig.at(0, &[list(ListUpdate::Cached, (1..=40).map(ready).collect())]);
+    rig.advance(0, &[list(ListUpdate::Cached, (1..=40).map(ready).collect())]);
     // All have answered before: one that has not is tried last.
     let heard = |host| Event::Probed { host, ok: true, report: HostReport::default() };
-    rig.at(0, &(1..=40).map(heard).collect::<Vec<_>>());
+    rig.advance(0, &(1..=40).map(heard).collect::<Vec<_>>());
     rig
 }
 
@@ -458,21 +458,21 @@
 fn ask_often(rig: &mut Rig, ids: std::ops::Range<RequestId>, dead: impl Fn(HostId) -> bool) -> usize {
     let (mut lost, mut refusals, asked) = (0, 0, ids.len());
     for n in ids {
-        let out = rig.ask(n, 0);
-        let Some(host) = target(&out, n) else {
+        let out = rig.send_request(n, 0);
+        let Some(host) = sent_to(&out, n) else {
             assert!(refused(&out, n), "{n} neither sent nor answered");
             refusals += 1;
-            rig.at(60 * MS, &[]);
+            rig.advance(60 * MS, &[]);
             continue;
         };
         let (outcome, latency) =
             if dead(host) { (Outcome::Timeout, 200 * MS) } else { (Outcome::Ok, 20 * MS) };
         lost += usize::from(dead(host));
-        rig.end_untold(n, host, outcome, latency);
+        rig.end_attempt_without_report(n, host, outcome, latency);
         if outcome == Outcome::Timeout {
-            rig.at(0, &[Event::ClientGone(n)]);
+            rig.advance(0, &[Event::ClientGone(n)]);
         }
-        rig.at(40 * MS, &[]);
+        rig.advance(40 * MS, &[]);
     }
     // Time-outs at lost servers count as a jam, so some are refused at once: 24 of 60 on the worst seed.
     assert!(refusals * 2 <= asked, "{refusals} of {asked} refused");
@@ -487,17 +487,17 @@
         let set = Settings { answers_carry_positions: false, proxy_count, ordinal: n, ..checked() };
         let mut rig = Rig::new(set.clone());
         rig.router = Router::new(set, u64::from(n));
-        rig.at(0, &[list(ListUpdate::Cached, vec![entry(1, HostStatus::Ready, false, 0)])]);
+        rig.advance(0, &[list(ListUpdate::Cached, vec![entry(1, HostStatus::Ready, false, 0)])]);
         for step in 0..seconds * 4 {
             let id = step as RequestId;
-            let sent = target(&rig.ask(id, 0), id).is_some();
+            let sent = sent_to(&rig.send_request(id, 0), id).is_some();
             attempts[step / 4] += usize::from(sent);
             let (outcome, latency) =
                 if jammed(step / 4) { (Outcome::Timeout, 200 * MS) } else { (Outcome::Ok, 20 * MS) };
             if sent {
-                rig.end_untold(id, 1, outcome, latency);
+                rig.end_attempt_without_report(id, 1, outcome, latency);
             }
-            rig.at(if sent { 250 * MS - latency } else { 250 * MS }, &[Event::ClientGone(id)]);
+            rig.advance(if sent { 250 * MS - latency } else { 250 * MS }, &[Event::ClientGone(id)]);
         }
     }
     attempts
@@ -522,18 +522,18 @@
         let mut rig = Rig::new(checked());
         rig.router = Router::new(Settings { proxy_count: 100, ..checked() }, seed);
         let other = HostEntry { group: 1, ..entry(2, HostStatus::Ready, false, 0) };
-        rig.at(0, &[list(ListUpdate::Cached, vec![entry(1, HostStatus::Ready, false, 0), other])]);
+        rig.advance(0, &[list(ListUpdate::Cached, vec![entry(1, HostStatus::Ready, false, 0), other])]);
         for n in 0..40 {
-            if target(&rig.ask(n, 0), n).is_some() {
-                rig.end_untold(n, 1, Outcome::Timeout, 200 * MS);
+            if sent_to(&rig.send_request(n, 0), n).is_some() {
+                rig.end_attempt_without_report(n, 1, Outcome::Timeout, 200 * MS);
             }
-            rig.at(5_000 * MS, &[Event::ClientGone(n)]);
+            rig.advance(5_000 * MS, &[Event::ClientGone(n)]);
         }
         for n in 40..90 {
             let give_up_at = rig.now + 2_000 * MS;
             let event = Event::Request(RequestInfo { id: n, group: 1, give_up_at, ..RequestInfo::default() });
-            assert_eq!(target(&rig.at(0, &[event]), n), Some(2), "seed {seed}");
-            rig.end_untold(n, 2, Outcome::Ok, MS);
+            assert_eq!(sent_to(&rig.advance(0, &[event]), n), Some(2), "seed {seed}");
+            rig.end_attempt_without_report(n, 2, Outcome::Ok, MS);
         }
     }
 }
@@ -547,11 +547,11 @@
         let lost = ask_often(&mut rig, 40..100, |host| host.is_multiple_of(2));
         assert!((1..=5).contains(&lost), "seed {seed}: {lost} of 60 went to the lost room");
         // One that answers a probe brings its room back.
-        rig.at(0, &[Event::Probed { host: 8, ok: true, report: HostReport::default() }]);
+        rig.advance(0, &[Event::Probed { host: 8, ok: true, report: HostReport::default() }]);
         let back = (100..200).filter(|&n| {
-            rig.at(40 * MS, &[]);
-            let host = target(&rig.ask(n, 0), n).expect("sent");
-            rig.end_untold(n, host, Outcome::Ok, 20 * MS);
+            rig.advance(40 * MS, &[]);
+            let host = sent_to(&rig.send_request(n, 0), n).expect("sent");
+            rig.end_attempt_without_report(n, host, Outcome::Ok, 20 * MS);
             host.is_multiple_of(2)
         });
         assert!(back.count() > 10, "seed {seed}");
@@ -566,10 +566,10 @@
         ask_often(&mut rig, 0..200, |host| matches!(host, 2 | 4 | 6 | 8));
         let mut used = std::collections::BTreeSet::new();
         for n in 200..400 {
-            rig.at(40 * MS, &[]);
-            let host = target(&rig.ask(n, 0), n).expect("sent");
+            rig.advance(40 * MS, &[]);
+            let host = sent_to(&rig.send_request(n, 0), n).expect("sent");
             used.insert(host);
-            rig.end_untold(n, host, Outcome::Ok, (20 + u64::from(n % 7)) * MS);
+            rig.end_attempt_without_report(n, host, Outcome::Ok, (20 + u64::from(n % 7)) * MS);
         }
         assert!(used.iter().any(|s| s.is_multiple_of(2)), "seed {seed}: {used:?}");
     }
@@ -582,11 +582,14 @@
         let mut rig = Rig::new(settings());
         rig.router = Router::new(settings(), seed);
         let now = rig.now;
-        rig.at(0, &[three(), list(ListUpdate::Delta, vec![entry(3, HostStatus::Ready, false, now)])]);
-        let out = rig.ask(1, 0);
-        let first = target(&out, 1).unwrap();
-        let out = rig.end(1, first, Outcome::Overloaded, MS, Role::Replica, 0);
-        assert_ne!(target(&out, 1), Some(3));
+        rig.advance(
+            0,
+            &[three_hosts(), list(ListUpdate::Delta, vec![entry(3, HostStatus::Ready, false, now)])],
+        );
+        let out = rig.send_request(1, 0);
+        let first = sent_to(&out, 1).unwrap();
+        let out = rig.end_attempt(1, first, Outcome::Overloaded, MS, Role::Replica, 0);
+        assert_ne!(sent_to(&out, 1), Some(3));
     }
 }
 
@@ -599,18 +602,18 @@
     let mut rig = Rig::new(set);
     let mut idle = Vec::new();
     for _ in 0..1_000 {
-        idle.extend(rig.at(10 * MS, &[]));
+        idle.extend(rig.advance(10 * MS, &[]));
     }
     let probes = |out: &[Action]| out.iter().filter(|a| matches!(a, Action::Probe(_))).count();
     assert!(probes(&idle) <= 1, "{}", probes(&idle));
     assert!(!idle.iter().any(|a| matches!(a, Action::Timer { .. } | Action::Broadcast(_))));
     let mut busy = Vec::new();
     for id in 0..100 {
-        let out = rig.ask(id, 0);
-        let host = target(&out, id).unwrap();
+        let out = rig.send_request(id, 0);
+        let host = sent_to(&out, id).unwrap();
         busy.extend(out);
         let role = role_of(host);
-        busy.extend(rig.end(id, host, Outcome::Ok, 100 * MS, role, 2_000 * MS));
+        busy.extend(rig.end_attempt(id, host, Outcome::Ok, 100 * MS, role, 2_000 * MS));
     }
     assert!(probes(&busy) <= 6, "{}", probes(&busy));
     // A piece takes 13 bytes, what heads a message 20.
@@ -627,24 +630,27 @@
     for seed in 0..300 {
         let mut router = Router::new(checked(), seed);
         let mut out = Vec::new();
-        let mut entries =
-            Vec::from([entry(1, HostStatus::Removed, false, 0), entry(2, HostStatus::Ready, false, T0 + 1)]);
-        router.handle(T0, &[three()], &mut out);
+        let mut entries = Vec::from([
+            entry(1, HostStatus::Removed, false, 0),
+            entry(2, HostStatus::Ready, false, START + 1),
+        ]);
+        router.handle(START, &[three_hosts()], &mut out);
         entries.push(entry(3, HostStatus::Removed, false, 0));
-        router.handle(T0 + MS, &[list(ListUpdate::Delta, entries), request(1, 5, T0)], &mut out);
-        router.handle(T0 + 20 * MS, &[Event::Timer(0)], &mut out);
-        searched += u32::from(target(&out, 1).is_some());
-        if target(&out, 1).is_some() {
+        router.handle(START + MS, &[list(ListUpdate::Delta, entries), request(1, 5, START)], &mut out);
+        router.handle(START + 20 * MS, &[Event::Timer(0)], &mut out);
+        searched += u32::from(sent_to(&out, 1).is_some());
+        if sent_to(&out, 1).is_some() {
             continue;
         }
-        let report = HostReport { position: Some(T0 + 25 * MS), role: Some(Role::Primary), in_flight: None };
-        router.handle(T0 + 30 * MS, &[Event::Probed { host: 2, ok: true, report }], &mut out);
-        router.handle(T0 + 40 * MS, &[Event::Timer(0)], &mut out);
-        early += u32::from(target(&out, 1).is_some());
+        let report =
+            HostReport { position: Some(START + 25 * MS), role: Some(Role::Primary), in_flight: None };
+        router.handle(START + 30 * MS, &[Event::Probed { host: 2, ok: true, report }], &mut out);
+        router.handle(START + 40 * MS, &[Event::Timer(0)], &mut out);
+        early += u32::from(sent_to(&out, 1).is_some());
         for step in 5..190 {
-            router.handle(T0 + step * 10 * MS, &[Event::Timer(0)], &mut out);
+            router.handle(START + step * 10 * MS, &[Event::Timer(0)], &mut out);
         }
-        later += u32::from(target(&out, 1).is_some());
+        later += u32::from(sent_to(&out, 1).is_some());
     }
     assert!(searched <= 30, "a fifth of a third of 300, with room for chance: {searched}");
     assert!(early <= 6 && (20..=150).contains(&later), "{early} {later}");
@@ -657,10 +663,10 @@
         let mut set = checked();
         set.safety.only_draining_binds = only_draining;
         let mut rig = Rig::new(set);
-        rig.heard(2, Role::Primary, 0);
-        rig.at(10 * MS, &[list(ListUpdate::Full, vec![])]);
-        let out = rig.ask(1, 4);
-        assert_eq!(target(&out, 1), kept);
+        rig.receive_probe(2, Role::Primary, 0);
+        rig.advance(10 * MS, &[list(ListUpdate::Full, vec![])]);
+        let out = rig.send_request(1, 4);
+        assert_eq!(sent_to(&out, 1), kept);
     }
 }
 
@@ -670,17 +676,17 @@
     for (latency, closes) in [(MS, true), (240 * MS, false)] {
         let mut rig = Rig::new(settings());
         for id in 0..12 {
-            let mut out = rig.ask(id, 4);
+            let mut out = rig.send_request(id, 4);
             // The first refusal ejects nobody, so that the request goes there once more.
-            while let Some(host) = target(&out, id) {
-                out = rig.end(id, host, Outcome::ConnectFailed, latency, role_of(host), 0);
+            while let Some(host) = sent_to(&out, id) {
+                out = rig.end_attempt(id, host, Outcome::ConnectFailed, latency, role_of(host), 0);
             }
-            rig.at(4_100 * MS, &[Event::Timer(0)]);
+            rig.advance(4_100 * MS, &[Event::Timer(0)]);
         }
-        rig.heard(2, Role::Primary, 0);
-        let out = rig.ask(100, 4);
-        assert_eq!(target(&out, 100), Some(2));
-        let out = rig.end(100, 2, Outcome::Ok, 20 * MS, Role::Primary, 0);
+        rig.receive_probe(2, Role::Primary, 0);
+        let out = rig.send_request(100, 4);
+        assert_eq!(sent_to(&out, 100), Some(2));
+        let out = rig.end_attempt(100, 2, Outcome::Ok, 20 * MS, Role::Primary, 0);
         assert_eq!(out.contains(&Action::CloseIdle(2)), closes, "{latency}: {out:?}");
     }
 }
@@ -692,11 +698,11 @@
         let mut set = settings();
         set.limits.hedging = hedging;
         let mut rig = Rig::new(set);
-        let mut out = rig.ask(1, 0);
+        let mut out = rig.send_request(1, 0);
         for _ in 0..150 {
-            out.extend(rig.at(10 * MS, &[Event::Timer(0)]));
+            out.extend(rig.advance(10 * MS, &[Event::Timer(0)]));
         }
-        assert_eq!(rig.sent[&1], 1);
+        assert_eq!(rig.attempts_sent[&1], 1);
         assert!(!out.iter().any(|a| matches!(a, Action::Cancel(..))), "{out:?}");
     }
 }
@@ -710,22 +716,24 @@
         let mut rig = Rig::new(set.clone());
         rig.router = Router::new(set, 5);
         let other = HostEntry { group: 1, ..entry(4, HostStatus::Ready, false, 0) };
-        rig.at(0, &[three(), list(ListUpdate::Delta, vec![other])]);
+        rig.advance(0, &[three_hosts(), list(ListUpdate::Delta, vec![other])]);
         for id in 0..timeouts {
-            let out = rig.ask(id, 0);
-            if let Some(host) = target(&out, id) {
-                rig.end(id, host, Outcome::Timeout, 2_000 * MS, Role::Replica, 0);
+            let out = rig.send_request(id, 0);
+            if let Some(host) = sent_to(&out, id) {
+                rig.end_attempt(id, host, Outcome::Timeout, 2_000 * MS, Role::Replica, 0);
             }
-            rig.at(10 * MS, &[Event::Timer(0)]);
+            rig.advance(10 * MS, &[Event::Timer(0)]);
         }
         let mut refusals = [0, 0];
         for id in 1_000..1_200 {
             let group = id % 2;
             let give_up_at = rig.now + 2_000 * MS;
-            let out =
-                rig.at(0, &[Event::Request(RequestInfo { id, group, give_up_at, ..RequestInfo::default() })]);
+            let out = rig.advance(
+                0,
+                &[Event::Request(RequestInfo { id, group, give_up_at, ..RequestInfo::default() })],
+            );
             refusals[group as usize] += usize::from(refused(&out, id));
-            rig.at(0, &[Event::ClientGone(id)]);
+            rig.advance(0, &[Event::ClientGone(id)]);
         }
         assert_eq!(refusals[1], 0);
         assert!(if least == 0 { refusals[0] == 0 } else { refusals[0] >= least }, "{timeouts}: {refusals:?}");
@@ -739,19 +747,19 @@
     let mut rig = Rig::new(set.clone());
     rig.router = Router::new(set, 5);
     let of = |id| HostEntry { group: id / 2, ..entry(id, HostStatus::Ready, false, 0) };
-    rig.at(0, &[list(ListUpdate::Cached, (0..groups * 2).map(of).collect())]);
+    rig.advance(0, &[list(ListUpdate::Cached, (0..groups * 2).map(of).collect())]);
     for (id, &(group, outcome)) in (0..).zip(ends) {
         let give_up_at = rig.now + 2_000 * MS;
         let ask = RequestInfo { id, group, class: 1, give_up_at, ..RequestInfo::default() };
-        let out = rig.at(0, &[Event::Request(ask)]);
-        if let Some(host) = [group * 2, group * 2 + 1].into_iter().find(|&s| target(&out, id) == Some(s)) {
+        let out = rig.advance(0, &[Event::Request(ask)]);
+        if let Some(host) = [group * 2, group * 2 + 1].into_iter().find(|&s| sent_to(&out, id) == Some(s)) {
             // Reads overlap: the clock moves on less than each takes.
-            let (attempt, finished) = (rig.sent[&id] - 1, outcome == Outcome::Ok);
+            let (attempt, finished) = (rig.attempts_sent[&id] - 1, outcome == Outcome::Ok);
             let (note, report) = Default::default();
             let event = AttemptResult { id, attempt, host, outcome, latency, finished, note, report };
-            rig.at(MS, &[Event::Outcome(event)]);
+            rig.advance(MS, &[Event::Outcome(event)]);
         }
-        rig.at(MS, &[Event::ClientGone(id)]);
+        rig.advance(MS, &[Event::ClientGone(id)]);
     }
     rig
 }
@@ -767,8 +775,8 @@
             give_up_at: rig.now + 2_000 * MS,
             ..RequestInfo::default()
         };
-        let out = rig.at(0, &[Event::Request(ask)]);
-        rig.at(0, &[Event::ClientGone(id)]);
+        let out = rig.advance(0, &[Event::Request(ask)]);
+        rig.advance(0, &[Event::ClientGone(id)]);
         refused(&out, id)
     });
     refused.count()
@@ -828,17 +836,17 @@
         let set = Settings { proxy_count: 300, ..settings() };
         let mut rig = Rig::new(set.clone());
         rig.router = Router::new(set, 5);
-        rig.at(0, &[three()]);
+        rig.advance(0, &[three_hosts()]);
         for id in 0..30 {
-            if let Some(host) = target(&rig.ask(id, 0), id) {
-                rig.end(id, host, Outcome::Timeout, 2_000 * MS, Role::Replica, 0);
+            if let Some(host) = sent_to(&rig.send_request(id, 0), id) {
+                rig.end_attempt(id, host, Outcome::Timeout, 2_000 * MS, Role::Replica, 0);
             }
-            rig.at(10 * MS, &[Event::Timer(0)]);
+            rig.advance(10 * MS, &[Event::Timer(0)]);
         }
-        rig.at(rest, &[]);
+        rig.advance(rest, &[]);
         let refusals = (1_000..1_200).filter(|&id| {
-            let out = rig.ask(id, 0);
-            rig.at(0, &[Event::ClientGone(id)]);
+            let out = rig.send_request(id, 0);
+            rig.advance(0, &[Event::ClientGone(id)]);
             refused(&out, id)
         });
         refusals.count()
@@ -852,47 +860,47 @@
 #[test]
 fn a_report_from_before_a_write_was_turned_away_makes_nobody_primary() {
     let mut rig = Rig::new(settings());
-    rig.ask(1, 4);
-    rig.end(1, 1, Outcome::Unsuitable, 2 * MS, Role::Primary, 500 * MS);
+    rig.send_request(1, 4);
+    rig.end_attempt(1, 1, Outcome::Unsuitable, 2 * MS, Role::Primary, 500 * MS);
     let position = Some(rig.now - 100 * MS);
     let report = HostReport { position, role: Some(Role::Primary), in_flight: None };
-    let out = rig.at(0, &[Event::Probed { host: 1, ok: true, report }]);
+    let out = rig.advance(0, &[Event::Probed { host: 1, ok: true, report }]);
     assert!(!out.iter().any(|a| matches!(a, Action::Log(t) if t.contains("is primary"))), "{out:?}");
 }
 
 #[test]
 fn writes_are_held_in_a_handover_and_let_go_in_portions() {
     let mut rig = Rig::new(settings());
-    rig.ask(1, 4);
-    let mut out = rig.end(1, 1, Outcome::Unsuitable, 2 * MS, Role::Replica, 0);
+    rig.send_request(1, 4);
+    let mut out = rig.end_attempt(1, 1, Outcome::Unsuitable, 2 * MS, Role::Replica, 0);
     for id in 2..30 {
-        out.extend(rig.ask(id, 4));
+        out.extend(rig.send_request(id, 4));
     }
     // One looks for the primary, the others wait.
-    assert!(rig.sent.len() <= 2, "{:?}", rig.sent);
+    assert!(rig.attempts_sent.len() <= 2, "{:?}", rig.attempts_sent);
     assert!((1..30).all(|id| !refused(&out, id) && !failed(&out, id)));
-    rig.heard(2, Role::Primary, 0);
-    let out = rig.at(10 * MS, &[Event::Timer(0)]);
-    let released = (1..30).filter(|&id| target(&out, id) == Some(2)).count();
+    rig.receive_probe(2, Role::Primary, 0);
+    let out = rig.advance(10 * MS, &[Event::Timer(0)]);
+    let released = (1..30).filter(|&id| sent_to(&out, id) == Some(2)).count();
     assert!((1..=4).contains(&released), "{released}");
 }
 
 #[test]
 fn held_writes_get_their_answer_before_the_deadline() {
     let mut rig = Rig::new(settings());
-    rig.ask(1, 4);
-    rig.end(1, 1, Outcome::Unsuitable, 2 * MS, Role::Replica, 0);
-    rig.at(0, &[list(ListUpdate::Full, vec![])]);
+    rig.send_request(1, 4);
+    rig.end_attempt(1, 1, Outcome::Unsuitable, 2 * MS, Role::Replica, 0);
+    rig.advance(0, &[list(ListUpdate::Full, vec![])]);
     let mut answered = None;
     for _ in 0..250 {
-        let out = rig.at(10 * MS, &[Event::Timer(0)]);
+        let out = rig.advance(10 * MS, &[Event::Timer(0)]);
         if refused(&out, 1) {
             answered = Some(rig.now);
             break;
         }
     }
     assert!(
-        answered.is_some_and(|t| t < T0 + 1_100 * MS),
+        answered.is_some_and(|t| t < START + 1_100 * MS),
         "waited in vain for most of its time: {answered:?}"
     );
 }
@@ -901,19 +909,19 @@
 #[test]
 fn of_held_requests_the_newest_goes_out_and_one_with_little_time_left_does_not() {
     let mut rig = Rig::new(settings());
-    rig.at(0, &[list(ListUpdate::Full, vec![entry(1, HostStatus::Ready, true, 0)])]);
+    rig.advance(0, &[list(ListUpdate::Full, vec![entry(1, HostStatus::Ready, true, 0)])]);
     let mut ask = |id| {
-        rig.at(MS, &[]);
-        target(&rig.ask(id, 0), id)
+        rig.advance(MS, &[]);
+        sent_to(&rig.send_request(id, 0), id)
     };
     // As many as a server gets that nothing is known of, and three more.
     assert_eq!((1..=7).filter(|&id| ask(id).is_some()).collect::<Vec<_>>(), [1, 2, 3, 4]);
     // An answer makes room for itself and one more.
-    let out = rig.end(1, 1, Outcome::Ok, 20 * MS, Role::Primary, 0);
-    assert_eq!([7, 6, 5].map(|id| target(&out, id)), [Some(1), Some(1), None]);
+    let out = rig.end_attempt(1, 1, Outcome::Ok, 20 * MS, Role::Primary, 0);
+    assert_eq!([7, 6, 5].map(|id| sent_to(&out, id)), [Some(1), Some(1), None]);
     // An answer is expected within a quarter of the aim of 400 ms.
-    let soon = brief(8, 0, 0, rig.now);
-    assert!(refused(&rig.at(0, &[soon]), 8));
+    let soon = short_request(8, 0, 0, rig.now);
+    assert!(refused(&rig.advance(0, &[soon]), 8));
 }
 
 /// Where more comes than can be served, what a tenant sends beyond its quota is worth little: it waits behind what the
@@ -922,11 +930,11 @@
 fn of_held_requests_one_beyond_its_tenants_quota_goes_out_last() {
     let set = Settings { proxy_count: 2, quotas: vec![40.0, 200.0], over_quota_worth: 0.2, ..settings() };
     let mut rig = Rig::new(set);
-    rig.at(0, &[list(ListUpdate::Full, vec![entry(1, HostStatus::Ready, true, 0)])]);
+    rig.advance(0, &[list(ListUpdate::Full, vec![entry(1, HostStatus::Ready, true, 0)])]);
     let mut ask = |id, tenant| {
         let give_up_at = rig.now + 2_000 * MS;
         let event = Event::Request(RequestInfo { id, tenant, give_up_at, ..RequestInfo::default() });
-        target(&rig.at(MS, &[event]), id)
+        sent_to(&rig.advance(MS, &[event]), id)
     };
     // What may come at once of half the quota, as many as the server gets.
     assert_eq!((1..=4).filter(|&id| ask(id, Some(0)).is_some()).collect::<Vec<_>>(), [1, 2, 3, 4]);
@@ -935,8 +943,8 @@
     assert!(asked.into_iter().all(|(id, tenant)| ask(id, tenant).is_none()), "all are held");
     let mut order = Vec::new();
     for id in 1..=4 {
-        let out = rig.end(id, 1, Outcome::Ok, 20 * MS, Role::Primary, 0);
-        order.extend((5..=9).filter(|&id| target(&out, id).is_some()));
+        let out = rig.end_attempt(id, 1, Outcome::Ok, 20 * MS, Role::Primary, 0);
+        order.extend((5..=9).filter(|&id| sent_to(&out, id).is_some()));
     }
     order.truncate(5);
     assert!(order[..3].iter().all(|id| (6..=8).contains(id)), "{order:?}");
@@ -948,27 +956,28 @@
 fn what_any_member_serves_leaves_the_current_ones_to_bounded_reads_that_wait() {
     for short in [false, true] {
         let mut rig = Rig::new(checked());
-        rig.heard(1, Role::Primary, 0);
-        rig.heard(2, Role::Replica, 60_000 * MS);
-        rig.heard(3, Role::Replica, 5 * MS);
+        rig.receive_probe(1, Role::Primary, 0);
+        rig.receive_probe(2, Role::Replica, 60_000 * MS);
+        rig.receive_probe(3, Role::Replica, 5 * MS);
         // As many as both current members get, and one more.
         let last = if short { 9 } else { 8 };
-        let to: Vec<_> = (1..=last).filter_map(|id| Some((id, target(&rig.ask(id, 1), id)?))).collect();
+        let to: Vec<_> =
+            (1..=last).filter_map(|id| Some((id, sent_to(&rig.send_request(id, 1), id)?))).collect();
         assert_eq!(to.len(), 8, "{to:?}");
         for (id, host) in to {
-            let out = rig.end(id, host, Outcome::Ok, 5 * MS, role_of(host), 5 * MS);
-            if let Some(host) = target(&out, 9) {
-                rig.end(9, host, Outcome::Ok, 5 * MS, role_of(host), 5 * MS);
+            let out = rig.end_attempt(id, host, Outcome::Ok, 5 * MS, role_of(host), 5 * MS);
+            if let Some(host) = sent_to(&out, 9) {
+                rig.end_attempt(9, host, Outcome::Ok, 5 * MS, role_of(host), 5 * MS);
             }
         }
-        let at = |rig: &mut Rig, id| target(&rig.ask(id, 0), id);
+        let at = |rig: &mut Rig, id| sent_to(&rig.send_request(id, 0), id);
         let to: Vec<_> = (100..104).map(|id| at(&mut rig, id)).collect();
         assert_eq!(short, to == [Some(2); 4], "{to:?}");
         // Its limit is reached: one more is held while the others are spared, and goes to them a while later.
         if short {
             assert_eq!(at(&mut rig, 104), None);
-            let out = rig.at(400 * MS, &[Event::Timer(0)]);
-            assert!(matches!(target(&out, 104), Some(1 | 3)), "{out:?}");
+            let out = rig.advance(400 * MS, &[Event::Timer(0)]);
+            assert!(matches!(sent_to(&out, 104), Some(1 | 3)), "{out:?}");
         }
     }
 }
@@ -978,7 +987,8 @@
 fn an_answer_that_says_it_is_too_old_counts_as_turned_away() {
     let mut set = settings();
     set.classes[1].access = Access::BoundedRead(800 * MS);
-    let note = |behind, role| HostReport { position: Some(T0 - behind), role: Some(role), in_flight: None };
+    let note =
+        |behind, role| HostReport { position: Some(START - behind), role: Some(role), in_flight: None };
     let (replica, primary) = (note(900 * MS, Role::Replica), note(900 * MS, Role::Primary));
     let asked = |set: &Settings, class, token_ms| {
         let mut rig = Rig::new(set.clone());
@@ -986,37 +996,37 @@
             id: 1,
             class,
             session: 9,
-            give_up_at: T0 + 2_000 * MS,
+            give_up_at: START + 2_000 * MS,
             token_ms,
             ..RequestInfo::default()
         };
-        rig.at(0, &[Event::Request(read)]);
+        rig.advance(0, &[Event::Request(read)]);
         rig
     };
     let stale = |rig: &Rig, note: &HostReport, sent| rig.router.stale_outcome(1, 1, note, sent).is_some();
     let bounded = asked(&set, 1, 0.0);
-    assert!(stale(&bounded, &replica, T0) && !stale(&bounded, &replica, T0 - 100 * MS));
-    assert!(!stale(&bounded, &primary, T0), "a primary stands at the present");
-    assert!(!stale(&bounded, &HostReport::default(), T0), "it says nothing of its role");
-    assert!(stale(&asked(&set, 2, 800.0), &replica, T0));
-    assert!(!stale(&asked(&set, 2, 901.5), &replica, T0) && !stale(&asked(&set, 2, 0.0), &replica, T0));
-    assert!(!stale(&asked(&set, 0, 800.0), &replica, T0), "any data will do");
-    assert_eq!(bounded.router.stale_outcome(99, 1, &replica, T0), None, "no such request");
+    assert!(stale(&bounded, &replica, START) && !stale(&bounded, &replica, START - 100 * MS));
+    assert!(!stale(&bounded, &primary, START), "a primary stands at the present");
+    assert!(!stale(&bounded, &HostReport::default(), START), "it says nothing of its role");
+    assert!(stale(&asked(&set, 2, 800.0), &replica, START));
+    assert!(!stale(&asked(&set, 2, 901.5), &replica, START) && !stale(&asked(&set, 2, 0.0), &replica, START));
+    assert!(!stale(&asked(&set, 0, 800.0), &replica, START), "any data will do");
+    assert_eq!(bounded.router.stale_outcome(99, 1, &replica, START), None, "no such request");
     // It has run: only where that does no harm does it count as turned away.
-    assert_eq!(bounded.router.stale_outcome(1, 1, &replica, T0), Some(Outcome::Unsuitable));
+    assert_eq!(bounded.router.stale_outcome(1, 1, &replica, START), Some(Outcome::Unsuitable));
     for idempotency in [Idempotency::NotIdempotent, Idempotency::Keyed(DedupScope::Group, 1_000 * MS)] {
         let mut once = set.clone();
         once.classes[1].idempotency = idempotency;
-        assert_eq!(asked(&once, 1, 0.0).router.stale_outcome(1, 1, &replica, T0), Some(Outcome::Error));
+        assert_eq!(asked(&once, 1, 0.0).router.stale_outcome(1, 1, &replica, START), Some(Outcome::Error));
     }
     // Where answers tell no position, what is known of the server has to do.
     let silent = HostReport { position: None, ..replica };
-    assert!(stale(&bounded, &silent, T0));
+    assert!(stale(&bounded, &silent, START));
     let mut known = asked(&set, 1, 0.0);
-    known.heard(1, Role::Replica, 700 * MS);
-    assert!(!stale(&known, &silent, T0));
+    known.receive_probe(1, Role::Replica, 700 * MS);
+    assert!(!stale(&known, &silent, START));
     set.lag_check = LagCheck::Reject;
-    assert!(!stale(&asked(&set, 1, 0.0), &replica, T0), "members that check have done so");
+    assert!(!stale(&asked(&set, 1, 0.0), &replica, START), "members that check have done so");
 }
 
 /// Connections fall silent now and then: what was sent later is answered in a moment, so there is room. Two such losses
@@ -1025,32 +1035,32 @@
 fn attempts_lost_on_their_way_take_no_room_from_a_host_that_answers() {
     for answered in [true, false] {
         let mut rig = Rig::new(settings());
-        rig.at(0, &[list(ListUpdate::Full, vec![entry(1, HostStatus::Ready, true, 0)])]);
+        rig.advance(0, &[list(ListUpdate::Full, vec![entry(1, HostStatus::Ready, true, 0)])]);
         for id in 1..60 {
-            rig.ask(id, 0);
-            rig.end(id, 1, Outcome::Ok, 5 * MS, Role::Primary, 0);
+            rig.send_request(id, 0);
+            rig.end_attempt(id, 1, Outcome::Ok, 5 * MS, Role::Primary, 0);
         }
         // Two that get no answer, and others after them that get theirs, or do not.
-        let lost = [100, 101].map(|id| target(&rig.ask(id, 0), id));
+        let lost = [100, 101].map(|id| sent_to(&rig.send_request(id, 0), id));
         assert_eq!(lost, [Some(1); 2]);
         for id in 110..130 {
-            rig.ask(id, 0);
+            rig.send_request(id, 0);
             if answered {
-                rig.end(id, 1, Outcome::Ok, 5 * MS, Role::Primary, 0);
+                rig.end_attempt(id, 1, Outcome::Ok, 5 * MS, Role::Primary, 0);
             } else {
-                rig.at(5 * MS, &[Event::ClientGone(id)]);
+                rig.advance(5 * MS, &[Event::ClientGone(id)]);
             }
         }
-        rig.at(300 * MS, &[]);
+        rig.advance(300 * MS, &[]);
         for id in [100, 101] {
-            let (attempt, latency) = (rig.sent[&id] - 1, 400 * MS);
+            let (attempt, latency) = (rig.attempts_sent[&id] - 1, 400 * MS);
             let (note, report) = Default::default();
             let outcome = Outcome::Timeout;
             let event =
                 AttemptResult { id, attempt, host: 1, outcome, latency, finished: true, note, report };
-            rig.at(0, &[Event::Outcome(event)]);
+            rig.advance(0, &[Event::Outcome(event)]);
         }
-        let sent = (200..203).filter(|&id| target(&rig.ask(id, 0), id).is_some()).count();
+        let sent = (200..203).filter(|&id| sent_to(&rig.send_request(id, 0), id).is_some()).count();
         assert_eq!(sent == 3, answered, "{sent} of three were sent");
     }
 }
@@ -1062,10 +1072,11 @@
     for seed in 0..4_000 {
         let mut router = Router::new(settings(), seed);
         let mut out = Vec::new();
-        let news = vec![entry(2, HostStatus::Draining, false, 0), entry(3, HostStatus::Ready, false, T0 + 1)];
-        router.handle(T0, &[three()], &mut out);
-        router.handle(T0 + MS, &[list(ListUpdate::Delta, news), request(1, 0, T0)], &mut out);
-        cold += u32::from(target(&out, 1) == Some(3));
+        let news =
+            vec![entry(2, HostStatus::Draining, false, 0), entry(3, HostStatus::Ready, false, START + 1)];
+        router.handle(START, &[three_hosts()], &mut out);
+        router.handle(START + MS, &[list(ListUpdate::Delta, news), request(1, 0, START)], &mut out);
+        cold += u32::from(sent_to(&out, 1) == Some(3));
     }
     // A fifth of a third is 267, half as much again is 400; three times is where it falls over.
     assert!((300..=440).contains(&cold), "{cold}");
@@ -1077,15 +1088,15 @@
     let mut rig = Rig::new(settings());
     for id in 1..20 {
         let Event::Request(arrival) = request(id, 4, rig.now) else { unreachable!() };
-        assert_eq!(target(&rig.at(0, &[Event::RequestHead(arrival)]), id), Some(1));
+        assert_eq!(sent_to(&rig.advance(0, &[Event::RequestHead(arrival)]), id), Some(1));
     }
-    let out = rig.at(1_000 * MS, &[]);
+    let out = rig.advance(1_000 * MS, &[]);
     assert!(out.iter().all(|a| !matches!(a, Action::Refuse { .. } | Action::Fail(_))));
-    assert_eq!(target(&rig.ask(20, 4), 20), Some(1));
+    assert_eq!(sent_to(&rig.send_request(20, 4), 20), Some(1));
     let until = rig.now + 2_000 * MS;
     let whole: Vec<Event> = (1..20).map(|id| Event::RequestComplete(id, until)).collect();
-    rig.at(0, &whole);
-    assert_eq!(target(&rig.ask(21, 4), 21), None);
+    rig.advance(0, &whole);
+    assert_eq!(sent_to(&rig.send_request(21, 4), 21), None);
 }
 
 #[test]
@@ -1096,22 +1107,22 @@
     for id in 0..80 {
         // Thin traffic: a tenth of a second between requests; server 2 fails once, then serves.
         if id == 60 {
-            rig.at(20_000 * MS, &[Event::Timer(0)]);
+            rig.advance(20_000 * MS, &[Event::Timer(0)]);
         }
-        let out = rig.ask(id, 0);
-        let host = target(&out, id).unwrap();
+        let out = rig.send_request(id, 0);
+        let host = sent_to(&out, id).unwrap();
         let role = role_of(host);
         // Before the error, soon after it, long after it.
         let phase = usize::from(erred) + usize::from(erred && id >= 60);
         at_two[phase] += u32::from(host == 2);
         if host == 2 && !erred {
             erred = true;
-            let out = rig.end(id, 2, Outcome::Error, 20 * MS, role, 0);
-            let next = target(&out, id).expect("safe reads go elsewhere at once");
+            let out = rig.end_attempt(id, 2, Outcome::Error, 20 * MS, role, 0);
+            let next = sent_to(&out, id).expect("safe reads go elsewhere at once");
             assert_ne!(next, 2);
-            rig.end(id, next, Outcome::Ok, 20 * MS, role, 0);
+            rig.end_attempt(id, next, Outcome::Ok, 20 * MS, role, 0);
         } else {
-            rig.end(id, host, Outcome::Ok, 20 * MS, role, 0);
+            rig.end_attempt(id, host, Outcome::Ok, 20 * MS, role, 0);
         }
     }
     assert!(erred && at_two[1] == 0 && at_two[2] > 0, "{at_two:?}");
@@ -1121,13 +1132,13 @@
 fn errors_that_come_at_once_hardly_touch_the_retry_budget() {
     let mut rig = Rig::new(settings());
     for id in 1..=5 {
-        let mut out = rig.ask(id, 0);
+        let mut out = rig.send_request(id, 0);
         for _ in 0..4 {
-            let host = target(&out, id).expect("tried again");
-            out = rig.end(id, host, Outcome::Error, MS, role_of(host), 0);
+            let host = sent_to(&out, id).expect("tried again");
+            out = rig.end_attempt(id, host, Outcome::Error, MS, role_of(host), 0);
         }
-        let host = target(&out, id).expect("tried again");
-        rig.end(id, host, Outcome::Ok, MS, role_of(host), 0);
+        let host = sent_to(&out, id).expect("tried again");
+        rig.end_attempt(id, host, Outcome::Ok, MS, role_of(host), 0);
     }
 }
 
@@ -1140,12 +1151,12 @@
         let mut count = 0;
         for _ in 0..30 {
             next += 1;
-            let mut out = rig.ask(next, 0);
-            while let Some(host) = target(&out, next) {
+            let mut out = rig.send_request(next, 0);
+            while let Some(host) = sent_to(&out, next) {
                 count += usize::from(host == 2);
                 let refused = host == 2 && count <= refusals;
                 let outcome = if refused { Outcome::ConnectFailed } else { Outcome::Ok };
-                out = rig.end(next, host, outcome, MS, role_of(host), 0);
+                out = rig.end_attempt(next, host, outcome, MS, role_of(host), 0);
             }
         }
         count
@@ -1159,16 +1170,16 @@
     let mut rig = Rig::new(settings());
     let mut first = None;
     for id in 0..40 {
-        let out = rig.ask(id, 0);
-        first = first.or(target(&out, id));
+        let out = rig.send_request(id, 0);
+        first = first.or(sent_to(&out, id));
     }
     // Three servers with room for four each; the rest waits here and goes out as answers come.
-    assert_eq!(rig.sent.len(), 12);
+    assert_eq!(rig.attempts_sent.len(), 12);
     let (id, host) = (0, first.unwrap());
-    rig.at(0, &[Event::ClientGone(99)]);
-    let before = rig.sent.len();
-    let out = rig.at(0, &[full(id, host)]);
-    assert_eq!(rig.sent.len(), before, "a server that is full is left alone: {out:?}");
+    rig.advance(0, &[Event::ClientGone(99)]);
+    let before = rig.attempts_sent.len();
+    let out = rig.advance(0, &[full(id, host)]);
+    assert_eq!(rig.attempts_sent.len(), before, "a server that is full is left alone: {out:?}");
 }
 
 fn full(id: RequestId, host: HostId) -> Event {
@@ -1188,12 +1199,12 @@
 fn a_server_that_timed_out_is_left_alone_for_a_moment() {
     // Timed-out work may go on: with a limit near one the next attempt would only queue behind it.
     let mut rig = Rig::new(settings());
-    rig.ask(1, 4);
-    rig.end(1, 1, Outcome::Timeout, 400 * MS, Role::Primary, 0);
-    let out = rig.ask(2, 4);
-    assert_eq!(target(&out, 2), None, "held for the pause");
-    let out = rig.at(100 * MS, &[Event::Timer(0)]);
-    assert_eq!(target(&out, 2), Some(1));
+    rig.send_request(1, 4);
+    rig.end_attempt(1, 1, Outcome::Timeout, 400 * MS, Role::Primary, 0);
+    let out = rig.send_request(2, 4);
+    assert_eq!(sent_to(&out, 2), None, "held for the pause");
+    let out = rig.advance(100 * MS, &[Event::Timer(0)]);
+    assert_eq!(sent_to(&out, 2), Some(1));
 }
 
 #[test]
@@ -1205,8 +1216,8 @@
     let mut router = Router::new(set, 5);
     let mut out = Vec::new();
     let home = entry(3, HostStatus::Ready, false, 0);
-    router.handle(T0, &[list(ListUpdate::Cached, vec![abroad, home]), request(1, 0, T0)], &mut out);
-    assert_eq!(target(&out, 1), Some(3));
+    router.handle(START, &[list(ListUpdate::Cached, vec![abroad, home]), request(1, 0, START)], &mut out);
+    assert_eq!(sent_to(&out, 1), Some(3));
 }
 
 #[test]
@@ -1217,24 +1228,24 @@
     // Class 6 takes ten times as long as class 0, and more than twice the mean.
     for id in 0..60 {
         let long = id % 10 == 0;
-        let out = rig.ask(id, if long { 6 } else { 0 });
-        let host = target(&out, id).unwrap();
+        let out = rig.send_request(id, if long { 6 } else { 0 });
+        let host = sent_to(&out, id).unwrap();
         let role = role_of(host);
-        rig.end(id, host, Outcome::Ok, if long { 200 * MS } else { 20 * MS }, role, 0);
+        rig.end_attempt(id, host, Outcome::Ok, if long { 200 * MS } else { 20 * MS }, role, 0);
     }
-    rig.heard(2, Role::Replica, 0);
-    rig.heard(1, Role::Primary, 0);
+    rig.receive_probe(2, Role::Replica, 0);
+    rig.receive_probe(1, Role::Primary, 0);
     // Server 3 was last heard of before these; only reports can tell, so make the gap plain.
     for _ in 0..100 {
-        rig.at(10 * MS, &[Event::Timer(0)]);
-        rig.heard(2, Role::Replica, 0);
-        rig.heard(1, Role::Primary, 0);
+        rig.advance(10 * MS, &[Event::Timer(0)]);
+        rig.receive_probe(2, Role::Replica, 0);
+        rig.receive_probe(1, Role::Primary, 0);
     }
     for id in 100..105 {
-        let out = rig.ask(id, 6);
-        assert_eq!(target(&out, id), Some(3));
-        rig.end(id, 3, Outcome::Ok, 200 * MS, Role::Replica, 1_500 * MS);
-        rig.heard(2, Role::Replica, 0);
+        let out = rig.send_request(id, 6);
+        assert_eq!(sent_to(&out, id), Some(3));
+        rig.end_attempt(id, 3, Outcome::Ok, 200 * MS, Role::Replica, 1_500 * MS);
+        rig.receive_probe(2, Role::Replica, 0);
     }
 }
 
@@ -1243,10 +1254,10 @@
     let mut set = settings();
     set.limits.hedging = true;
     let mut rig = Rig::new(set);
-    rig.ask(1, 0);
-    let mut out = rig.at(MS, &[Event::Streaming(1, 0)]);
+    rig.send_request(1, 0);
+    let mut out = rig.advance(MS, &[Event::Streaming(1, 0)]);
     for _ in 0..200 {
-        out.extend(rig.at(10 * MS, &[Event::Timer(0)]));
+        out.extend(rig.advance(10 * MS, &[Event::Timer(0)]));
     }
     assert!(!out.iter().any(|a| matches!(a, Action::Cancel(..) | Action::Send { id: 1, .. })));
 }
@@ -1264,8 +1275,8 @@
         note: HostReport { position: Some(u64::MAX), role: Some(Role::Primary), in_flight: Some(f64::NAN) },
         report: HostReport::default(),
     };
-    let unknown_class = brief(5, 99, 0, rig.now);
-    let out = rig.at(
+    let unknown_class = short_request(5, 99, 0, rig.now);
+    let out = rig.advance(
         0,
         &[
             Event::Outcome(ghost),
@@ -1276,7 +1287,7 @@
             Event::Peer {
                 from: 7,
                 updates: vec![
-                    PeerUpdate::HostPosition { host: 999, position: T0, primary: true },
+                    PeerUpdate::HostPosition { host: 999, position: START, primary: true },
                     PeerUpdate::HostPosition { host: 1, position: Micros::MAX, primary: true },
                     PeerUpdate::TenantRate { tenant: 77, per_s: f64::NAN },
                 ],
@@ -1286,10 +1297,10 @@
         ],
     );
     assert!(refused(&out, 5));
-    let group_unknown = brief(6, 0, 42, rig.now);
-    let mut out = rig.at(0, &[group_unknown]);
+    let group_unknown = short_request(6, 0, 42, rig.now);
+    let mut out = rig.advance(0, &[group_unknown]);
     for _ in 0..12 {
-        out.extend(rig.at(10 * MS, &[Event::Timer(0)]));
+        out.extend(rig.advance(10 * MS, &[Event::Timer(0)]));
     }
     assert!(refused(&out, 6), "a group without members still gets its answer");
 }
@@ -1319,7 +1330,7 @@
     let classes = set.classes.clone();
     let grace = set.safety.drain_grace;
     let mut router = Router::new(set, seed);
-    let mut now = T0;
+    let mut now = START;
     let mut all = Vec::new();
     struct Open {
         class: usize,
@@ -1331,7 +1342,7 @@
     }
     let mut open: BTreeMap<RequestId, Open> = BTreeMap::new();
     let mut drained: BTreeMap<HostId, Micros> = BTreeMap::new();
-    let mut events = vec![three()];
+    let mut events = vec![three_hosts()];
     for step in 0..1500u32 {
         let mut actions = Vec::new();
         router.handle(now, &events, &mut actions);
@@ -1486,15 +1497,15 @@
             let mut router = Router::new(set, 3);
             let mut out = Vec::new();
             let alone = list(ListUpdate::Cached, vec![entry(1, HostStatus::Ready, false, 0)]);
-            router.handle(T0, &[alone], &mut out);
+            router.handle(START, &[alone], &mut out);
             for class in 0..6u8 {
-                router.handle(T0, &[request(u32::from(class), class, T0)], &mut out);
+                router.handle(START, &[request(u32::from(class), class, START)], &mut out);
             }
             for step in 1..=200 {
-                router.handle(T0 + step * 10 * MS, &[Event::Timer(0)], &mut out);
+                router.handle(START + step * 10 * MS, &[Event::Timer(0)], &mut out);
             }
             for id in 0..6 {
-                let sent = target(&out, id).is_some();
+                let sent = sent_to(&out, id).is_some();
                 assert!(sent || refused(&out, id), "class {id} is sent or answered");
             }
             assert!(
@@ -1536,7 +1547,7 @@
             ),
             list(
                 ListUpdate::Delta,
-                vec![entry(77, HostStatus::Removed, true, 5), entry(2, HostStatus::Draining, true, T0)],
+                vec![entry(77, HostStatus::Removed, true, 5), entry(2, HostStatus::Draining, true, START)],
             ),
             list(ListUpdate::Full, vec![]),
             list(
@@ -1545,13 +1556,13 @@
             ),
         ];
         for step in 0..400u32 {
-            let now = T0 + u64::from(step) * 10 * MS;
+            let now = START + u64::from(step) * 10 * MS;
             let mut events = vec![Event::Timer(0), lists[step as usize % lists.len()].clone()];
             let said =
                 PeerUpdate::HostPosition { host: step % 5, position: now - 90 * MS, primary: step % 3 == 0 };
             events.push(Event::Peer { from: 9, updates: vec![said; step as usize % 30] });
             if step < 300 {
-                events.push(brief(step, (step % 6) as u8, step % 3, now));
+                events.push(short_request(step, (step % 6) as u8, step % 3, now));
             }
             let mut out = Vec::new();
             router.handle(now, &events, &mut out);
@@ -1605,12 +1616,12 @@
     for outcome in [Reset, Error, Timeout, ConnectFailed, Overloaded, Unsuitable] {
         for keyless in [false, true] {
             let mut rig = Rig::new(settings());
-            let event = if keyless { plain(1, 5, T0, 0.0, 0) } else { request(1, 5, T0) };
-            assert_eq!(target(&rig.at(0, &[event]), 1), Some(1), "the list's primary");
-            rig.end(1, 1, outcome, 20 * MS, Role::Primary, 0);
-            rig.at(300 * MS, &[]);
-            rig.at(300 * MS, &[Event::Timer(0)]);
-            let again = rig.sent[&1] > 1;
+            let event = if keyless { plain(1, 5, START, 0.0, 0) } else { request(1, 5, START) };
+            assert_eq!(sent_to(&rig.advance(0, &[event]), 1), Some(1), "the list's primary");
+            rig.end_attempt(1, 1, outcome, 20 * MS, Role::Primary, 0);
+            rig.advance(300 * MS, &[]);
+            rig.advance(300 * MS, &[Event::Timer(0)]);
+            let again = rig.attempts_sent[&1] > 1;
             assert_eq!(again, !keyless || outcome.never_ran(), "{outcome:?}, without a key: {keyless}");
         }
     }
@@ -1622,8 +1633,8 @@
         let mut set = settings();
         set.limits.max_attempts = 1;
         let mut rig = Rig::new(set);
-        rig.at(0, &[plain(1, 5, T0, 0.0, 0)]);
-        let out = rig.end(1, 1, outcome, 20 * MS, Role::Primary, 0);
+        rig.advance(0, &[plain(1, 5, START, 0.0, 0)]);
+        let out = rig.end_attempt(1, 1, outcome, 20 * MS, Role::Primary, 0);
         let is_refused = out.iter().any(|a| matches!(a, Action::Refuse { id: 1, .. }));
         assert_eq!((is_refused, out.contains(&Action::Fail(1))), (refused, !refused), "{outcome:?}");
     }
@@ -1640,20 +1651,20 @@
             set.lag_check = check;
             let mut rig = Rig::new(set);
             for host in [2, 3] {
-                rig.heard(host, Role::Replica, behind * MS);
+                rig.receive_probe(host, Role::Replica, behind * MS);
             }
             let mut reached = [0; 4];
             for id in 10..60 {
                 let event = plain(id, 1, rig.now, token_ms, 0);
-                let to = target(&rig.at(0, &[event]), id).unwrap_or(0);
+                let to = sent_to(&rig.advance(0, &[event]), id).unwrap_or(0);
                 reached[to as usize] += 1;
-                rig.at(0, &[Event::ClientGone(id)]);
-                rig.end(id, to, Outcome::Cancelled, 0, Role::Replica, behind * MS);
+                rig.advance(0, &[Event::ClientGone(id)]);
+                rig.end_attempt(id, to, Outcome::Cancelled, 0, Role::Replica, behind * MS);
             }
             // Nor where the primary can't be had: a replica outside the bound would answer.
-            rig.at(0, &[list(ListUpdate::Delta, vec![entry(1, HostStatus::Draining, true, 0)])]);
+            rig.advance(0, &[list(ListUpdate::Delta, vec![entry(1, HostStatus::Draining, true, 0)])]);
             let event = plain(99, 1, rig.now, token_ms, 0);
-            let alone = target(&rig.at(0, &[event]), 99);
+            let alone = sent_to(&rig.advance(0, &[event]), 99);
             assert_eq!(alone.is_some(), replica, "{behind} ms behind, token {token_ms}, {check:?}");
             let went = reached[2] + reached[3] > 0;
             assert_eq!(went, replica, "{behind} ms behind, token {token_ms}: {reached:?}, {check:?}");
@@ -1665,17 +1676,17 @@
 fn an_expectation_counts_in_place_of_what_its_class_shows() {
     let mut rig = Rig::new(settings());
     for host in [2, 3] {
-        rig.heard(host, Role::Replica, 0);
+        rig.receive_probe(host, Role::Replica, 0);
     }
     // Too little is left for what takes 1.8 s; plenty for what its class takes.
-    let out = rig.at(0, &[plain(70, 0, rig.now, 0.0, 1_800 * MS), plain(71, 0, rig.now, 0.0, 0)]);
+    let out = rig.advance(0, &[plain(70, 0, rig.now, 0.0, 1_800 * MS), plain(71, 0, rig.now, 0.0, 0)]);
     assert!(out.iter().any(|a| matches!(a, Action::Refuse { id: 70, .. })), "{out:?}");
-    assert!(target(&out, 71).is_some());
+    assert!(sent_to(&out, 71).is_some());
     // A server that served long statements as slowly as expected is not held for slow.
     let share = |known: bool| {
         let mut rig = Rig::new(settings());
         for host in [2, 3] {
-            rig.heard(host, Role::Replica, 0);
+            rig.receive_probe(host, Role::Replica, 0);
         }
         let mut id = 100;
         // Each serves alone for a while: 3 statements that take 200 ms, 2 such as take 20 ms.
@@ -1684,24 +1695,24 @@
             let only =
                 [entry(host, HostStatus::Ready, false, 0), entry(other, HostStatus::Draining, false, 0)]
                     .to_vec();
-            rig.at(0, &[list(ListUpdate::Delta, only)]);
+            rig.advance(0, &[list(ListUpdate::Delta, only)]);
             id += 1;
             let event = plain(id, 0, rig.now, 0.0, expected * MS);
-            if target(&rig.at(MS, &[event]), id) == Some(host) {
-                rig.end(id, host, Outcome::Ok, latency * MS, Role::Replica, 0);
+            if sent_to(&rig.advance(MS, &[event]), id) == Some(host) {
+                rig.end_attempt(id, host, Outcome::Ok, latency * MS, Role::Replica, 0);
             }
         }
         let ready = |id| entry(id, HostStatus::Ready, false, 0);
         let both = vec![entry(1, HostStatus::Draining, true, 0), ready(2), ready(3)];
-        rig.at(0, &[list(ListUpdate::Delta, both)]);
+        rig.advance(0, &[list(ListUpdate::Delta, both)]);
         let mut to_three = 0;
         for _ in 0..200 {
             id += 1;
             let event = plain(id, 0, rig.now, 0.0, 0);
-            if let Some(to) = target(&rig.at(MS, &[event]), id) {
+            if let Some(to) = sent_to(&rig.advance(MS, &[event]), id) {
                 to_three += u32::from(to == 3);
-                rig.at(0, &[Event::ClientGone(id)]);
-                rig.end(id, to, Outcome::Cancelled, 0, Role::Replica, 0);
+                rig.advance(0, &[Event::ClientGone(id)]);
+                rig.end_attempt(id, to, Outcome::Cancelled, 0, Role::Replica, 0);
             }
         }
         to_three
@@ -1715,13 +1726,13 @@
 fn an_order_from_a_clock_ahead_binds_and_fades_as_any_other() {
     let mut rig = Rig::new(settings());
     let primary = 1;
-    rig.heard(primary, Role::Primary, 0);
-    let write = rig.ask(2, 4);
-    assert_eq!(target(&write, 2), Some(primary), "{write:?}");
-    rig.end_untold(2, primary, Outcome::Ok, 10 * MS);
+    rig.receive_probe(primary, Role::Primary, 0);
+    let write = rig.send_request(2, 4);
+    assert_eq!(sent_to(&write, 2), Some(primary), "{write:?}");
+    rig.end_attempt_without_report(2, primary, Outcome::Ok, 10 * MS);
     let since = rig.now + 3_600_000 * MS;
-    rig.at(MS, &[Event::HostOverride { host: primary, left_out: true, since }]);
+    rig.advance(MS, &[Event::HostOverride { host: primary, left_out: true, since }]);
     let grace = settings().safety.drain_grace;
-    rig.at(grace, &[]);
-    assert_eq!(target(&rig.ask(3, 4), 3), None, "a write goes to it after the grace");
+    rig.advance(grace, &[]);
+    assert_eq!(sent_to(&rig.send_request(3, 4), 3), None, "a write goes to it after the grace");
 }
--- a/tests/session_reads.rs
+++ b/tests/session_reads.rs
@@ -18,26 +18,26 @@
 
 /// Both replicas are known so far behind.
 fn replicas_behind(rig: &mut Rig, behind: Micros) {
-    rig.heard(REPLICA, Role::Replica, behind);
-    rig.heard(3, Role::Replica, behind);
+    rig.receive_probe(REPLICA, Role::Replica, behind);
+    rig.receive_probe(3, Role::Replica, behind);
 }
 
 /// Replicas that are current, a write that is out, and then replicas that are not.
 fn write_out(class: u8) -> Rig {
     let mut rig = Rig::new(remembering(LagCheck::Unchecked));
     replicas_behind(&mut rig, 0);
-    let out = rig.ask(1, class);
-    assert_eq!(target(&out, 1), Some(PRIMARY));
+    let out = rig.send_request(1, class);
+    assert_eq!(sent_to(&out, 1), Some(PRIMARY));
     rig
 }
 
 /// Where the session's next reads go; each is withdrawn at once.
 fn read_goes_to(rig: &mut Rig, first_id: RequestId) -> Vec<Option<HostId>> {
     let ask = |id| {
-        let host = target(&rig.ask(id, READ), id);
-        rig.at(0, &[Event::ClientGone(id)]);
+        let host = sent_to(&rig.send_request(id, READ), id);
+        rig.advance(0, &[Event::ClientGone(id)]);
         if let Some(host) = host {
-            rig.end_untold(id, host, Outcome::NotSent, 0);
+            rig.end_attempt_without_report(id, host, Outcome::NotSent, 0);
         }
         host
     };
@@ -62,8 +62,8 @@
         give_up_at: rig.now + 2_000 * MS,
         ..RequestInfo::default()
     };
-    let out = rig.at(0, &[Event::Request(other)]);
-    assert!(target(&out, 30).is_some_and(|host| host != PRIMARY), "{out:?}");
+    let out = rig.advance(0, &[Event::Request(other)]);
+    assert!(sent_to(&out, 30).is_some_and(|host| host != PRIMARY), "{out:?}");
 }
 
 /// Servers that check know of the commit, whoever else does.
@@ -72,7 +72,7 @@
     for lag_check in [LagCheck::Reject, LagCheck::Wait(20 * MS)] {
         let mut rig = Rig::new(remembering(lag_check));
         replicas_behind(&mut rig, 0);
-        rig.ask(1, WRITE);
+        rig.send_request(1, WRITE);
         let to = read_goes_to(&mut rig, 10);
         assert!(to.iter().any(|host| host.is_some_and(|host| host != PRIMARY)), "{to:?}");
     }
@@ -83,15 +83,19 @@
     for class in [WRITE, KEYED_WRITE] {
         for outcome in [Outcome::Timeout, Outcome::Cancelled, Outcome::Reset, Outcome::Error] {
             let mut rig = write_out(class);
-            rig.end_untold(1, PRIMARY, outcome, 30 * MS);
+            rig.end_attempt_without_report(1, PRIMARY, outcome, 30 * MS);
             // A keyed write that is sent again is out again.
-            rig.at(0, &[Event::ClientGone(1)]);
-            rig.sent.get(&1).filter(|&&n| n > 1).is_some().then(|| rig.end_untold(1, PRIMARY, outcome, 0));
+            rig.advance(0, &[Event::ClientGone(1)]);
+            rig.attempts_sent
+                .get(&1)
+                .filter(|&&n| n > 1)
+                .is_some()
+                .then(|| rig.end_attempt_without_report(1, PRIMARY, outcome, 0));
             let ended = rig.now;
             replicas_behind(&mut rig, 1);
             let to = read_goes_to(&mut rig, 10);
             assert!(no_replica(&to), "class {class}, {outcome:?}: {to:?}");
-            rig.at(5 * MS, &[]);
+            rig.advance(5 * MS, &[]);
             let reached = rig.now - ended;
             replicas_behind(&mut rig, reached);
             let to = read_goes_to(&mut rig, 20);
@@ -104,8 +108,8 @@
 fn a_write_that_never_ran_binds_nothing() {
     for outcome in [Outcome::Overloaded, Outcome::ConnectFailed, Outcome::NotSent, Outcome::Unsuitable] {
         let mut rig = write_out(WRITE);
-        rig.at(0, &[Event::ClientGone(1)]);
-        rig.end_untold(1, PRIMARY, outcome, 0);
+        rig.advance(0, &[Event::ClientGone(1)]);
+        rig.end_attempt_without_report(1, PRIMARY, outcome, 0);
         let to = read_goes_to(&mut rig, 10);
         assert!(!no_replica(&to), "{outcome:?}: {to:?}");
     }
@@ -115,10 +119,10 @@
 #[test]
 fn a_write_whose_client_left_binds_once_its_attempt_has_ended() {
     let mut rig = write_out(WRITE);
-    rig.at(0, &[Event::ClientGone(1)]);
+    rig.advance(0, &[Event::ClientGone(1)]);
     let to = read_goes_to(&mut rig, 10);
     assert!(no_replica(&to), "it is out: {to:?}");
-    rig.end_untold(1, PRIMARY, Outcome::Cancelled, 3 * MS);
+    rig.end_attempt_without_report(1, PRIMARY, Outcome::Cancelled, 3 * MS);
     replicas_behind(&mut rig, MS);
     let to = read_goes_to(&mut rig, 20);
     assert!(no_replica(&to), "it may have run: {to:?}");
@@ -129,9 +133,9 @@
 fn a_replica_at_the_commit_itself_has_it_and_one_a_millisecond_before_has_not() {
     for (short_of, has_it) in [(0, true), (MS, false), (1, false)] {
         let mut rig = write_out(WRITE);
-        rig.end(1, PRIMARY, Outcome::Ok, 20 * MS, Role::Primary, 0);
+        rig.end_attempt(1, PRIMARY, Outcome::Ok, 20 * MS, Role::Primary, 0);
         let commit = rig.now;
-        rig.at(10 * MS, &[]);
+        rig.advance(10 * MS, &[]);
         let behind = rig.now - commit + short_of;
         replicas_behind(&mut rig, behind);
         let to = read_goes_to(&mut rig, 10);
@@ -146,18 +150,20 @@
         let mut rig = Rig::new(remembering(LagCheck::Unchecked));
         replicas_behind(&mut rig, 0);
         let (read, host) = (10..30)
-            .find_map(|id| Some((id, target(&rig.ask(id, READ), id).filter(|&host| host != PRIMARY)?)))
+            .find_map(|id| {
+                Some((id, sent_to(&rig.send_request(id, READ), id).filter(|&host| host != PRIMARY)?))
+            })
             .expect("a read goes to a replica");
         assert!(rig.router.may_start_attempt(rig.now, read));
-        let out = rig.at(MS, &[request(1, WRITE, rig.now + MS)]);
-        assert_eq!(target(&out, 1), Some(PRIMARY));
+        let out = rig.advance(MS, &[request(1, WRITE, rig.now + MS)]);
+        assert_eq!(sent_to(&out, 1), Some(PRIMARY));
         if ended {
-            rig.end(1, PRIMARY, Outcome::Ok, 20 * MS, Role::Primary, 0);
+            rig.end_attempt(1, PRIMARY, Outcome::Ok, 20 * MS, Role::Primary, 0);
         }
         assert!(!rig.router.may_start_attempt(rig.now, read), "the write has ended: {ended}");
         // It is told so, and goes to the primary.
-        let out = rig.end(read, host, Outcome::NotSent, 0, Role::Replica, 0);
-        assert_eq!(target(&out, read), Some(PRIMARY), "{out:?}");
+        let out = rig.end_attempt(read, host, Outcome::NotSent, 0, Role::Replica, 0);
+        assert_eq!(sent_to(&out, read), Some(PRIMARY), "{out:?}");
         assert!(rig.router.may_start_attempt(rig.now, read));
     }
 }
@@ -167,35 +173,35 @@
     let mut rig = Rig::new(remembering(LagCheck::Unchecked));
     replicas_behind(&mut rig, 0);
     let (read, host) = (10..30)
-        .find_map(|id| Some((id, target(&rig.ask(id, READ), id).filter(|&host| host != PRIMARY)?)))
+        .find_map(|id| Some((id, sent_to(&rig.send_request(id, READ), id).filter(|&host| host != PRIMARY)?)))
         .expect("a read goes to a replica");
-    rig.at(0, &[request(1, WRITE, rig.now)]);
-    rig.end(1, PRIMARY, Outcome::Ok, 20 * MS, Role::Primary, 0);
-    let out = rig.end(read, host, Outcome::Error, MS, Role::Replica, 25 * MS);
-    assert_eq!(target(&out, read), Some(PRIMARY), "{out:?}");
+    rig.advance(0, &[request(1, WRITE, rig.now)]);
+    rig.end_attempt(1, PRIMARY, Outcome::Ok, 20 * MS, Role::Primary, 0);
+    let out = rig.end_attempt(read, host, Outcome::Error, MS, Role::Replica, 25 * MS);
+    assert_eq!(sent_to(&out, read), Some(PRIMARY), "{out:?}");
 }
 
 /// The read waits for a primary; what its session writes meanwhile at the new one binds it as it goes out.
 #[test]
 fn a_held_read_sees_what_was_written_while_it_was_held() {
     let mut rig = write_out(WRITE);
-    rig.end_untold(1, PRIMARY, Outcome::Ok, 20 * MS);
+    rig.end_attempt_without_report(1, PRIMARY, Outcome::Ok, 20 * MS);
     let first_commit = rig.now;
-    let note = HostReport { position: Some(T0), role: Some(Role::Replica), in_flight: None };
-    rig.at(5 * MS, &[Event::PartialAnswer { host: PRIMARY, note }]);
-    assert_eq!(target(&rig.ask(2, READ), 2), None, "no member has what the session wrote");
-    rig.ask(3, WRITE);
-    let out = rig.at(10 * MS, &[Event::Timer(0)]);
-    let new_primary = target(&out, 3).expect("it looks for the primary");
-    let out = rig.end(3, new_primary, Outcome::Ok, 20 * MS, Role::Primary, 0);
-    let sent = target(&out, 2);
+    let note = HostReport { position: Some(START), role: Some(Role::Replica), in_flight: None };
+    rig.advance(5 * MS, &[Event::PartialAnswer { host: PRIMARY, note }]);
+    assert_eq!(sent_to(&rig.send_request(2, READ), 2), None, "no member has what the session wrote");
+    rig.send_request(3, WRITE);
+    let out = rig.advance(10 * MS, &[Event::Timer(0)]);
+    let new_primary = sent_to(&out, 3).expect("it looks for the primary");
+    let out = rig.end_attempt(3, new_primary, Outcome::Ok, 20 * MS, Role::Primary, 0);
+    let sent = sent_to(&out, 2);
     assert!(sent.is_none_or(|host| host == new_primary), "{out:?}");
     // Another replica has the first write by now, and not the second.
     let other = if new_primary == REPLICA { 3 } else { REPLICA };
     let behind = rig.now - first_commit - MS;
-    rig.heard(other, Role::Replica, behind);
-    let out = rig.at(10 * MS, &[Event::Timer(0)]);
-    let sent = sent.or(target(&out, 2));
+    rig.receive_probe(other, Role::Replica, behind);
+    let out = rig.advance(10 * MS, &[Event::Timer(0)]);
+    let sent = sent.or(sent_to(&out, 2));
     assert_eq!(sent, Some(new_primary), "{out:?}");
 }
 
@@ -207,11 +213,13 @@
         let mut rig = Rig::new(Settings { session_tokens: tokens, ..remembering(LagCheck::Unchecked) });
         replicas_behind(&mut rig, 100 * MS);
         let (read, host) = (10..30)
-            .find_map(|id| Some((id, target(&rig.ask(id, BOUNDED), id).filter(|&host| host != PRIMARY)?)))
+            .find_map(|id| {
+                Some((id, sent_to(&rig.send_request(id, BOUNDED), id).filter(|&host| host != PRIMARY)?))
+            })
             .expect("a read goes to a replica");
         assert!(rig.router.may_start_attempt(rig.now + 200 * MS, read), "on the bound");
         assert!(!rig.router.may_start_attempt(rig.now + 201 * MS, read), "beyond it");
-        rig.heard(host, Role::Replica, 0);
+        rig.receive_probe(host, Role::Replica, 0);
         assert!(rig.router.may_start_attempt(rig.now + 201 * MS, read), "it was heard of since");
     }
 }
@@ -221,13 +229,13 @@
 fn a_read_does_not_begin_at_a_primary_that_handed_over() {
     for class in [READ, 1, 3] {
         let mut rig = Rig::new(remembering(LagCheck::Unchecked));
-        rig.ask(1, WRITE);
-        rig.end_untold(1, PRIMARY, Outcome::Ok, 5 * MS);
-        assert_eq!(target(&rig.ask(2, class), 2), Some(PRIMARY));
+        rig.send_request(1, WRITE);
+        rig.end_attempt_without_report(1, PRIMARY, Outcome::Ok, 5 * MS);
+        assert_eq!(sent_to(&rig.send_request(2, class), 2), Some(PRIMARY));
         let note =
             HostReport { position: Some(rig.now - 400 * MS), role: Some(Role::Replica), in_flight: None };
         // Told by an answer whose rest never comes.
-        rig.at(500 * MS, &[Event::PartialAnswer { host: PRIMARY, note }]);
+        rig.advance(500 * MS, &[Event::PartialAnswer { host: PRIMARY, note }]);
         assert!(!rig.router.may_start_attempt(rig.now, 2), "class {class}");
     }
 }
@@ -248,9 +256,9 @@
             give_up_at: rig.now + 2_000 * MS,
             ..RequestInfo::default()
         };
-        let out = rig.at(0, &[Event::Request(write)]);
-        assert_eq!(target(&out, id), Some(PRIMARY));
-        rig.end(id, PRIMARY, Outcome::Ok, 10, Role::Primary, 0);
+        let out = rig.advance(0, &[Event::Request(write)]);
+        assert_eq!(sent_to(&out, id), Some(PRIMARY));
+        rig.end_attempt(id, PRIMARY, Outcome::Ok, 10, Role::Primary, 0);
     }
     let reads = |rig: &mut Rig, session, first: RequestId| -> Vec<Option<HostId>> {
         let ask = |id| {
@@ -261,9 +269,9 @@
                 give_up_at: rig.now + 2_000 * MS,
                 ..RequestInfo::default()
             };
-            let host = target(&rig.at(0, &[Event::Request(read)]), id);
+            let host = sent_to(&rig.advance(0, &[Event::Request(read)]), id);
             if let Some(host) = host {
-                rig.end(id, host, Outcome::Ok, MS, role_of(host), rig.now - before);
+                rig.end_attempt(id, host, Outcome::Ok, MS, role_of(host), rig.now - before);
             }
             host
         };
@@ -281,18 +289,18 @@
 #[test]
 fn what_another_process_answered_binds_the_reads_of_this_one() {
     let mut rig = Rig::new(remembering(LagCheck::Unchecked));
-    rig.at(0, &[Event::Sessions(SessionEvent::Started)]);
+    rig.advance(0, &[Event::Sessions(SessionEvent::Started)]);
     replicas_behind(&mut rig, MS);
     let to = read_goes_to(&mut rig, 10);
     assert!(no_replica(&to), "behind this one's start: {to:?}");
     replicas_behind(&mut rig, 0);
     let to = read_goes_to(&mut rig, 20);
     assert!(!no_replica(&to), "{to:?}");
-    rig.at(5 * MS, &[Event::Sessions(SessionEvent::OtherProcess(true))]);
+    rig.advance(5 * MS, &[Event::Sessions(SessionEvent::OtherProcess(true))]);
     replicas_behind(&mut rig, 0);
     let to = read_goes_to(&mut rig, 30);
     assert!(no_replica(&to), "the other runs: {to:?}");
-    rig.at(5 * MS, &[Event::Sessions(SessionEvent::OtherProcess(false))]);
+    rig.advance(5 * MS, &[Event::Sessions(SessionEvent::OtherProcess(false))]);
     let to = read_goes_to(&mut rig, 40);
     assert!(no_replica(&to), "behind the other's end: {to:?}");
     replicas_behind(&mut rig, 0);
@@ -305,13 +313,16 @@
 fn a_write_whose_answer_is_passed_on_binds_up_to_its_end() {
     for told in [true, false] {
         let mut rig = write_out(WRITE);
-        rig.at(0, &[Event::Sessions(SessionEvent::StreamBegins(9))]);
-        rig.end_untold(1, PRIMARY, Outcome::Ok, 5 * MS);
-        rig.at(10 * MS, &[]);
+        rig.advance(0, &[Event::Sessions(SessionEvent::StreamBegins(9))]);
+        rig.end_attempt_without_report(1, PRIMARY, Outcome::Ok, 5 * MS);
+        rig.advance(10 * MS, &[]);
         replicas_behind(&mut rig, 0);
         let to = read_goes_to(&mut rig, 10);
         assert!(no_replica(&to), "it is passed on: {to:?}");
-        rig.at(10 * MS, &[Event::Sessions(SessionEvent::StreamEnds(9, told.then_some(rig.now + 10 * MS)))]);
+        rig.advance(
+            10 * MS,
+            &[Event::Sessions(SessionEvent::StreamEnds(9, told.then_some(rig.now + 10 * MS)))],
+        );
         let to = read_goes_to(&mut rig, 20);
         assert!(no_replica(&to), "it has committed: {to:?}");
         replicas_behind(&mut rig, 0);
@@ -338,8 +349,8 @@
             note,
             report,
         };
-        rig.at(0, &[Event::Outcome(end)]);
-        rig.at(100 * MS, &[]);
+        rig.advance(0, &[Event::Outcome(end)]);
+        rig.advance(100 * MS, &[]);
         replicas_behind(&mut rig, 0);
         let to = read_goes_to(&mut rig, 10);
         assert_eq!(no_replica(&to), binds, "{ahead} us ahead: {to:?}");
--- a/tests/sessions.rs
+++ b/tests/sessions.rs
@@ -93,7 +93,7 @@
 
 /// A whole answer of the primary's to a write that committed now.
 fn committed(primary: &ScriptedHost) -> Reply {
-    Reply::Bytes(primary.state().answer().whole())
+    Reply::Bytes(primary.state().answer().complete())
 }
 
 /// An unanswered request and the way to answer it.
@@ -120,16 +120,16 @@
         let hosts: Vec<&Host> = [&primary].into_iter().chain(&replicas).map(|member| &member.host).collect();
         let proxy = Proxy::start_with(&hosts, 1024, change);
         // What was written before the program started binds every session: the replicas have that, and nothing later.
-        clock_passes(unix_ms());
+        wait_until_after(unix_ms());
         let position = unix_ms();
         replicas.iter().for_each(|replica| replica.set_position(HostPosition::UnixMs(position)));
-        clock_passes(position);
+        wait_until_after(position);
         let mut group = Group { proxy, primary, replicas, busy: Vec::new(), lessons: Cell::new(0) };
         assert_eq!(group.ask(&write("teach", UNRELATED, PATIENT_MS)).value.as_deref(), Some("primary"));
         group.occupy_primary();
         group.teach_replicas();
         // Now the busy primary looks slower than any replica, however long the first answers took.
-        clock_passes(unix_ms() + STEPS_MS);
+        wait_until_after(unix_ms() + STEPS_MS);
         group
     }
 
@@ -139,7 +139,7 @@
 
     /// Asks on a connection of its own.
     fn ask(&self, statement: &str) -> Answer {
-        self.proxy.client().ask(statement)
+        self.proxy.client().query(statement)
     }
 
     /// Sends on a connection of its own.
@@ -154,7 +154,7 @@
         let id = format!("busy-{}", self.busy.len());
         let reply = self.primary.hold(&id);
         let client = self.send(&write(&id, UNRELATED, 60_000));
-        self.primary.sees(&id);
+        self.primary.wait_for_statement(&id);
         self.busy.push(Unanswered { client, reply });
     }
 
@@ -182,7 +182,7 @@
         }
         for (number, mut lesson) in unanswered {
             let answer = members[number].state().answer();
-            lesson.reply.send(Reply::Bytes(answer.whole())).expect("the host waits");
+            lesson.reply.send(Reply::Bytes(answer.complete())).expect("the host waits");
             assert_eq!(lesson.client.answer().value.as_deref(), Some(answer.value));
         }
     }
@@ -191,16 +191,16 @@
     fn hold_sessions_at_replica(&self) {
         let replica = self.replica();
         let answer = replica.state().answer();
-        replica.reply("last", Reply::Close(answer.whole()));
+        replica.reply("last", Reply::Close(answer.complete()));
         assert_eq!(self.ask(&session_read("last", NEVER_WROTE)).value.as_deref(), Some(answer.value));
-        while replica.host.next() != Seen::Closed {}
+        while replica.host.next_event() != HostEvent::Closed {}
         replica.host.hold_sessions();
     }
 
     /// Sends a read for which the program opens a connection to the replica that gets no session yet.
     fn send_dialling(&self, statement: &str) -> Client {
         let client = self.send(statement);
-        assert_eq!(self.replica().host.next(), Seen::Opened);
+        assert_eq!(self.replica().host.next_event(), HostEvent::Opened);
         client
     }
 
@@ -208,12 +208,13 @@
     fn served_by_primary(&self, id: &str, answer: &Answer) {
         assert_eq!(answer.value.as_deref(), Some("primary"), "{answer:?}");
         for replica in &self.replicas {
-            self.unseen(id, &replica.seen_so_far());
+            self.unseen(id, &replica.take_events());
         }
     }
 
-    fn unseen(&self, id: &str, seen: &[Seen]) {
-        let query = seen.iter().find(|event| matches!(event, Seen::Query(text) if id_of(text) == id));
+    fn unseen(&self, id: &str, seen: &[HostEvent]) {
+        let query =
+            seen.iter().find(|event| matches!(event, HostEvent::Query(text) if request_id(text) == id));
         assert_eq!(query, None);
     }
 
@@ -227,9 +228,9 @@
     fn late_connection_serves(&self, never_written: &str) {
         let answer = self.ask(&session_read("reuses", NEVER_WROTE));
         assert_eq!(answer.value.as_deref(), Some(self.replica().state().value), "{answer:?}");
-        let seen = self.replica().seen_so_far();
+        let seen = self.replica().take_events();
         self.unseen(never_written, &seen);
-        assert!(!seen.contains(&Seen::Opened), "{seen:?}");
+        assert!(!seen.contains(&HostEvent::Opened), "{seen:?}");
     }
 }
 
@@ -244,7 +245,7 @@
     assert_eq!((answer.value.as_deref(), answer.end), (Some("primary"), End::Ready), "{}", answer.message);
     assert!(begun.elapsed() < SOON, "after {:?}", begun.elapsed());
     // What may still come on that connection must meet nobody else's request.
-    while group.primary.host.next() != Seen::Closed {}
+    while group.primary.host.next_event() != HostEvent::Closed {}
     group.next_read_sees_the_write();
 }
 
@@ -258,7 +259,7 @@
         group.occupy_primary();
     }
     let mut writer = group.send(&write("held", SESSION, PATIENT_MS));
-    group.proxy.has_open(PLACES as u64 + 1);
+    group.proxy.wait_for_open_requests(PLACES as u64 + 1);
     let mut reader = group.send_dialling(&session_read("dialling", SESSION));
     group.free_primary();
     assert_eq!(writer.answer().value.as_deref(), Some("primary"));
@@ -290,13 +291,13 @@
     }
     let own = group.primary.hold("own");
     let mut writer = group.send(&write("own", SESSION, PATIENT_MS));
-    group.primary.sees("own");
+    group.primary.wait_for_statement("own");
     let mut at_replica = Vec::new();
     for n in 0..PLACES {
         let id = format!("place-{n}");
         let reply = group.replica().hold(&id);
         let client = group.send(&session_read(&id, NEVER_WROTE));
-        group.replica().sees(&id);
+        group.replica().wait_for_statement(&id);
         at_replica.push(Unanswered { client, reply });
     }
     let next_writes: Vec<Unanswered> = ["next-0", "next-1"]
@@ -305,16 +306,16 @@
             Unanswered { client: group.send(&write(id, UNRELATED, PATIENT_MS)), reply }
         })
         .into();
-    group.proxy.has_open(2 * PLACES as u64 + 2);
+    group.proxy.wait_for_open_requests(2 * PLACES as u64 + 2);
     let mut reader = group.send(&session_read("held", SESSION));
-    group.proxy.has_open(2 * PLACES as u64 + 3);
+    group.proxy.wait_for_open_requests(2 * PLACES as u64 + 3);
     own.send(committed(&group.primary)).expect("the host waits");
     assert_eq!(writer.answer().value.as_deref(), Some("primary"));
     for _ in &next_writes {
-        assert!(id_of(&group.primary.host.query()).starts_with("next-"));
+        assert!(request_id(&group.primary.host.next_query()).starts_with("next-"));
     }
     let mut freed = at_replica.pop().expect("four");
-    freed.reply.send(Reply::Bytes(group.replica().state().answer().whole())).expect("the host waits");
+    freed.reply.send(Reply::Bytes(group.replica().state().answer().complete())).expect("the host waits");
     assert_eq!(freed.client.answer().value.as_deref(), Some("replica"));
     for mut written in next_writes {
         written.reply.send(committed(&group.primary)).expect("the host waits");
@@ -331,22 +332,22 @@
     let first = first_to_see(&[&group.replicas[0], &group.replicas[1]], "repeated");
     // The other one would answer.
     let other = &group.replicas[1 - first];
-    held[1 - first].send(Reply::Bytes(other.state().answer().whole())).expect("kept");
+    held[1 - first].send(Reply::Bytes(other.state().answer().complete())).expect("kept");
     let answer = group.ask(&write("between", SESSION, PATIENT_MS));
     assert_eq!(answer.value.as_deref(), Some("primary"), "{answer:?}");
     held[first].send(failure).expect("the host waits");
     let answer = reader.answer();
     assert_eq!(answer.value.as_deref(), Some("primary"), "{answer:?}");
-    group.unseen("repeated", &other.seen_so_far());
+    group.unseen("repeated", &other.take_events());
 }
 
 /// The number of the host that sees the statement of this id first.
 fn first_to_see(hosts: &[&ScriptedHost], id: &str) -> usize {
     let begun = Instant::now();
-    while begun.elapsed() < PATIENCE {
+    while begun.elapsed() < TEST_TIMEOUT {
         for (n, host) in hosts.iter().enumerate() {
-            let seen = host.seen_so_far();
-            if seen.iter().any(|event| matches!(event, Seen::Query(text) if id_of(text) == id)) {
+            let seen = host.take_events();
+            if seen.iter().any(|event| matches!(event, HostEvent::Query(text) if request_id(text) == id)) {
                 return n;
             }
         }
@@ -368,11 +369,11 @@
 #[test]
 fn a_write_whose_client_left_counts_for_the_next_read() {
     let group = Group::start(&["replica"], remembering);
-    group.primary.reply("left", Reply::Silence);
+    group.primary.reply("left", Reply::NoAnswer);
     let writer = group.send(&write("left", SESSION, PATIENT_MS));
-    group.primary.sees("left");
+    group.primary.wait_for_statement("left");
     drop(writer);
-    while group.primary.host.next() != Seen::Closed {}
+    while group.primary.host.next_event() != HostEvent::Closed {}
     group.next_read_sees_the_write();
 }
 
@@ -382,14 +383,14 @@
     let group = Group::start(&["replica"], remembering);
     let reply = group.primary.hold("left");
     let writer = group.send(&write("left", SESSION, PATIENT_MS));
-    group.primary.sees("left");
-    group.primary.host.replies_so_far();
-    group.proxy.freeze();
+    group.primary.wait_for_statement("left");
+    group.primary.host.take_reply_count();
+    group.proxy.pause();
     drop(writer);
     reply.send(committed(&group.primary)).expect("the host waits");
-    group.primary.host.replied();
-    group.proxy.thaw();
-    group.proxy.has_open(1);
+    group.primary.host.wait_for_reply();
+    group.proxy.resume();
+    group.proxy.wait_for_open_requests(1);
     group.next_read_sees_the_write();
 }
 
@@ -404,7 +405,7 @@
 
 #[test]
 fn a_write_without_an_answer_in_time_counts_for_the_next_read() {
-    failed_write_counts(1_500, Reply::Silence);
+    failed_write_counts(1_500, Reply::NoAnswer);
 }
 
 #[test]
@@ -422,7 +423,7 @@
     let group = Group::start(&["replica"], remembering);
     let _unanswered = group.primary.hold("out");
     let _writer = group.send(&write("out", SESSION, PATIENT_MS));
-    group.primary.sees("out");
+    group.primary.wait_for_statement("out");
     group.next_read_sees_the_write();
 }
 
@@ -434,7 +435,7 @@
     group.replica().set_position(HostPosition::UnixMs(position));
     group.hold_sessions_at_replica();
     let mut reader = group.send_dialling(&bounded_read("bounded", PATIENT_MS));
-    clock_passes(position + BOUND_MS);
+    wait_until_after(position + BOUND_MS);
     group.replica().host.release_sessions();
     group.served_by_primary("bounded", &reader.answer());
     group.late_connection_serves("bounded");
@@ -446,10 +447,10 @@
     let group = Group::start(&["replica"], remembering);
     let commit = unix_ms() + 1;
     let answer = HostAnswer { commit_ms: Some(commit), ..group.primary.state().answer() };
-    group.primary.reply("own", Reply::Bytes(answer.whole()));
+    group.primary.reply("own", Reply::Bytes(answer.complete()));
     assert_eq!(group.ask(&write("own", SESSION, PATIENT_MS)).value.as_deref(), Some("primary"));
     // A position ahead of the clock is none.
-    clock_passes(commit);
+    wait_until_after(commit);
     for (id, position, expected) in [("before", commit - 1, "primary"), ("at", commit, "replica")] {
         group.replica().set_position(HostPosition::UnixMs(position));
         group.teach_replicas();
@@ -466,16 +467,16 @@
     group.free_primary();
     group.primary.set_position(HostPosition::UnixMs(unix_ms()));
     let answer = HostAnswer { commit_ms: None, ..group.primary.state().answer() };
-    group.primary.reply("own", Reply::Bytes(answer.whole()));
+    group.primary.reply("own", Reply::Bytes(answer.complete()));
     assert_eq!(group.ask(&write("own", SESSION, PATIENT_MS)).value.as_deref(), Some("primary"));
-    clock_passes(unix_ms() + BOUND_MS);
+    wait_until_after(unix_ms() + BOUND_MS);
     let stepped_down = HostAnswer { value: "v", role: Some(HostRole::Reader), commit_ms: None };
-    group.primary.reply("silent", Reply::Bytes(stepped_down.row_and_notes()));
+    group.primary.reply("silent", Reply::Bytes(stepped_down.row_and_report()));
     let begun = Instant::now();
     let _silent = group.send(&write("silent", UNRELATED, PATIENT_MS));
     group.proxy.logged("is no longer primary");
     assert!(begun.elapsed() < SOON, "after {:?}", begun.elapsed());
-    group.proxy.has_open(1);
+    group.proxy.wait_for_open_requests(1);
     let reads =
         [bounded_read("bounded", 1_000), session_read("own-read", SESSION).replace("d=20000", "d=4000")];
     for read in &reads {
@@ -483,8 +484,8 @@
         assert_eq!((answer.value, answer.code.as_str()), (None, "53300"), "{}", answer.message);
     }
     for host in [&group.primary, group.replica()] {
-        let seen = host.seen_so_far();
-        reads.iter().for_each(|read| group.unseen(id_of(read), &seen));
+        let seen = host.take_events();
+        reads.iter().for_each(|read| group.unseen(request_id(read), &seen));
     }
 }
 
@@ -494,23 +495,23 @@
     let mut group = Group::start(&["replica"], remembering);
     group.free_primary();
     let answer = HostAnswer { commit_ms: None, ..group.primary.state().answer() };
-    group.primary.reply("own", Reply::Bytes(answer.whole()));
+    group.primary.reply("own", Reply::Bytes(answer.complete()));
     assert_eq!(group.ask(&write("own", SESSION, PATIENT_MS)).value.as_deref(), Some("primary"));
     let last = group.primary.hold("last");
     let mut writer = group.send(&write("last", UNRELATED, PATIENT_MS));
-    group.primary.sees("last");
+    group.primary.wait_for_statement("last");
     group.primary.host.hold_sessions();
-    group.primary.seen_so_far();
+    group.primary.take_events();
     let mut reader = group.send(&session_read("dialling", SESSION).replace("d=20000", "d=4000"));
     // The connection that stood idle serves the write: the read needs one of its own.
-    assert_eq!(group.primary.host.next(), Seen::Opened);
+    assert_eq!(group.primary.host.next_event(), HostEvent::Opened);
     let stepped_down = HostAnswer { value: "v", role: Some(HostRole::Reader), commit_ms: None };
-    last.send(Reply::Bytes(stepped_down.whole())).expect("the host waits");
+    last.send(Reply::Bytes(stepped_down.complete())).expect("the host waits");
     assert_eq!(writer.answer().value.as_deref(), Some("v"));
     group.primary.host.release_sessions();
     let answer = reader.answer();
     assert_eq!((answer.value, answer.code.as_str()), (None, "53300"), "{}", answer.message);
-    group.unseen("dialling", &group.primary.seen_so_far());
+    group.unseen("dialling", &group.primary.take_events());
 }
 
 /// A write of the session whose answer holds a value that is passed on in pieces, and which commits behind it.
@@ -526,14 +527,14 @@
         let value = "v".repeat(150_000);
         let mut beginning = HostAnswer { value: &value, role: None, commit_ms: None }.up_to_completion();
         let rest = beginning.split_off(100_000);
-        let (reply, pieces) = Reply::in_pieces();
+        let (reply, pieces) = Reply::streamed();
         group.primary.reply("long", reply);
         let client = group.send(&write("long", SESSION, PATIENT_MS));
         pieces.send(beginning).expect("the host waits");
         assert_eq!(client.stream.peek(&mut [0]).expect("the beginning comes"), 1);
-        clock_passes(unix_ms());
+        wait_until_after(unix_ms());
         let position = unix_ms();
-        clock_passes(position);
+        wait_until_after(position);
         group.replica().set_position(HostPosition::UnixMs(position));
         group.teach_replicas();
         LongWrite { client, rest, pieces }
@@ -543,11 +544,11 @@
     fn end(mut self, group: &Group) {
         let commit = unix_ms() + 1;
         let answer = HostAnswer { commit_ms: Some(commit), ..group.primary.state().answer() };
-        let notes = answer.whole().split_off(answer.up_to_completion().len());
+        let notes = answer.complete().split_off(answer.up_to_completion().len());
         self.pieces.send([self.rest, notes].concat()).expect("the host waits");
         drop(self.pieces);
         assert_eq!(self.client.answer().end, End::Ready);
-        clock_passes(commit);
+        wait_until_after(commit);
     }
 }
 
@@ -572,10 +573,10 @@
     let group = Group::start(&["replica"], remembering);
     let commit = unix_ms() + AHEAD_MS;
     let answer = HostAnswer { commit_ms: Some(commit), ..group.primary.state().answer() };
-    group.primary.reply("own", Reply::Bytes(answer.whole()));
+    group.primary.reply("own", Reply::Bytes(answer.complete()));
     assert_eq!(group.ask(&write("own", SESSION, PATIENT_MS)).value.as_deref(), Some("primary"));
     let position = commit - AHEAD_MS / 3;
-    clock_passes(position);
+    wait_until_after(position);
     group.replica().set_position(HostPosition::UnixMs(position));
     group.teach_replicas();
     group.next_read_sees_the_write();
--- a/tests/sizes.rs
+++ b/tests/sizes.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeSet;
 use std::net::{SocketAddr, UdpSocket};
 use std::time::{Duration, Instant};
-use support::{ManyHosts, PATIENCE, Proxy, add_console, unix_ms};
+use support::{ManyHosts, Proxy, TEST_TIMEOUT, add_console, unix_ms};
 
 /// The numbers of proxies and hosts of the tested deployments.
 const DEPLOYMENTS: [(u32, u32); 2] = [(350, 700), (1_024, 1_024)];
@@ -269,8 +269,8 @@
 /// Waits until the program's list has this number of hosts.
 fn wait_for_hosts(proxy: &Proxy, count: usize) {
     let started = Instant::now();
-    while proxy.figures()["hosts_listed"].as_u64() != Some(count as u64) {
-        assert!(started.elapsed() < PATIENCE, "{} of {count}", proxy.figures()["hosts_listed"]);
+    while proxy.stats()["hosts_listed"].as_u64() != Some(count as u64) {
+        assert!(started.elapsed() < TEST_TIMEOUT, "{} of {count}", proxy.stats()["hosts_listed"]);
     }
 }
 
@@ -285,19 +285,19 @@
 fn a_long_list_is_accepted_in_one_line_and_indented() {
     let unused_address = "127.0.0.1:9".parse().expect("an address");
     let proxy = Proxy::with_console(&[], 1024);
-    proxy.agent.asked();
+    proxy.agent.next_request();
     let sizes = [350, 700, MAX_HOSTS, LONG_LIST_HOSTS].into_iter().enumerate();
     for (step, count) in sizes {
         let entries: Vec<_> = (0..count).map(|n| listed(n, n / MEMBERS as usize, unused_address)).collect();
         let index = 100 + 2 * step;
-        proxy.agent.line(&list(index, entries.clone()).to_string());
+        proxy.agent.send_line(&list(index, entries.clone()).to_string());
         wait_for_hosts(&proxy, count);
         // Has one host less, so that the test sees whether this list is accepted too.
         let indented = serde_json::to_string_pretty(&list(index + 1, entries[..count - 1].to_vec()));
-        proxy.agent.line(&indented.expect("JSON"));
+        proxy.agent.send_line(&indented.expect("JSON"));
         wait_for_hosts(&proxy, count - 1);
         proxy.agent.end_watch();
-        assert!(proxy.agent.asked().contains(&format!("index={} ", index + 1)));
+        assert!(proxy.agent.next_request().contains(&format!("index={} ", index + 1)));
         assert_small(&proxy, &format!("a list of {count} hosts, in one line and indented"));
     }
 }
@@ -307,9 +307,9 @@
 fn every_host_of_a_large_list_is_reached() {
     let hosts = ManyHosts::start(MAX_HOSTS);
     let proxy = Proxy::with_console(&[], 1024);
-    proxy.agent.asked();
+    proxy.agent.next_request();
     let entries = hosts.addresses.iter().enumerate().map(|(n, &address)| listed(n, n, address)).collect();
-    proxy.agent.line(&list(42, entries).to_string());
+    proxy.agent.send_line(&list(42, entries).to_string());
     wait_for_hosts(&proxy, MAX_HOSTS);
     let mut client = proxy.client();
     for round in 0..2 {
@@ -317,7 +317,7 @@
             let id = format!("{round}-{group}");
             let statement =
                 support::read(&id, "history", 9_000).replace("cluster=3", &format!("cluster={group}"));
-            let answer = client.ask(&statement);
+            let answer = client.query(&statement);
             assert_eq!(answer.value, Some(group.to_string()), "{}", answer.message);
         }
     }
@@ -336,7 +336,7 @@
 fn start_fleet(proxies: usize, hosts: &[&support::Host], change: impl Fn(String) -> String) -> Fleet {
     let bind = |_| UdpSocket::bind("127.0.0.1:0").expect("a loopback port");
     let others: Vec<UdpSocket> = (1..proxies).map(bind).collect();
-    let listen = SocketAddr::new(support::address(), 20_500);
+    let listen = SocketAddr::new(support::loopback_address(), 20_500);
     let addresses = others.iter().map(|socket| socket.local_addr().expect("bound"));
     let each: Vec<String> = [listen].into_iter().chain(addresses).map(|a| format!("\"{a}\"")).collect();
     let proxy = Proxy::start_with(hosts, 1024, |config| {
@@ -356,21 +356,25 @@
         let Fleet { proxy, listen, others } = start_fleet(proxies as usize, &[], |config| config);
         let incarnation = unix_ms();
         for round in 1..=3 {
-            proxy.freeze();
+            proxy.pause();
             for (n, socket) in (1..).zip(&others) {
                 let sender = Sender { ordinal: n, incarnation, sequence: round };
                 let item = Item::TenantRate { tenant: 0, tenths_per_s: 5 };
                 socket.send_to(Datagram::pack(sender, &[item]).0.bytes(), listen).expect("sent");
             }
-            proxy.thaw();
+            proxy.resume();
             let expected = u64::from(round) * others.len() as u64;
             let started = Instant::now();
-            while proxy.figures()["peers"]["heard"].as_u64() != Some(expected) {
-                let figures = proxy.figures();
-                assert!(started.elapsed() < PATIENCE / 4, "round {round}: {expected}, {}", figures["peers"]);
+            while proxy.stats()["peers"]["heard"].as_u64() != Some(expected) {
+                let figures = proxy.stats();
+                assert!(
+                    started.elapsed() < TEST_TIMEOUT / 4,
+                    "round {round}: {expected}, {}",
+                    figures["peers"]
+                );
             }
         }
-        assert_eq!(proxy.figures()["peers"]["floods"].as_u64(), Some(0));
+        assert_eq!(proxy.stats()["peers"]["floods"].as_u64(), Some(0));
         assert_small(&proxy, &format!("{proxies} proxies heard three times each"));
     }
 }
@@ -390,11 +394,11 @@
     let mut client = proxy.client();
     let started = Instant::now();
     for n in 0.. {
-        client.ask(&support::read(&format!("request-{n}"), "history", 9_000));
-        if n % 100 == 0 && proxy.figures()["peers"]["sent"].as_u64() > Some(0) {
+        client.query(&support::read(&format!("request-{n}"), "history", 9_000));
+        if n % 100 == 0 && proxy.stats()["peers"]["sent"].as_u64() > Some(0) {
             break;
         }
-        assert!(started.elapsed() < PATIENCE, "{}", proxy.figures()["peers"]);
+        assert!(started.elapsed() < TEST_TIMEOUT, "{}", proxy.stats()["peers"]);
     }
     for (n, socket) in (1..).zip(&others) {
         socket.set_read_timeout(Some(Duration::from_secs(5))).expect("set");
@@ -419,7 +423,7 @@
     let mut received_tenants = BTreeSet::new();
     let started = Instant::now();
     for n in 0.. {
-        client.ask(&support::read(&format!("request-{n}"), "history", 9_000));
+        client.query(&support::read(&format!("request-{n}"), "history", 9_000));
         let mut bytes = [0; 512];
         while let Ok(length) = others[0].recv(&mut bytes) {
             let message = Message::read(&bytes[..length]).expect("a datagram");
@@ -432,7 +436,7 @@
             return;
         }
         assert!(
-            started.elapsed() < PATIENCE / 2,
+            started.elapsed() < TEST_TIMEOUT / 2,
             "{} of {TENANTS}, the last is {:?}",
             received_tenants.len(),
             received_tenants.last()
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -18,7 +18,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// Longer than anything here takes: only a broken program makes a test wait this long.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 pub const SETTINGS: &str = r#"{"balancers":1,"ordinal":0,"zone":0,"membershipMode":"pushed",
 "azs":["a","b"],"hostTypes":["m"],"loadInfo":{"fields":["x0","x1","util","queue"]},
@@ -34,7 +34,7 @@
 "overloadForUs":1000000,"askWithinUs":10000000}}"#;
 
 /// Discovery says something this often.
-const BEAT: Duration = Duration::from_secs(2);
+const LIST_INTERVAL: Duration = Duration::from_secs(2);
 
 /// The ports on which the program listens, at an address of its own.
 const PORT: u16 = 20433;
@@ -42,14 +42,14 @@
 
 /// A loopback address that nothing else uses. A port is never bound twice: a child that another test
 /// is just starting holds a copy of every listener until it runs its program.
-pub fn address() -> IpAddr {
+pub fn loopback_address() -> IpAddr {
     static NEXT: AtomicU32 = AtomicU32::new(1);
     let [_, _, a, b] = std::process::id().to_be_bytes();
     IpAddr::from([127, 64 + (NEXT.fetch_add(1, Ordering::Relaxed) % 128) as u8, a, b.max(1)])
 }
 
 /// A directory that nothing else uses, outside the tree: a Unix socket's path may not be long.
-fn directory() -> PathBuf {
+fn new_directory() -> PathBuf {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let name = format!("sillfold-{}-{}", std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
     let path = std::env::temp_dir().join(name);
@@ -58,10 +58,10 @@
 }
 
 /// Lists name a host by its port: no two have the same.
-fn listener() -> TcpListener {
+fn bind_listener() -> TcpListener {
     static USED: Mutex<BTreeSet<u16>> = Mutex::new(BTreeSet::new());
     loop {
-        let listener = TcpListener::bind((address(), 0)).expect("a loopback port");
+        let listener = TcpListener::bind((loopback_address(), 0)).expect("a loopback port");
         let port = listener.local_addr().expect("bound").port();
         if USED.lock().expect("lock").insert(port) {
             return listener;
@@ -74,24 +74,24 @@
 pub enum Reply {
     Row(&'static str),
     Error(&'static str),
-    Silence,
+    NoAnswer,
     Bytes(Vec<u8>),
     /// Ends the connection, after writing this.
     Close(Vec<u8>),
     /// Writes each piece as it comes, until there is nobody left to send one.
-    Pieces(Arc<Mutex<Receiver<Vec<u8>>>>),
+    Streamed(Arc<Mutex<Receiver<Vec<u8>>>>),
 }
 
 impl Reply {
     /// A reply whose pieces are sent by the test.
-    pub fn in_pieces() -> (Reply, Sender<Vec<u8>>) {
+    pub fn streamed() -> (Reply, Sender<Vec<u8>>) {
         let (send, pieces) = channel();
-        (Reply::Pieces(Arc::new(Mutex::new(pieces))), send)
+        (Reply::Streamed(Arc::new(Mutex::new(pieces))), send)
     }
 }
 
 #[derive(Debug, PartialEq)]
-pub enum Seen {
+pub enum HostEvent {
     Opened,
     Query(String),
     Closed,
@@ -99,27 +99,27 @@
 
 pub struct Host {
     pub address: SocketAddr,
-    pub seen: Receiver<Seen>,
+    pub events: Receiver<HostEvent>,
     /// Its connections, open or not.
     connections: Arc<Mutex<Vec<TcpStream>>>,
-    /// Told after each reply is written.
+    /// HostSenders after each reply is written.
     replies: Receiver<()>,
-    /// Told after each session's beginning is written.
+    /// HostSenders after each session's beginning is written.
     sessions: Receiver<()>,
     /// By how much sessions come up late, but for the first.
     late: Arc<Mutex<Duration>>,
     /// Shut while no session may come up.
-    gate: Arc<Gate>,
+    gate: Arc<SessionGate>,
 }
 
 /// What threads wait at while it is shut.
 #[derive(Default)]
-struct Gate {
+struct SessionGate {
     shut: Mutex<bool>,
     opened: Condvar,
 }
 
-impl Gate {
+impl SessionGate {
     fn set(&self, shut: bool) {
         *self.shut.lock().expect("lock") = shut;
         self.opened.notify_all();
@@ -133,9 +133,9 @@
 impl Host {
     /// A primary whose every query is answered by the script, which gets its number.
     pub fn start(script: impl Fn(usize, &str) -> Reply + Send + Sync + 'static) -> Host {
-        let listener = listener();
+        let listener = bind_listener();
         let address = listener.local_addr().expect("bound");
-        let (tell, seen) = channel();
+        let (event_sender, events) = channel();
         let (script, count) = (Arc::new(script), Arc::new(Mutex::new(0)));
         let connections: Arc<Mutex<Vec<TcpStream>>> = Arc::default();
         let accepted = connections.clone();
@@ -143,14 +143,14 @@
         let (began, sessions) = channel();
         let late: Arc<Mutex<Duration>> = Arc::default();
         let delay = late.clone();
-        let gate: Arc<Gate> = Arc::default();
+        let gate: Arc<SessionGate> = Arc::default();
         let held_at = gate.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let copy = || stream.try_clone().expect("clone");
                 accepted.lock().expect("lock").push(copy());
                 let own = copy();
-                let (script, count, tell) = (script.clone(), count.clone(), tell.clone());
+                let (script, count, event_sender) = (script.clone(), count.clone(), event_sender.clone());
                 let delay = if accepted.lock().expect("lock").len() > 1 {
                     *delay.lock().expect("lock")
                 } else {
@@ -158,43 +158,43 @@
                 };
                 let (replied, began, gate) = (replied.clone(), began.clone(), held_at.clone());
                 thread::spawn(move || {
-                    let _ = tell.send(Seen::Opened);
+                    let _ = event_sender.send(HostEvent::Opened);
                     thread::sleep(delay);
                     gate.pass();
                     let _ = converse(
                         stream,
                         &*script,
                         &count,
-                        Told { seen: &tell, replied: &replied, began: &began },
+                        HostSenders { seen: &event_sender, replied: &replied, began: &began },
                     );
                     // `end_connections` holds a copy.
                     let _ = own.shutdown(std::net::Shutdown::Both);
-                    let _ = tell.send(Seen::Closed);
+                    let _ = event_sender.send(HostEvent::Closed);
                 });
             }
         });
-        Host { address, seen, connections, replies, sessions, late, gate }
+        Host { address, events, connections, replies, sessions, late, gate }
     }
     /// One whose first session comes up at once, and the others so much later; it closes on the first query.
-    pub fn late(by: Duration) -> Host {
+    pub fn with_slow_sessions(delay: Duration) -> Host {
         let host = Host::start(|n, _| if n == 0 { Reply::Close(vec![]) } else { Reply::Row("v") });
-        *host.late.lock().expect("lock") = by;
+        *host.late.lock().expect("lock") = delay;
         host
     }
     /// One at which no session ever comes up.
-    pub fn mute() -> Host {
-        let listener = listener();
+    pub fn without_sessions() -> Host {
+        let listener = bind_listener();
         let address = listener.local_addr().expect("bound");
-        let (tell, seen) = channel();
+        let (event_sender, events) = channel();
         thread::spawn(move || {
             let mut kept = Vec::new();
             for stream in listener.incoming().flatten() {
                 kept.push(stream);
-                let _ = tell.send(Seen::Opened);
+                let _ = event_sender.send(HostEvent::Opened);
             }
         });
         let (connections, late, gate) = Default::default();
-        Host { address, seen, connections, replies: channel().1, sessions: channel().1, late, gate }
+        Host { address, events, connections, replies: channel().1, sessions: channel().1, late, gate }
     }
     /// Writes this to all of its connections and ends them.
     pub fn end_connections(&self, last: &[u8]) {
@@ -213,25 +213,25 @@
     }
 
     /// Waits until the next session's beginning has been written.
-    pub fn session_up(&self) {
-        self.sessions.recv_timeout(PATIENCE).expect("a session comes up");
+    pub fn wait_for_session(&self) {
+        self.sessions.recv_timeout(TEST_TIMEOUT).expect("a session comes up");
     }
 
     /// How many replies have been written that the test has not looked at; they count as looked at then.
-    pub fn replies_so_far(&self) -> usize {
+    pub fn take_reply_count(&self) -> usize {
         self.replies.try_iter().count()
     }
     /// Waits until the next reply has been written.
-    pub fn replied(&self) {
-        self.replies.recv_timeout(PATIENCE).expect("the host replies");
+    pub fn wait_for_reply(&self) {
+        self.replies.recv_timeout(TEST_TIMEOUT).expect("the host replies");
     }
-    pub fn next(&self) -> Seen {
-        self.seen.recv_timeout(PATIENCE).expect("the host sees something")
+    pub fn next_event(&self) -> HostEvent {
+        self.events.recv_timeout(TEST_TIMEOUT).expect("the host sees something")
     }
     /// Skips to the next query.
-    pub fn query(&self) -> String {
+    pub fn next_query(&self) -> String {
         loop {
-            if let Seen::Query(text) = self.next() {
+            if let HostEvent::Query(text) = self.next_event() {
                 return text;
             }
         }
@@ -239,14 +239,14 @@
 }
 
 /// Who is told of what happens on a host's connections.
-struct Told<'a> {
-    seen: &'a Sender<Seen>,
+struct HostSenders<'a> {
+    seen: &'a Sender<HostEvent>,
     replied: &'a Sender<()>,
     began: &'a Sender<()>,
 }
 
 fn converse(
-    mut s: TcpStream, script: &dyn Fn(usize, &str) -> Reply, count: &Mutex<usize>, told: Told<'_>,
+    mut s: TcpStream, script: &dyn Fn(usize, &str) -> Reply, count: &Mutex<usize>, told: HostSenders<'_>,
 ) -> std::io::Result<()> {
     let mut len = [0; 4];
     s.read_exact(&mut len)?;
@@ -264,18 +264,18 @@
             *count += 1;
             *count - 1
         };
-        // Seen before it is answered: a script may wait for what the test does then.
-        let _ = told.seen.send(Seen::Query(text.clone()));
+        // HostEvent before it is answered: a script may wait for what the test does then.
+        let _ = told.seen.send(HostEvent::Query(text.clone()));
         let reply = script(n, &text);
         match reply {
             Reply::Row(value) => s.write_all(&row(value))?,
             Reply::Error(code) => s.write_all(&error(code))?,
-            Reply::Silence => {}
+            Reply::NoAnswer => {}
             Reply::Bytes(bytes) => s.write_all(&bytes)?,
             Reply::Close(bytes) => return s.write_all(&bytes),
-            Reply::Pieces(pieces) => {
+            Reply::Streamed(pieces) => {
                 let pieces = pieces.lock().expect("lock");
-                while let Ok(piece) = pieces.recv_timeout(PATIENCE) {
+                while let Ok(piece) = pieces.recv_timeout(TEST_TIMEOUT) {
                     s.write_all(&piece)?;
                 }
             }
@@ -291,7 +291,7 @@
 
 impl ManyHosts {
     pub fn start(count: usize) -> ManyHosts {
-        let address = address();
+        let address = loopback_address();
         let listen = |_| TcpListener::bind((address, 0)).expect("a loopback port");
         let listeners: Vec<TcpListener> = (0..count).map(listen).collect();
         let addresses = listeners.iter().map(|l| l.local_addr().expect("bound")).collect();
@@ -341,7 +341,7 @@
 
 /// A whole answer with one value, from a primary.
 pub fn row(value: &str) -> Vec<u8> {
-    HostAnswer { value, role: Some(HostRole::Writer), commit_ms: None }.whole()
+    HostAnswer { value, role: Some(HostRole::Writer), commit_ms: None }.complete()
 }
 
 /// The role that an answer tells of its host.
@@ -371,18 +371,18 @@
 
 impl HostAnswer<'_> {
     /// All of it, up to ReadyForQuery.
-    pub fn whole(&self) -> Vec<u8> {
-        [self.up_to_completion(), self.notes(), message(b'Z', b"I")].concat()
+    pub fn complete(&self) -> Vec<u8> {
+        [self.up_to_completion(), self.host_report(), message(b'Z', b"I")].concat()
     }
     /// Up to CommandComplete: neither the notes on the host nor ReadyForQuery.
     pub fn up_to_completion(&self) -> Vec<u8> {
         [row_data(self.value), message(b'C', b"SELECT 1\0")].concat()
     }
     /// The row and the notes on the host, without CommandComplete.
-    pub fn row_and_notes(&self) -> Vec<u8> {
-        [row_data(self.value), self.notes()].concat()
+    pub fn row_and_report(&self) -> Vec<u8> {
+        [row_data(self.value), self.host_report()].concat()
     }
-    fn notes(&self) -> Vec<u8> {
+    fn host_report(&self) -> Vec<u8> {
         let note = |name: &str, value: &str| message(b'S', format!("{name}\0{value}\0").as_bytes());
         let role = self.role.map(|role| note("server_role", role.name()));
         let commit = self.commit_ms.map(|ms| note("commit_clock", &ms.to_string()));
@@ -404,14 +404,14 @@
 }
 
 /// Returns once the wall clock is past this Unix millisecond.
-pub fn clock_passes(ms: u64) {
+pub fn wait_until_after(ms: u64) {
     while unix_ms() <= ms {
         thread::park_timeout(Duration::from_millis(ms + 1 - unix_ms().min(ms)));
     }
 }
 
 /// The id in a statement's comment.
-pub fn id_of(statement: &str) -> &str {
+pub fn request_id(statement: &str) -> &str {
     statement.split("id=").nth(1).and_then(|rest| rest.split(',').next()).unwrap_or("")
 }
 
@@ -455,11 +455,14 @@
         let replies: Arc<Mutex<BTreeMap<String, VecDeque<Receiver<Reply>>>>> = Arc::default();
         let (current, own_replies) = (state.clone(), replies.clone());
         let host = Host::start(move |_, statement| {
-            let own =
-                own_replies.lock().expect("lock").get_mut(id_of(statement)).and_then(VecDeque::pop_front);
+            let own = own_replies
+                .lock()
+                .expect("lock")
+                .get_mut(request_id(statement))
+                .and_then(VecDeque::pop_front);
             match own {
-                Some(reply) => reply.recv_timeout(PATIENCE).unwrap_or(Reply::Silence),
-                None => Reply::Bytes(current.lock().expect("lock").answer().whole()),
+                Some(reply) => reply.recv_timeout(TEST_TIMEOUT).unwrap_or(Reply::NoAnswer),
+                None => Reply::Bytes(current.lock().expect("lock").answer().complete()),
             }
         });
         ScriptedHost { host, state, replies }
@@ -481,12 +484,12 @@
         self.state.lock().expect("lock").position = position;
     }
     /// Waits until the host sees the statement of this id; what comes before it is passed over.
-    pub fn sees(&self, id: &str) {
-        while id_of(&self.host.query()) != id {}
+    pub fn wait_for_statement(&self, id: &str) {
+        while request_id(&self.host.next_query()) != id {}
     }
     /// What the host has seen so far and the test has not looked at.
-    pub fn seen_so_far(&self) -> Vec<Seen> {
-        self.host.seen.try_iter().collect()
+    pub fn take_events(&self) -> Vec<HostEvent> {
+        self.host.events.try_iter().collect()
     }
 }
 
@@ -510,7 +513,7 @@
     Watch,
     Refuse,
     /// Accepted, and left without an answer.
-    Silence,
+    NoAnswer,
     /// Writes this; what follows is up to the test.
     Bytes(Vec<u8>),
     /// Writes this and resets the connection.
@@ -519,7 +522,7 @@
 
 /// Of an agent, what its connections share.
 #[derive(Default)]
-struct Desk {
+struct AgentState {
     /// What is to become of the next calls; the others are watches.
     calls: VecDeque<Call>,
     /// Where the newest watch hears what to write.
@@ -533,11 +536,11 @@
     latest: Option<TcpStream>,
 }
 
-/// Discovery's agent: what was asked of it, and the lines that its newest watch gets.
+/// Discovery's agent: what was requests of it, and the lines that its newest watch gets.
 pub struct Agent {
     pub address: SocketAddr,
-    asked: Receiver<String>,
-    desk: Arc<Mutex<Desk>>,
+    requests: Receiver<String>,
+    desk: Arc<Mutex<AgentState>>,
 }
 
 impl Agent {
@@ -545,15 +548,18 @@
         Agent::scripted(&[])
     }
     /// One that turns so many calls away first.
-    pub fn overbooked(refusals: usize) -> Agent {
+    pub fn refusing_first(refusals: usize) -> Agent {
         Agent::scripted(&vec![Call::Refuse; refusals])
     }
     /// One that does this with its first calls.
     pub fn scripted(calls: &[Call]) -> Agent {
-        let listener = listener();
+        let listener = bind_listener();
         let address = listener.local_addr().expect("bound");
-        let (tell, asked) = channel();
-        let desk = Arc::new(Mutex::new(Desk { calls: calls.iter().cloned().collect(), ..Desk::default() }));
+        let (tell, requests) = channel();
+        let desk = Arc::new(Mutex::new(AgentState {
+            calls: calls.iter().cloned().collect(),
+            ..AgentState::default()
+        }));
         let own = desk.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -567,46 +573,46 @@
                 });
             }
         });
-        Agent { address, asked, desk }
+        Agent { address, requests, desk }
     }
-    pub fn asked(&self) -> String {
-        self.asked.recv_timeout(PATIENCE).expect("the agent is asked")
+    pub fn next_request(&self) -> String {
+        self.requests.recv_timeout(TEST_TIMEOUT).expect("the agent is requests")
     }
     /// The same, for so long at most.
-    pub fn asked_within(&self, span: Duration) -> Option<String> {
-        self.asked.recv_timeout(span).ok()
+    pub fn next_request_within(&self, span: Duration) -> Option<String> {
+        self.requests.recv_timeout(span).ok()
     }
     /// What becomes of the calls to come, before they are watches again.
     pub fn next_calls(&self, calls: &[Call]) {
         self.desk.lock().expect("lock").calls.extend(calls.iter().cloned());
     }
-    pub fn line(&self, line: &str) {
-        self.put(Some(line.to_string()));
+    pub fn send_line(&self, line: &str) {
+        self.send(Some(line.to_string()));
     }
     pub fn end_watch(&self) {
-        self.put(None);
+        self.send(None);
     }
-    fn put(&self, what: Option<String>) {
+    fn send(&self, message: Option<String>) {
         let mut desk = self.desk.lock().expect("lock");
         let left = match &desk.newest {
-            Some(watch) => watch.send(what).err().map(|e| e.0),
-            None => Some(what),
+            Some(watch) => watch.send(message).err().map(|e| e.0),
+            None => Some(message),
         };
         desk.waiting.extend(left);
     }
     /// All open watches fall silent; they stay open.
-    pub fn hush(&self) {
+    pub fn silence_watches(&self) {
         let mut desk = self.desk.lock().expect("lock");
         (desk.hushed, desk.newest) = (desk.opened, None);
     }
     /// Writes bytes, as they are, to the connection of the latest call.
-    pub fn raw(&self, bytes: &[u8]) -> std::io::Result<()> {
+    pub fn write_raw(&self, bytes: &[u8]) -> std::io::Result<()> {
         self.desk.lock().expect("lock").latest.as_ref().expect("a call").write_all(bytes)
     }
 }
 
 /// Whether the connection is to be ended in order.
-fn answer_call(mut s: TcpStream, desk: &Mutex<Desk>, tell: &Sender<String>) -> bool {
+fn answer_call(mut s: TcpStream, desk: &Mutex<AgentState>, tell: &Sender<String>) -> bool {
     let mut request = String::new();
     let mut read = BufReader::new(s.try_clone().expect("clone"));
     while !request.ends_with("\r\n\r\n") && read.read_line(&mut request).is_ok_and(|n| n > 0) {}
@@ -629,7 +635,7 @@
             let _ = s.write_all(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
             return true;
         }
-        Call::Silence => return hold(s),
+        Call::NoAnswer => return hold(s),
         Call::Bytes(bytes) => {
             let _ = s.write_all(&bytes);
             return hold(s);
@@ -647,7 +653,7 @@
     }
     let _ = s.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     loop {
-        let line = match next.recv_timeout(BEAT) {
+        let line = match next.recv_timeout(LIST_INTERVAL) {
             Ok(Some(line)) => line,
             _ if desk.lock().expect("lock").hushed >= number => return hold(s),
             Err(RecvTimeoutError::Timeout) => String::new(),
@@ -728,24 +734,24 @@
     /// The same, on a configuration that has been changed.
     pub fn start_with(known: &[&Host], sockets: u32, change: impl Fn(String) -> String) -> Proxy {
         let agent = Agent::start();
-        let address = SocketAddr::new(address(), PORT);
+        let address = SocketAddr::new(loopback_address(), PORT);
         let known: Vec<(&Host, &str)> = known.iter().map(|&h| (h, "SERVING")).collect();
         let config = format!(
             r#"{{"name":"n0","listen":"{address}","discovery":"{}","seed":"1f","limits":{{"sockets":{sockets}}},"known":{},"settings":{SETTINGS}}}"#,
             agent.address,
             list(41, true, &known)
         );
-        let proxy = Proxy::run(agent, address, change(config), directory());
+        let proxy = Proxy::run(agent, address, change(config), new_directory());
         proxy.logged("serves on");
         proxy
     }
     /// A new version beside this one, at the same address and in the same directory, with a door and an
     /// agent of its own. It knows no list, so it serves only once its agent has spoken.
-    pub fn beside(&self) -> Proxy {
-        self.nth_beside(1)
+    pub fn start_beside(&self) -> Proxy {
+        self.start_nth_beside(1)
     }
     /// The same, where others are beside it already.
-    pub fn nth_beside(&self, nth: u16) -> Proxy {
+    pub fn start_nth_beside(&self, nth: u16) -> Proxy {
         let agent = Agent::start();
         let config = self.config.replace(&self.agent.address.to_string(), &agent.address.to_string());
         let (before, rest) = config.split_once(r#""known":"#).expect("a list");
@@ -762,7 +768,7 @@
         // As deployed: the environment names discovery too.
         let tmp = directory.to_str().expect("a path");
         let env = [("LB_DISCOVERY", &*agent.address.to_string()), ("TMPDIR", tmp)];
-        let (mut child, path) = program(&config, &env);
+        let (mut child, path) = start_program(&config, &env);
         let log = BufReader::new(child.stderr.take().expect("piped"));
         let (tell, lines) = channel();
         thread::spawn(move || {
@@ -776,7 +782,7 @@
     }
     /// Waits for a line of the log that holds this.
     pub fn logged(&self, text: &str) {
-        while !self.log.recv_timeout(PATIENCE).expect("the program says so").contains(text) {}
+        while !self.log.recv_timeout(TEST_TIMEOUT).expect("the program says so").contains(text) {}
     }
     /// How many lines of the log that hold this come within so long.
     pub fn logs_within(&self, text: &str, span: Duration) -> usize {
@@ -791,14 +797,14 @@
         client
     }
     /// One call of an operator: the status, and what is said.
-    pub fn call(&self, method: &str, path: &str, body: &str) -> (u16, String) {
-        call(
+    pub fn console_request(&self, method: &str, path: &str, body: &str) -> (u16, String) {
+        send_console_request(
             self.console,
             format!("{method} {path} HTTP/1.1\r\nContent-Length: {}\r\n\r\n{body}", body.len()),
         )
     }
     /// Waits until no connection is left that waits to be accepted. The table of sockets tells.
-    pub fn has_accepted_all(&self) {
+    pub fn wait_until_all_accepted(&self) {
         let begun = Instant::now();
         loop {
             let table = std::fs::read_to_string("/proc/net/tcp").unwrap_or_default();
@@ -808,25 +814,25 @@
             if queues.ends_with(":00000000") {
                 return;
             }
-            assert!(begun.elapsed() < PATIENCE, "connections wait to be accepted");
+            assert!(begun.elapsed() < TEST_TIMEOUT, "connections wait to be accepted");
         }
     }
     /// Waits until so many requests are open in the program.
-    pub fn has_open(&self, requests: u64) {
+    pub fn wait_for_open_requests(&self, requests: u64) {
         let begun = Instant::now();
-        while self.figures()["inflight"].as_u64() != Some(requests) {
-            assert!(begun.elapsed() < PATIENCE, "{} open, not {requests}", self.figures()["inflight"]);
+        while self.stats()["inflight"].as_u64() != Some(requests) {
+            assert!(begun.elapsed() < TEST_TIMEOUT, "{} open, not {requests}", self.stats()["inflight"]);
         }
     }
-    pub fn figures(&self) -> serde_json::Value {
-        serde_json::from_str(&self.call("GET", "/ops/stats", "").1).expect("JSON")
+    pub fn stats(&self) -> serde_json::Value {
+        serde_json::from_str(&self.console_request("GET", "/ops/stats", "").1).expect("JSON")
     }
     pub fn signal(&self, name: &str) {
         let kill = format!("kill -{name} {}", self.child.id());
         assert!(Command::new("sh").args(["-c", &kill]).status().expect("kill").success());
     }
-    /// Stops it where it stands: what happens until `thaw` is there at once then.
-    pub fn freeze(&self) {
+    /// Stops it where it stands: what happens until `resume` is there at once then.
+    pub fn pause(&self) {
         self.signal("STOP");
         let stat = format!("/proc/{}/stat", self.child.id());
         let state = || {
@@ -836,7 +842,7 @@
             thread::yield_now();
         }
     }
-    pub fn thaw(&self) {
+    pub fn resume(&self) {
         self.signal("CONT");
     }
     /// Its memory in KB, as the kernel counts it.
@@ -868,9 +874,9 @@
 }
 
 /// Sends an operator's call as it stands and reads the answer to its end.
-pub fn call(console: SocketAddr, text: String) -> (u16, String) {
+pub fn send_console_request(console: SocketAddr, text: String) -> (u16, String) {
     let mut stream = TcpStream::connect(console).expect("the door is open");
-    stream.set_read_timeout(Some(PATIENCE)).expect("set");
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
     stream.write_all(text.as_bytes()).expect("the program reads");
     let mut answer = String::new();
     stream.read_to_string(&mut answer).expect("an answer");
@@ -880,7 +886,7 @@
 
 /// Starts the program on a configuration, whose file is returned too. The machine holds it to as many descriptors as its
 /// configuration says, where it says so; to fewer where it holds a key `descriptors`, which the program does not know.
-pub fn program(config: &str, env: &[(&str, &str)]) -> (Child, PathBuf) {
+pub fn start_program(config: &str, env: &[(&str, &str)]) -> (Child, PathBuf) {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let name = format!("sillfold-{}-{}.json", std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
@@ -944,13 +950,13 @@
 impl Client {
     pub fn connect(address: SocketAddr) -> Client {
         let stream = TcpStream::connect(address).expect("the program accepts");
-        stream.set_read_timeout(Some(PATIENCE)).expect("set");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
         Client { stream }
     }
     pub fn send(&mut self, bytes: &[u8]) {
         self.stream.write_all(bytes).expect("the program reads");
     }
-    pub fn ask(&mut self, text: &str) -> Answer {
+    pub fn query(&mut self, text: &str) -> Answer {
         self.send(&query(text));
         self.answer()
     }
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -172,5 +172,5 @@
     idle.clear();
     let answer = asking.answer();
     assert_eq!((answer.value.as_deref(), answer.code.as_str()), (Some("v"), ""), "{}", answer.message);
-    assert_eq!(proxy.figures()["hosts_down"], 0);
+    assert_eq!(proxy.stats()["hosts_down"], 0);
 }
--- a/tests/talk.rs
+++ b/tests/talk.rs
@@ -26,7 +26,7 @@
 /// A socket that stands in for a peer.
 fn peer_socket() -> UdpSocket {
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a loopback port");
-    socket.set_read_timeout(Some(PATIENCE)).expect("set");
+    socket.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
     socket
 }
 
@@ -64,11 +64,11 @@
 fn wait_for_figure(proxy: &Proxy, figure: &str, condition: impl Fn(u64) -> bool) -> u64 {
     let started = Instant::now();
     loop {
-        let value = proxy.figures()["peers"][figure].as_u64().expect("the figure is there");
+        let value = proxy.stats()["peers"][figure].as_u64().expect("the figure is there");
         if condition(value) {
             return value;
         }
-        assert!(started.elapsed() < PATIENCE, "{figure} is {value}");
+        assert!(started.elapsed() < TEST_TIMEOUT, "{figure} is {value}");
     }
 }
 
@@ -77,19 +77,19 @@
     let (host, each) = (host_with_position(20), [unused_address(), unused_address()]);
     let proxies = [start(&host, 0, &each), start(&host, 1, &each)];
     for proxy in &proxies {
-        proxy.agent.line(&list(42, true, &[(&host, "SERVING")]));
+        proxy.agent.send_line(&list(42, true, &[(&host, "SERVING")]));
     }
     let mut client = proxies[0].client();
     let started = Instant::now();
     for n in 0.. {
         // The proxy sends datagrams in proportion to its requests.
-        assert_eq!(client.ask(&read(&format!("t{n}"), "history", 9000)).value.as_deref(), Some("v"));
-        if proxies[1].figures()["peers"]["heard"].as_u64() > Some(0) {
+        assert_eq!(client.query(&read(&format!("t{n}"), "history", 9000)).value.as_deref(), Some("v"));
+        if proxies[1].stats()["peers"]["heard"].as_u64() > Some(0) {
             break;
         }
-        assert!(started.elapsed() < PATIENCE, "{}", proxies[1].figures());
+        assert!(started.elapsed() < TEST_TIMEOUT, "{}", proxies[1].stats());
     }
-    let figures = proxies[0].figures();
+    let figures = proxies[0].stats();
     let (sent, bytes) = (figures["peers"]["sent"].as_u64(), figures["peers"]["bytes"].as_u64());
     assert!(sent > Some(0) && bytes <= sent.map(|n| n * 256), "{figures}");
 }
@@ -123,9 +123,9 @@
     }
     let mut client = proxy.client();
     let asked = Instant::now();
-    assert_eq!(client.ask(&read("beside", "history", 9000)).value.as_deref(), Some("v"));
+    assert_eq!(client.query(&read("beside", "history", 9000)).value.as_deref(), Some("v"));
     assert!(asked.elapsed() < Duration::from_secs(2), "{:?}", asked.elapsed());
-    let figures = proxy.figures();
+    let figures = proxy.stats();
     assert_eq!((&figures["peers"]["heard"], figures["inflight"].as_u64()), (&1.into(), Some(0)));
 }
 
@@ -134,7 +134,7 @@
 fn datagrams_name_hosts_by_the_hash_of_their_name() {
     let (host, own) = (host_with_position(30), peer_socket());
     let proxy = start(&host, 0, &[unused_address(), address_of(&own)]);
-    proxy.agent.line(&list(42, true, &[(&host, "SERVING")]));
+    proxy.agent.send_line(&list(42, true, &[(&host, "SERVING")]));
     let mut client = proxy.client();
     let receiver = std::thread::spawn(move || {
         let mut bytes = [0; 2_000];
@@ -147,7 +147,7 @@
         }
     });
     for n in 0.. {
-        client.ask(&read(&format!("s{n}"), "history", 9000));
+        client.query(&read(&format!("s{n}"), "history", 9000));
         if receiver.is_finished() {
             break;
         }
@@ -166,10 +166,10 @@
     let listen = unused_address();
     let mut old = start(&host, 0, &[listen, address_of(&own)]);
     old.logged("talks with");
-    old.agent.line(&list(42, true, &[(&host, "SERVING")]));
-    let new = old.beside();
+    old.agent.send_line(&list(42, true, &[(&host, "SERVING")]));
+    let new = old.start_beside();
     new.logged("another process has it");
-    new.agent.line(&list(43, true, &[(&host, "SERVING")]));
+    new.agent.send_line(&list(43, true, &[(&host, "SERVING")]));
     new.logged("serves on");
     let send = |sequence| {
         let sender = Sender { ordinal: 1, incarnation: 5, sequence };
@@ -177,7 +177,7 @@
     };
     send(1);
     wait_for_figure(&old, "heard", |n| n == 1);
-    assert_eq!(new.figures()["peers"]["heard"], 0);
+    assert_eq!(new.stats()["peers"]["heard"], 0);
     let stopped = Instant::now();
     old.signal("TERM");
     new.logged("talks with");
@@ -197,7 +197,7 @@
     UdpSocket::bind(listen).expect("the address is unused");
     drop(proxy);
     let config = r#"{"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","peers":["127.0.0.1:3","here"],"settings":SETTINGS}"#;
-    let (child, _) = program(&config.replace("SETTINGS", SETTINGS), &[]);
+    let (child, _) = start_program(&config.replace("SETTINGS", SETTINGS), &[]);
     let out = child.wait_with_output().expect("it ends");
     assert_eq!(out.status.code(), Some(2));
     assert!(String::from_utf8_lossy(&out.stderr).contains("peers[1]: \"here\" is no address"), "{out:?}");
