--- a/crates/lab/src/agent.rs
+++ b/crates/lab/src/agent.rs
@@ -13,7 +13,7 @@
 
 /// One line of the list.
 #[derive(Clone, Debug)]
-pub struct Entry {
+pub struct HostEntry {
     /// The host's name.
     pub name: String,
     /// Where it listens.
@@ -26,11 +26,11 @@
     pub primary: bool,
 }
 
-impl Entry {
+impl HostEntry {
     /// The line of a host that serves.
-    pub fn of(host: &Host, group: u32) -> Entry {
+    pub fn serving(host: &Host, group: u32) -> HostEntry {
         let (name, primary) = (host.name().to_string(), host.is_primary());
-        Entry { name, address: host.address, group, status: "SERVING", primary }
+        HostEntry { name, address: host.address, group, status: "SERVING", primary }
     }
 
     fn json(&self) -> serde_json::Value {
@@ -45,7 +45,7 @@
 #[derive(Default)]
 struct List {
     index: u64,
-    entries: Vec<Entry>,
+    entries: Vec<HostEntry>,
 }
 
 /// An agent that runs until the program ends.
@@ -57,7 +57,7 @@
 
 impl Agent {
     /// Starts one at a free port of this address, with this list.
-    pub fn start(at: IpAddr, entries: Vec<Entry>) -> io::Result<Agent> {
+    pub fn start(at: IpAddr, entries: Vec<HostEntry>) -> io::Result<Agent> {
         let listener = TcpListener::bind((at, 0))?;
         let address = listener.local_addr()?;
         let list = Arc::new((Mutex::new(List { index: 1, entries }), Condvar::new()));
@@ -72,7 +72,7 @@
     }
 
     /// The list is this from now on.
-    pub fn set(&self, entries: Vec<Entry>) {
+    pub fn set_hosts(&self, entries: Vec<HostEntry>) {
         let mut list = self.list.0.lock().expect("no one panics there");
         (list.index, list.entries) = (list.index + 1, entries);
         self.list.1.notify_all();
@@ -80,7 +80,7 @@
 }
 
 fn text(list: &List) -> String {
-    let entries: Vec<serde_json::Value> = list.entries.iter().map(Entry::json).collect();
+    let entries: Vec<serde_json::Value> = list.entries.iter().map(HostEntry::json).collect();
     serde_json::json!({"index": list.index, "snapshot": true, "endpoints": entries}).to_string()
 }
 
--- a/crates/lab/src/client.rs
+++ b/crates/lab/src/client.rs
@@ -61,7 +61,7 @@
     }
 
     /// Asks, and reads the whole answer.
-    pub fn ask(&mut self, text: &str) -> io::Result<Answer> {
+    pub fn query(&mut self, text: &str) -> io::Result<Answer> {
         self.send(text)?;
         self.answer()
     }
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -5,7 +5,9 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp};
-use sillfold_lab::{Agent, Capacity, Client, Entry, Group, Host, Options, Proxy, address, settings};
+use sillfold_lab::{
+    Agent, Capacity, Client, Group, Host, HostEntry, Options, Proxy, loopback_address, settings,
+};
 use sillfold_plan::answers::max_load_multiple;
 use sillfold_plan::fleet::{Fleet, Load, Need};
 use sillfold_plan::model::Change;
@@ -96,13 +98,13 @@
                     capacity: Some(capacity),
                     ..Options::default()
                 };
-                let host = Host::start(address(), &group, options)?;
-                entries.push(Entry::of(&host, g.id));
+                let host = Host::start(loopback_address(), &group, options)?;
+                entries.push(HostEntry::serving(&host, g.id));
                 hosts.push(host);
             }
         }
     }
-    let agent = Agent::start(address(), entries)?;
+    let agent = Agent::start(loopback_address(), entries)?;
     Ok((hosts, agent))
 }
 
@@ -146,9 +148,9 @@
             _ => format!("/* {terms},cluster={group} */ SELECT 'payload' AS payload"),
         };
         // The proxy closes connections that rest; who meets such a close asks once more, on another.
-        let answer = client.ask(&text).or_else(|_| {
+        let answer = client.query(&text).or_else(|_| {
             *client = Client::connect(to, "web", "orders")?;
-            client.ask(&text)
+            client.query(&text)
         });
         if answer.is_ok_and(|a| a.error.is_empty()) && begun.elapsed() <= goal {
             return (true, due.at.elapsed());
@@ -163,7 +165,7 @@
     fleet: &Fleet, load: &Load, times: f64, program: &str, plan: &Plan, operator: Option<&str>,
 ) -> io::Result<Seen> {
     let (_hosts, agent) = start(fleet, load, plan.seed)?;
-    let proxy = Proxy::start_anywhere(&[program], agent.address, &settings_of(fleet), operator)?;
+    let proxy = Proxy::start_at_own_address(&[program], agent.address, &settings_of(fleet), operator)?;
     let (send, receive) = channel::<(Due, u32)>();
     let receive = Arc::new(Mutex::new(receive));
     let seen: Arc<Mutex<Seen>> = Arc::default();
--- a/crates/lab/src/host.rs
+++ b/crates/lab/src/host.rs
@@ -63,14 +63,14 @@
     /// Says nothing, and keeps the connection.
     Hang,
     /// Answers these bytes.
-    Bytes(Vec<u8>),
+    RawBytes(Vec<u8>),
     /// Answers so much of what it would, and ends the connection.
-    Partly(usize),
+    Truncated(usize),
 }
 
 /// What a host has seen, in order.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Seen {
+pub enum HostEvent {
     /// A session was opened by this user in this database.
     Opened(String, String),
     /// A query came; probes are not told.
@@ -89,9 +89,9 @@
     /// How far it is behind the log.
     pub lag: Duration,
     /// Whether the answer to a write tells its commit; a plain PostgreSQL server does not.
-    pub tells_commit: bool,
+    pub reports_commit: bool,
     /// How long a statement takes.
-    pub takes: Duration,
+    pub service_time: Duration,
     /// What it can do; without one it does everything at once.
     pub capacity: Option<Capacity>,
 }
@@ -133,8 +133,8 @@
 
 impl Default for Options {
     fn default() -> Options {
-        let (name, primary, lag, takes) = ("s-1".into(), true, Duration::ZERO, Duration::ZERO);
-        Options { name, primary, lag, tells_commit: true, takes, capacity: None }
+        let (name, primary, lag, service_time) = ("s-1".into(), true, Duration::ZERO, Duration::ZERO);
+        Options { name, primary, lag, reports_commit: true, service_time, capacity: None }
     }
 }
 
@@ -144,8 +144,8 @@
     lag_ms: AtomicU64,
     primary: AtomicBool,
     faults: Mutex<VecDeque<Fault>>,
-    tell: Sender<Seen>,
-    writes_turned_away: AtomicU64,
+    tell: Sender<HostEvent>,
+    rejected_writes: AtomicU64,
     functions: Functions,
     cores: Mutex<Cores>,
     core_free: Condvar,
@@ -159,7 +159,7 @@
     /// Where it listens.
     pub address: SocketAddr,
     shared: Arc<Shared>,
-    seen: Receiver<Seen>,
+    seen: Receiver<HostEvent>,
 }
 
 impl Host {
@@ -185,7 +185,7 @@
             options,
             faults: Mutex::default(),
             tell,
-            writes_turned_away: AtomicU64::new(0),
+            rejected_writes: AtomicU64::new(0),
             functions: Functions::default(),
         });
         let all = shared.clone();
@@ -195,7 +195,7 @@
                 thread::spawn(move || {
                     // A connection that fails has ended; that is all there is to tell.
                     let _ = shared.converse(stream);
-                    let _ = shared.tell.send(Seen::Closed);
+                    let _ = shared.tell.send(HostEvent::Closed);
                 });
             }
         });
@@ -223,25 +223,25 @@
     }
 
     /// The next statement that is no probe meets this fault; several wait their turn.
-    pub fn fail(&self, fault: Fault) {
+    pub fn inject_fault(&self, fault: Fault) {
         self.shared.faults.lock().expect("no one panics there").push_back(fault);
     }
 
     /// Statements that it had to turn away because they write and it is a replica.
-    pub fn writes_turned_away(&self) -> u64 {
-        self.shared.writes_turned_away.load(Ordering::Relaxed)
+    pub fn rejected_writes(&self) -> u64 {
+        self.shared.rejected_writes.load(Ordering::Relaxed)
     }
 
     /// What it sees next; nothing within this time.
-    pub fn next(&self, within: Duration) -> Option<Seen> {
+    pub fn next_event(&self, within: Duration) -> Option<HostEvent> {
         self.seen.recv_timeout(within).ok()
     }
 
     /// All queries that it has seen and that were not told yet.
-    pub fn queries(&self) -> Vec<String> {
+    pub fn take_queries(&self) -> Vec<String> {
         let queries = self.seen.try_iter().filter_map(|s| match s {
-            Seen::Query(text) => Some(text),
-            Seen::Opened(..) | Seen::Closed => None,
+            HostEvent::Query(text) => Some(text),
+            HostEvent::Opened(..) | HostEvent::Closed => None,
         });
         queries.collect()
     }
@@ -310,15 +310,15 @@
         let _session = Session(&self.sessions);
         let sessions = self.sessions.fetch_add(1, Ordering::Relaxed) + 1;
         if self.options.capacity.as_ref().is_some_and(|c| sessions > u64::from(c.connections)) {
-            return s.write_all(&wire::error("53300", "too many connections"));
+            return s.write_all(&wire::error_response("53300", "too many connections"));
         }
-        let _ = self.tell.send(Seen::Opened(user, database));
+        let _ = self.tell.send(HostEvent::Opened(user, database));
         let welcome = [
             wire::message(b'R', &[0; 4]),
-            wire::status("server_version", "17.0"),
-            wire::status("client_encoding", "UTF8"),
+            wire::parameter_status("server_version", "17.0"),
+            wire::parameter_status("client_encoding", "UTF8"),
             wire::message(b'K', &[0, 0, 0, 1, 0, 0, 0, 2]),
-            wire::ready(),
+            wire::ready_for_query(),
         ];
         s.write_all(&welcome.concat())?;
         loop {
@@ -329,12 +329,14 @@
             let text = String::from_utf8_lossy(body.strip_suffix(b"\0").unwrap_or(&body)).into_owned();
             let probe = text.trim() == "SHOW usage";
             if !probe {
-                let _ = self.tell.send(Seen::Query(text.clone()));
+                let _ = self.tell.send(HostEvent::Query(text.clone()));
             }
             if let Some(c) = self.options.capacity.as_ref().filter(|_| !probe) {
                 let class = text.split(",c=").nth(1).and_then(|t| t.split(',').next()).unwrap_or("");
                 if !self.work(c, class) {
-                    s.write_all(&[wire::error("53300", "no slot is free"), wire::ready()].concat())?;
+                    s.write_all(
+                        &[wire::error_response("53300", "no slot is free"), wire::ready_for_query()].concat(),
+                    )?;
                     continue;
                 }
             }
@@ -349,15 +351,17 @@
                 }
                 Some(Fault::Reset) => return s.shutdown(Shutdown::Both),
                 Some(Fault::Error(code)) => {
-                    s.write_all(&[wire::error(code, "as ordered"), wire::ready()].concat())?;
+                    s.write_all(
+                        &[wire::error_response(code, "as ordered"), wire::ready_for_query()].concat(),
+                    )?;
                 }
                 Some(Fault::Hang) => {
                     let mut end = [0];
                     let _ = s.read(&mut end);
                     return Ok(());
                 }
-                Some(Fault::Bytes(bytes)) => s.write_all(&bytes)?,
-                Some(Fault::Partly(bytes)) => {
+                Some(Fault::RawBytes(bytes)) => s.write_all(&bytes)?,
+                Some(Fault::Truncated(bytes)) => {
                     let mut whole = Vec::new();
                     self.answer(&text, &mut whole)?;
                     s.write_all(&whole[..bytes.min(whole.len())])?;
@@ -369,22 +373,22 @@
 
     /// Runs all statements of a text, as one: an error ends them.
     fn answer(&self, text: &str, out: &mut impl Write) -> io::Result<()> {
-        thread::sleep(self.options.takes);
+        thread::sleep(self.options.service_time);
         let mut commit = None;
         for part in split(text) {
             if let Err((code, what)) = self.run(part, out, &mut commit)? {
-                out.write_all(&wire::error(code, &what))?;
+                out.write_all(&wire::error_response(code, &what))?;
                 break;
             }
         }
         let role = if self.primary.load(Ordering::Relaxed) { "writer" } else { "reader" };
-        out.write_all(&wire::status("server_role", role))?;
+        out.write_all(&wire::parameter_status("server_role", role))?;
         // Where its work is measured, every answer tells how far its host is.
         let position = self.options.capacity.as_ref().map(|_| self.applied().min(now_ms()));
-        if let Some(at) = commit.or(position).filter(|_| self.options.tells_commit) {
-            out.write_all(&wire::status("commit_clock", &at.to_string()))?;
+        if let Some(at) = commit.or(position).filter(|_| self.options.reports_commit) {
+            out.write_all(&wire::parameter_status("commit_clock", &at.to_string()))?;
         }
-        out.write_all(&wire::ready())
+        out.write_all(&wire::ready_for_query())
     }
 
     fn run(
@@ -433,7 +437,7 @@
         out: &mut impl Write, commit: &mut Option<u64>,
     ) -> io::Result<Result<(), (&'static str, String)>> {
         if !self.primary.load(Ordering::Relaxed) {
-            self.writes_turned_away.fetch_add(1, Ordering::Relaxed);
+            self.rejected_writes.fetch_add(1, Ordering::Relaxed);
             let what = format!("cannot execute {} in a read-only transaction", analysis.reason);
             return Ok(Err(("25006", what)));
         }
@@ -442,10 +446,10 @@
         let first = shape.split(' ').next().unwrap_or("").to_uppercase();
         let tag = if first == "INSERT" { "INSERT 0 1".into() } else { format!("{first} 1") };
         if shape.contains(" returning ") {
-            out.write_all(&wire::description(&["payload"]))?;
-            out.write_all(&wire::row(&[Some(&payload)]))?;
+            out.write_all(&wire::row_description(&["payload"]))?;
+            out.write_all(&wire::data_row(&[Some(&payload)]))?;
         }
-        out.write_all(&wire::complete(&tag))?;
+        out.write_all(&wire::command_complete(&tag))?;
         Ok(Ok(()))
     }
 }
@@ -460,28 +464,28 @@
 }
 
 fn table(out: &mut impl Write, columns: &[&str], rows: &[Vec<Option<&str>>], verb: &str) -> io::Result<()> {
-    out.write_all(&wire::description(columns))?;
+    out.write_all(&wire::row_description(columns))?;
     for row in rows {
-        out.write_all(&wire::row(row))?;
+        out.write_all(&wire::data_row(row))?;
     }
     let tag = if verb == "SELECT" { format!("SELECT {}", rows.len()) } else { verb.to_string() };
-    out.write_all(&wire::complete(&tag))
+    out.write_all(&wire::command_complete(&tag))
 }
 
 /// So many rows of three columns, the last so wide.
 fn series(out: &mut impl Write, rows: usize, wide: usize) -> io::Result<()> {
-    out.write_all(&wire::description(&["n", "nothing", "filler"]))?;
+    out.write_all(&wire::row_description(&["n", "nothing", "filler"]))?;
     let filler = "x".repeat(wide);
     let mut part = Vec::new();
     for n in 1..=rows {
-        part.extend(wire::row(&[Some(&n.to_string()), None, Some(&filler)]));
+        part.extend(wire::data_row(&[Some(&n.to_string()), None, Some(&filler)]));
         if part.len() > 64 * 1024 {
             out.write_all(&part)?;
             part.clear();
         }
     }
     out.write_all(&part)?;
-    out.write_all(&wire::complete(&format!("SELECT {rows}")))
+    out.write_all(&wire::command_complete(&format!("SELECT {rows}")))
 }
 
 /// The statements of a text: this stand-in knows plain quotes only.
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -10,7 +10,7 @@
 pub mod soak;
 mod wire;
 
-pub use agent::{Agent, Entry};
+pub use agent::{Agent, HostEntry};
 pub use client::{Answer, Client};
-pub use host::{Capacity, Fault, Group, Host, Options, Seen};
-pub use proxy::{Proxy, address, settings};
+pub use host::{Capacity, Fault, Group, Host, HostEvent, Options};
+pub use proxy::{Proxy, loopback_address, settings};
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -10,7 +10,7 @@
 use signal_hook::iterator::Signals;
 use sillfold_lab::sim::plan::Plan;
 use sillfold_lab::soak;
-use sillfold_lab::{Agent, Client, Entry, Group, Host, Options, Proxy, settings};
+use sillfold_lab::{Agent, Client, Group, Host, HostEntry, Options, Proxy, settings};
 use std::io;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
@@ -237,9 +237,9 @@
     let entries = hosts.iter().enumerate().map(|(i, text)| {
         let (name, address) = text.split_once('=').unwrap_or((text, text));
         let address = address.parse().map_err(|e| io::Error::other(format!("{text}: {e}")))?;
-        Ok(Entry { name: name.into(), address, group, status: "SERVING", primary: i == 0 })
+        Ok(HostEntry { name: name.into(), address, group, status: "SERVING", primary: i == 0 })
     });
-    let agent = Agent::start(LOOPBACK, entries.collect::<io::Result<Vec<Entry>>>()?)?;
+    let agent = Agent::start(LOOPBACK, entries.collect::<io::Result<Vec<HostEntry>>>()?)?;
     println!("discovery listens on {}", agent.address);
     until_ended()
 }
@@ -253,7 +253,7 @@
         let (name, lag) = (name.to_string(), Duration::from_millis(lag_ms));
         hosts.push(Host::start(LOOPBACK, &group, Options { name, primary, lag, ..Options::default() })?);
     }
-    let agent = Agent::start(LOOPBACK, hosts.iter().map(|h| Entry::of(h, 3)).collect())?;
+    let agent = Agent::start(LOOPBACK, hosts.iter().map(|h| HostEntry::serving(h, 3)).collect())?;
     let at = SocketAddr::new(LOOPBACK, port);
     let program = program.display().to_string();
     let proxy = Proxy::start(&[&program], at, agent.address, &settings(), Some(&operator))?;
@@ -263,8 +263,8 @@
     println!("    -c \"SELECT payload FROM entries WHERE ref = '7f'\"\n");
     println!("Its figures: curl -s http://{}/ops/stats", proxy.console);
     let mut client = Client::connect(at, "web", "orders")?;
-    client.ask("INSERT INTO entries (ref, payload) VALUES ('demo', 'it serves')")?;
-    let answer = client.ask("SELECT payload FROM entries WHERE ref = 'demo'")?;
+    client.query("INSERT INTO entries (ref, payload) VALUES ('demo', 'it serves')")?;
+    let answer = client.query("SELECT payload FROM entries WHERE ref = 'demo'")?;
     println!("Asked here: {}", answer.value().unwrap_or("no answer"));
     if once {
         let served = answer.value() == Some("it serves");
--- a/crates/lab/src/measure.rs
+++ b/crates/lab/src/measure.rs
@@ -2,7 +2,9 @@
 //! compared takes turns in one run, since machines are noisy.
 
 use hdrhistogram::Histogram;
-use sillfold_lab::{Agent, Client, Entry, Group, Host, Options as HostOptions, Proxy, address, settings};
+use sillfold_lab::{
+    Agent, Client, Group, Host, HostEntry, Options as HostOptions, Proxy, loopback_address, settings,
+};
 use sillfold_route::sql::{Functions, ParseLimits, StatementReader, analyze};
 use sillfold_route::{Options, Shape, StatementRouter};
 use std::hint::black_box;
@@ -173,8 +175,8 @@
 
 /// A stand-in host and discovery, for one proxy.
 fn peers() -> io::Result<(Host, Agent)> {
-    let host = Host::start(address(), &Group::new(), HostOptions::default())?;
-    let agent = Agent::start(address(), vec![Entry::of(&host, 3)])?;
+    let host = Host::start(loopback_address(), &Group::new(), HostOptions::default())?;
+    let agent = Agent::start(loopback_address(), vec![HostEntry::serving(&host, 3)])?;
     Ok((host, agent))
 }
 
@@ -185,7 +187,7 @@
             true => format!("SELECT payload FROM entries WHERE ref = 'r{i}' AND true"),
             false => format!("/* id=i{i},c=history,d=9000,cluster=3 */ SELECT 'payload' AS payload"),
         };
-        let answer = client.ask(&text)?;
+        let answer = client.query(&text)?;
         if !answer.error.is_empty() {
             return Err(io::Error::other(format!("{text}: {answer:?}")));
         }
@@ -207,7 +209,7 @@
         (_, true) => Some(recorded.as_str()),
         _ => None,
     };
-    let mut proxy = Proxy::start_anywhere(&words, agent.address, &quiet, operator)?;
+    let mut proxy = Proxy::start_at_own_address(&words, agent.address, &quiet, operator)?;
     ask_many(&proxy, requests, plain)?;
     proxy.signal("TERM")?;
     let line = proxy.logged("Collected")?;
@@ -250,7 +252,7 @@
     for program in programs {
         let (_host, agent) = peers()?;
         let name = program.display().to_string();
-        let proxy = Proxy::start_anywhere(&[&name], agent.address, &settings(), None)?;
+        let proxy = Proxy::start_at_own_address(&[&name], agent.address, &settings(), None)?;
         let (start, _) = proxy.memory_kb()?;
         ask_many(&proxy, requests, false)?;
         let (now, most) = proxy.memory_kb()?;
--- a/crates/lab/src/proxy.rs
+++ b/crates/lab/src/proxy.rs
@@ -13,7 +13,7 @@
 const PORT: u16 = 20433;
 
 /// A loopback address of this process's own, for peers that listen at any port of it.
-pub fn address() -> IpAddr {
+pub fn loopback_address() -> IpAddr {
     // The upper half of these; the stories' other peers have the lower.
     own(0)
 }
@@ -69,12 +69,12 @@
         let proxy = Proxy::begin(program, at, discovery, settings, operator)?;
         proxy.logged("serves on")?;
         // It answers the empty query once it has heard of discovery's list.
-        let answer = Client::connect(at, "web", "orders")?.ask("")?;
+        let answer = Client::connect(at, "web", "orders")?.query("")?;
         if answer.empty { Ok(proxy) } else { Err(io::Error::other(format!("not ready: {answer:?}"))) }
     }
 
     /// Starts it at an address of its own.
-    pub fn start_anywhere(
+    pub fn start_at_own_address(
         program: &[&str], discovery: SocketAddr, settings: &serde_json::Value, operator: Option<&str>,
     ) -> io::Result<Proxy> {
         static NEXT: AtomicU32 = AtomicU32::new(1);
--- a/crates/lab/src/sim/host.rs
+++ b/crates/lab/src/sim/host.rs
@@ -282,10 +282,14 @@
             world::after(Duration::from_micros(late)).await;
         }
         if self.hosts.borrow()[host].sessions > SESSIONS {
-            return stream.write_all(&wire::error("53300", "too many connections")).await;
+            return stream.write_all(&wire::error_response("53300", "too many connections")).await;
         }
-        let welcome =
-            [wire::message(b'R', &[0; 4]), wire::status("server_version", "17.0"), wire::ready()].concat();
+        let welcome = [
+            wire::message(b'R', &[0; 4]),
+            wire::parameter_status("server_version", "17.0"),
+            wire::ready_for_query(),
+        ]
+        .concat();
         stream.write_all(&welcome).await?;
         loop {
             let Some((kind, body)) = next(stream, &mut came).await? else { return Ok(()) };
@@ -311,7 +315,7 @@
         let (x0, x1) = (self.applied(host), u8::from(self.hosts.borrow()[host].primary));
         let x0 = (x0 as f64 / 1e3 + (self.world.unix_ms() - self.world.now() / 1_000) as f64) / 1e3;
         let body = row(&format!("x0={x0:.3},x1={x1},util=0.1,queue=0"), "SHOW");
-        [body, wire::ready()].concat()
+        [body, wire::ready_for_query()].concat()
     }
 
     /// Writes an answer, whole unless something is wrong; false where nothing may follow it.
@@ -342,7 +346,7 @@
                 return Ok(false);
             }
         }
-        stream.write_all(&[body, notes, wire::ready()].concat()).await?;
+        stream.write_all(&[body, notes, wire::ready_for_query()].concat()).await?;
         Ok(true)
     }
 
@@ -396,18 +400,18 @@
             w.note(|| format!("host {host} turns {id} away: {why}"));
             let notes = self.notes(host, self.applied(host), false);
             let role = Some(self.hosts.borrow()[host].primary);
-            Some(Answer { body: wire::error(code, why), notes, role, commit: None })
+            Some(Answer { body: wire::error_response(code, why), notes, role, commit: None })
         };
         match mode {
             Mode::Well => {}
             Mode::Errors => {
                 ended(State::Ran);
-                let body = wire::error("XX000", "a fast error");
+                let body = wire::error_response("XX000", "a fast error");
                 return Some(Answer { body, notes: Vec::new(), role: None, commit: None });
             }
             Mode::Garbage => {
                 ended(State::Ran);
-                let whole = [row("half", "SELECT 1"), wire::ready()].concat();
+                let whole = [row("half", "SELECT 1"), wire::ready_for_query()].concat();
                 let cut = w.draw(40) as usize;
                 let bytes = if w.draw(2) == 0 { vec![0xff; 1 + cut] } else { whole[..cut].to_vec() };
                 let _ = stream.write_all(&bytes).await;
@@ -547,12 +551,12 @@
         }
         let begin = self.world.unix_ms() - self.world.now() / 1_000;
         let position = begin + position / 1_000;
-        [role, wire::status("commit_clock", &position.to_string())].concat()
+        [role, wire::parameter_status("commit_clock", &position.to_string())].concat()
     }
 
     fn role_note(&self, host: usize) -> Vec<u8> {
         let primary = self.hosts.borrow()[host].primary;
-        wire::status("server_role", if primary { "writer" } else { "reader" })
+        wire::parameter_status("server_role", if primary { "writer" } else { "reader" })
     }
 
     fn read<'a>(&self, text: &'a str) -> Option<Asked<'a>> {
@@ -592,5 +596,5 @@
 
 /// One row of one value, and the end of its command.
 fn row(value: &str, tag: &str) -> Vec<u8> {
-    [wire::description(&["v"]), wire::row(&[Some(value)]), wire::complete(tag)].concat()
+    [wire::row_description(&["v"]), wire::data_row(&[Some(value)]), wire::command_complete(tag)].concat()
 }
--- a/crates/lab/src/soak/host.rs
+++ b/crates/lab/src/soak/host.rs
@@ -164,7 +164,7 @@
         if self.mode(host) == Mode::LateSessions {
             Timer::after(Duration::from_millis(self.draw(LATE_MS))).await;
         }
-        let welcome = [wire::message(b'R', &[0; 4]), wire::ready()].concat();
+        let welcome = [wire::message(b'R', &[0; 4]), wire::ready_for_query()].concat();
         stream.write_all(&welcome).await?;
         while self.hosts.borrow()[host].process == process {
             let Some(statement) = read_statement(&mut stream).await? else { return Ok(()) };
@@ -195,7 +195,9 @@
         };
         if let Some(code) = refuse {
             let notes = self.notes(primary);
-            stream.write_all(&[wire::error(code, "not here"), notes, wire::ready()].concat()).await?;
+            stream
+                .write_all(&[wire::error_response(code, "not here"), notes, wire::ready_for_query()].concat())
+                .await?;
             return Ok(Outcome::NeverRan);
         }
         let mut work = WORK_MS.0 + self.draw(WORK_MS.1);
@@ -216,11 +218,11 @@
             return Ok(Outcome::Ends);
         }
         let answer = [
-            wire::description(&["payload"]),
-            wire::row(&[Some(id)]),
-            wire::complete("SELECT 1"),
+            wire::row_description(&["payload"]),
+            wire::data_row(&[Some(id)]),
+            wire::command_complete("SELECT 1"),
             self.notes(primary),
-            wire::ready(),
+            wire::ready_for_query(),
         ]
         .concat();
         match mode {
@@ -237,8 +239,8 @@
     }
 
     fn notes(&self, primary: bool) -> Vec<u8> {
-        let role = wire::status("server_role", if primary { "writer" } else { "reader" });
-        [role, wire::status("commit_clock", &unix_ms().to_string())].concat()
+        let role = wire::parameter_status("server_role", if primary { "writer" } else { "reader" });
+        [role, wire::parameter_status("commit_clock", &unix_ms().to_string())].concat()
     }
 }
 
--- a/crates/lab/src/wire.rs
+++ b/crates/lab/src/wire.rs
@@ -33,7 +33,7 @@
 }
 
 /// The description of columns of text.
-pub fn description(columns: &[&str]) -> Vec<u8> {
+pub fn row_description(columns: &[&str]) -> Vec<u8> {
     let mut body = (columns.len() as i16).to_be_bytes().to_vec();
     for name in columns {
         body.extend(name.bytes().chain([0]));
@@ -44,7 +44,7 @@
 }
 
 /// A row; nothing stands for NULL.
-pub fn row(values: &[Option<&str>]) -> Vec<u8> {
+pub fn data_row(values: &[Option<&str>]) -> Vec<u8> {
     let mut body = (values.len() as i16).to_be_bytes().to_vec();
     for value in values {
         match value {
@@ -59,17 +59,17 @@
 }
 
 /// The end of a command.
-pub fn complete(tag: &str) -> Vec<u8> {
+pub fn command_complete(tag: &str) -> Vec<u8> {
     message(b'C', &[tag.as_bytes(), b"\0"].concat())
 }
 
 /// A setting or a note.
-pub fn status(name: &str, value: &str) -> Vec<u8> {
+pub fn parameter_status(name: &str, value: &str) -> Vec<u8> {
     message(b'S', &[name.as_bytes(), b"\0", value.as_bytes(), b"\0"].concat())
 }
 
 /// An error with its fields, as PostgreSQL words them.
-pub fn error(code: &str, text: &str) -> Vec<u8> {
+pub fn error_response(code: &str, text: &str) -> Vec<u8> {
     let fields =
         [("S", "ERROR"), ("V", "ERROR"), ("C", code), ("M", text), ("H", "a hint of the stand-in's")];
     let mut body: Vec<u8> =
@@ -79,6 +79,6 @@
 }
 
 /// The session is ready for the next query.
-pub fn ready() -> Vec<u8> {
+pub fn ready_for_query() -> Vec<u8> {
     message(b'Z', b"I")
 }
--- a/tests/plain.rs
+++ b/tests/plain.rs
@@ -2,7 +2,8 @@
 //! them, and for each failure they may meet.
 
 use sillfold_lab::{
-    Agent, Answer, Client, Entry, Fault, Group, Host, Options, Proxy, Seen, address, settings,
+    Agent, Answer, Client, Fault, Group, Host, HostEntry, HostEvent, Options, Proxy, loopback_address,
+    settings,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -37,7 +38,7 @@
 fn host(group: &Arc<Group>, name: &str, primary: bool, lag_ms: u64) -> Host {
     let lag = Duration::from_millis(lag_ms);
     let options = Options { name: name.into(), primary, lag, ..Options::default() };
-    Host::start(address(), group, options).expect("a host")
+    Host::start(loopback_address(), group, options).expect("a host")
 }
 
 fn fleet(operator: &str, lag_ms: u64) -> Fleet {
@@ -45,16 +46,17 @@
 }
 
 /// The same, whose primary takes so long for a statement.
-fn fleet_with(operator: &str, lag_ms: u64, takes: Duration) -> Fleet {
+fn fleet_with(operator: &str, lag_ms: u64, service_time: Duration) -> Fleet {
     let group = Group::new();
-    let primary = Options { name: "s-1".into(), primary: true, takes, ..Options::default() };
+    let primary = Options { name: "s-1".into(), primary: true, service_time, ..Options::default() };
     let hosts = vec![
-        Host::start(address(), &group, primary).expect("a host"),
+        Host::start(loopback_address(), &group, primary).expect("a host"),
         host(&group, "s-2", false, lag_ms),
         host(&group, "s-3", false, lag_ms),
     ];
-    let agent = Agent::start(address(), hosts.iter().map(|h| Entry::of(h, 3)).collect()).expect("an agent");
-    let proxy = Proxy::start_anywhere(&[PROGRAM], agent.address, &settings(), Some(operator));
+    let agent = Agent::start(loopback_address(), hosts.iter().map(|h| HostEntry::serving(h, 3)).collect())
+        .expect("an agent");
+    let proxy = Proxy::start_at_own_address(&[PROGRAM], agent.address, &settings(), Some(operator));
     Fleet { group, hosts, _agent: agent, proxy: proxy.expect("the proxy serves") }
 }
 
@@ -63,24 +65,24 @@
         Client::connect(self.proxy.address, "web", "orders").expect("a session")
     }
     fn ask(&self, text: &str) -> Answer {
-        self.client().ask(text).expect("an answer")
+        self.client().query(text).expect("an answer")
     }
     /// Asks until a replica has answered once: its position is known from then on.
     fn warm(&self) {
         let mut client = self.client();
         let since = Instant::now();
         loop {
-            client.ask("SELECT 'warm'").expect("an answer");
-            let replicas = self.hosts[1..].iter().all(|h| !h.queries().is_empty());
+            client.query("SELECT 'warm'").expect("an answer");
+            let replicas = self.hosts[1..].iter().all(|h| !h.take_queries().is_empty());
             if replicas {
-                self.hosts[0].queries();
+                self.hosts[0].take_queries();
                 return;
             }
             assert!(since.elapsed() < PATIENCE, "no replica is ever asked");
         }
     }
     fn replica_queries(&self) -> usize {
-        self.hosts[1..].iter().map(|h| h.queries().len()).sum()
+        self.hosts[1..].iter().map(|h| h.take_queries().len()).sum()
     }
 }
 
@@ -88,38 +90,42 @@
 fn answers_pass_whole_with_any_columns_rows_and_results_and_errors_with_all_their_fields() {
     let fleet = fleet(OPERATOR, 20);
     let mut client = fleet.client();
-    let answer = client.ask("INSERT INTO entries (ref, payload) VALUES ('7f', 'it''s')").expect("an answer");
+    let answer =
+        client.query("INSERT INTO entries (ref, payload) VALUES ('7f', 'it''s')").expect("an answer");
     assert_eq!(answer.tags, ["INSERT 0 1"]);
-    let answer = client.ask("SELECT payload FROM entries WHERE ref = '7f'").expect("an answer");
+    let answer = client.query("SELECT payload FROM entries WHERE ref = '7f'").expect("an answer");
     assert_eq!((answer.value(), answer.tags.as_slice()), (Some("it's"), &["SELECT 1".to_string()][..]));
-    let answer = client.ask("SELECT n FROM generate_series(1, 3)").expect("an answer");
+    let answer = client.query("SELECT n FROM generate_series(1, 3)").expect("an answer");
     assert_eq!(answer.columns, [["n", "nothing", "filler"]]);
     let row = |n: &str| vec![Some(n.to_string()), None, Some("x".to_string())];
     assert_eq!(answer.results, [[row("1"), row("2"), row("3")]]);
-    assert_eq!(client.ask("SELECT payload FROM entries WHERE ref = 'none'").expect("one").results, [[[]; 0]]);
+    assert_eq!(
+        client.query("SELECT payload FROM entries WHERE ref = 'none'").expect("one").results,
+        [[[]; 0]]
+    );
     // Several statements: all results, from the primary.
     let several =
         "SELECT 'a'; INSERT INTO entries (ref, payload) VALUES ('8f', 'b') RETURNING payload; SELECT 2";
-    let answer = client.ask(several).expect("an answer");
+    let answer = client.query(several).expect("an answer");
     assert_eq!(answer.tags, ["SELECT 1", "INSERT 0 1", "SELECT 1"]);
     assert_eq!(answer.results.len(), 3);
-    assert!(fleet.hosts[0].queries().iter().any(|q| q == several));
+    assert!(fleet.hosts[0].take_queries().iter().any(|q| q == several));
     // A host's error is the statement's answer, all of it, and is tried once.
-    fleet.hosts[0].fail(Fault::Error("23505"));
-    let answer = client.ask("INSERT INTO entries (ref) VALUES ('9f')").expect("an answer");
+    fleet.hosts[0].inject_fault(Fault::Error("23505"));
+    let answer = client.query("INSERT INTO entries (ref) VALUES ('9f')").expect("an answer");
     assert_eq!((answer.code(), answer.field('H')), ("23505", "a hint of the stand-in's"));
     assert_eq!(fleet.group.writes_of("9f"), 0);
     // Empty ones are answered as PostgreSQL does, and the session goes on.
     for text in ["", " ; ", "-- nothing", "/* no */ ;"] {
-        assert!(client.ask(text).expect("an answer").empty, "{text:?}");
+        assert!(client.query(text).expect("an answer").empty, "{text:?}");
     }
-    assert_eq!(client.ask("SELECT 1").expect("an answer").value(), Some("ok"));
+    assert_eq!(client.query("SELECT 1").expect("an answer").value(), Some("ok"));
     // A comment that is no request's is a comment.
-    assert_eq!(client.ask("/* app=school,route=x */ SELECT 1").expect("one").value(), Some("ok"));
+    assert_eq!(client.query("/* app=school,route=x */ SELECT 1").expect("one").value(), Some("ok"));
     // A request's is one, right or wrong.
     let asked = "/* id=1,c=history,d=9000,cluster=3 */ SELECT payload FROM entries WHERE ref = '7f'";
-    assert_eq!(client.ask(asked).expect("an answer").value(), Some("it's"));
-    assert_eq!(client.ask("/* id=1,c=history,cluster=3 */ SELECT 1").expect("one").code(), "42601");
+    assert_eq!(client.query(asked).expect("an answer").value(), Some("it's"));
+    assert_eq!(client.query("/* id=1,c=history,cluster=3 */ SELECT 1").expect("one").code(), "42601");
 }
 
 #[test]
@@ -138,19 +144,19 @@
         ("SELECT nextval('s')", "0A000", "nextval() is not known"),
         ("SELECT 'a", "42601", "does not end"),
     ] {
-        let answer = client.ask(text).expect("an answer");
+        let answer = client.query(text).expect("an answer");
         assert_eq!(answer.code(), code, "{text}");
         assert!(answer.field('M').contains(why), "{text}: {}", answer.field('M'));
         if answer.failed {
-            client.ask("ROLLBACK").expect("an answer");
+            client.query("ROLLBACK").expect("an answer");
         }
     }
     client.send_bytes(b"SELECT '\xff'").expect("sent");
     assert_eq!(client.answer().expect("an answer").code(), "22021");
     let long = format!("SELECT '{}'", "x".repeat(200_000));
-    assert_eq!(client.ask(&long).expect("an answer").code(), "54000");
-    assert_eq!(client.ask("SELECT 1").expect("the session goes on").value(), Some("ok"));
-    let sent: Vec<String> = fleet.hosts.iter().flat_map(Host::queries).collect();
+    assert_eq!(client.query(&long).expect("an answer").code(), "54000");
+    assert_eq!(client.query("SELECT 1").expect("the session goes on").value(), Some("ok"));
+    let sent: Vec<String> = fleet.hosts.iter().flat_map(Host::take_queries).collect();
     assert_eq!(sent, ["SELECT 1"]);
 }
 
@@ -158,28 +164,28 @@
 fn what_follows_a_refused_begin_is_refused_too_up_to_its_end_and_nothing_of_it_runs() {
     let fleet = fleet(OPERATOR, 0);
     let mut client = fleet.client();
-    let answer = client.ask("BEGIN").expect("an answer");
+    let answer = client.query("BEGIN").expect("an answer");
     assert_eq!((answer.code(), answer.failed), ("0A000", true));
     let asked = "/* id=1,c=history,d=9000,cluster=3 */ SELECT payload FROM entries WHERE ref = 'x'";
     for inside in
         ["INSERT INTO entries (ref) VALUES ('half')", "SELECT 1", "SAVEPOINT s", "BEGIN", "SELECT 'a", asked]
     {
-        let answer = client.ask(inside).expect("an answer");
+        let answer = client.query(inside).expect("an answer");
         assert_eq!((answer.code(), answer.failed), ("25P02", true), "{inside}");
     }
     let long = format!("INSERT INTO entries (ref) VALUES ('{}')", "x".repeat(200_000));
-    assert_eq!(client.ask(&long).expect("an answer").code(), "25P02");
+    assert_eq!(client.query(&long).expect("an answer").code(), "25P02");
     // As PostgreSQL ends a transaction that has failed.
-    let answer = client.ask("COMMIT").expect("an answer");
+    let answer = client.query("COMMIT").expect("an answer");
     assert_eq!((answer.tags.as_slice(), answer.failed), (&["ROLLBACK".to_string()][..], false));
-    assert_eq!(client.ask("SELECT 1").expect("an answer").value(), Some("ok"));
-    let whole = client.ask("BEGIN; INSERT INTO entries (ref) VALUES ('half'); COMMIT").expect("an answer");
+    assert_eq!(client.query("SELECT 1").expect("an answer").value(), Some("ok"));
+    let whole = client.query("BEGIN; INSERT INTO entries (ref) VALUES ('half'); COMMIT").expect("an answer");
     assert_eq!((whole.code(), whole.failed), ("0A000", false));
     // Another session knows nothing of it.
-    client.ask("BEGIN").expect("an answer");
+    client.query("BEGIN").expect("an answer");
     assert_eq!(fleet.ask("SELECT 1").value(), Some("ok"));
     assert_eq!(fleet.group.writes_of("half"), 0);
-    let sent: Vec<String> = fleet.hosts.iter().flat_map(Host::queries).collect();
+    let sent: Vec<String> = fleet.hosts.iter().flat_map(Host::take_queries).collect();
     assert_eq!(sent, ["SELECT 1", "SELECT 1"]);
 }
 
@@ -187,12 +193,12 @@
 fn without_the_operators_file_a_plain_statement_is_refused_as_ever() {
     let group = Group::new();
     let one = host(&group, "s-1", true, 0);
-    let agent = Agent::start(address(), vec![Entry::of(&one, 3)]).expect("an agent");
-    let proxy = Proxy::start_anywhere(&[PROGRAM], agent.address, &settings(), None).expect("it serves");
+    let agent = Agent::start(loopback_address(), vec![HostEntry::serving(&one, 3)]).expect("an agent");
+    let proxy = Proxy::start_at_own_address(&[PROGRAM], agent.address, &settings(), None).expect("it serves");
     let mut client = Client::connect(proxy.address, "web", "orders").expect("a session");
-    let answer = client.ask("SELECT 1").expect("an answer");
+    let answer = client.query("SELECT 1").expect("an answer");
     assert_eq!((answer.code(), answer.field('M')), ("42601", "no comment leads the statement"));
-    assert_eq!(one.queries(), Vec::<String>::new());
+    assert_eq!(one.take_queries(), Vec::<String>::new());
 }
 
 #[test]
@@ -209,7 +215,7 @@
         let text = text.replace('⏎', "\n");
         // A session of its own has written nothing that its reads must see: what is held a read may go anywhere.
         let mut client = fleet.client();
-        let answer = client.ask(&text).expect("an answer to every statement");
+        let answer = client.query(&text).expect("an answer to every statement");
         if matches!(effect, "session" | "invalid") {
             assert!(answer.empty || !answer.code().is_empty(), "{text}");
         }
@@ -217,8 +223,8 @@
     }
     let (mut reads, mut writes) = (0, 0);
     for (i, host) in fleet.hosts.iter().enumerate() {
-        assert_eq!(host.writes_turned_away(), 0);
-        for text in host.queries() {
+        assert_eq!(host.rejected_writes(), 0);
+        for text in host.take_queries() {
             let effect = effects[&text];
             assert!(effect == "read" || (i == 0 && effect == "write"), "host {i} got the {effect} {text:?}");
             reads += usize::from(i > 0);
@@ -237,34 +243,37 @@
         (Fault::RunThenReset, 1),
         (Fault::Reset, 0),
         (Fault::Error("XX000"), 0),
-        (Fault::Partly(3), 1),
-        (Fault::Bytes(b"noise".to_vec()), 0),
+        (Fault::Truncated(3), 1),
+        (Fault::RawBytes(b"noise".to_vec()), 0),
     ]
     .into_iter()
     .enumerate()
     {
-        fleet.hosts[0].fail(fault.clone());
+        fleet.hosts[0].inject_fault(fault.clone());
         let text = format!("INSERT INTO entries (ref, payload) VALUES ('k{n}', 'x')");
-        let answer = client.ask(&text).expect("an answer");
+        let answer = client.query(&text).expect("an answer");
         assert_eq!(answer.code(), "40003", "{fault:?}: {answer:?}");
         assert_eq!(fleet.group.writes_of(&format!("k{n}")), ran, "{fault:?}");
-        assert_eq!(fleet.hosts[0].queries(), [text], "{fault:?}");
+        assert_eq!(fleet.hosts[0].take_queries(), [text], "{fault:?}");
     }
     // What never ran goes out again: the session was full, and the next try is served.
-    fleet.hosts[0].fail(Fault::Error("53300"));
-    let answer = client.ask("INSERT INTO entries (ref, payload) VALUES ('full', 'x')").expect("an answer");
+    fleet.hosts[0].inject_fault(Fault::Error("53300"));
+    let answer = client.query("INSERT INTO entries (ref, payload) VALUES ('full', 'x')").expect("an answer");
     assert_eq!((answer.code(), fleet.group.writes_of("full")), ("", 1));
     // The budget for repeats grows with what is asked.
-    (0..20).for_each(|_| drop(client.ask("SELECT 1").expect("an answer")));
-    fleet.hosts[0].queries();
+    (0..20).for_each(|_| drop(client.query("SELECT 1").expect("an answer")));
+    fleet.hosts[0].take_queries();
     // A keyed one of the commented kind is repeated, as ever: the group would drop the second.
-    fleet.hosts[0].fail(Fault::Reset);
+    fleet.hosts[0].inject_fault(Fault::Reset);
     let keyed = "/* id=1,c=ingest,d=9000,k=5c,cluster=3 */ INSERT INTO entries (ref, payload) \
                  VALUES ('c', 'x') RETURNING payload";
-    assert_eq!(client.ask(keyed).expect("an answer").code(), "");
+    assert_eq!(client.query(keyed).expect("an answer").code(), "");
     // And one whose comment names no key is not.
-    fleet.hosts[0].fail(Fault::Reset);
-    assert_eq!(client.ask(&keyed.replace("id=1", "id=2").replace("k=5c,", "")).expect("one").code(), "40003");
+    fleet.hosts[0].inject_fault(Fault::Reset);
+    assert_eq!(
+        client.query(&keyed.replace("id=1", "id=2").replace("k=5c,", "")).expect("one").code(),
+        "40003"
+    );
 }
 
 #[test]
@@ -272,19 +281,23 @@
     let fleet = fleet(OPERATOR, 0);
     fleet.warm();
     let mut client = fleet.client();
-    for fault in
-        [Fault::Reset, Fault::Partly(40), Fault::Error("57P01"), Fault::Error("40001"), Fault::Bytes(vec![7])]
-    {
+    for fault in [
+        Fault::Reset,
+        Fault::Truncated(40),
+        Fault::Error("57P01"),
+        Fault::Error("40001"),
+        Fault::RawBytes(vec![7]),
+    ] {
         for host in &fleet.hosts {
-            host.fail(fault.clone());
+            host.inject_fault(fault.clone());
         }
         // The fourth try is the first without a fault.
-        let answer = client.ask("SELECT n FROM generate_series(1, 4)").expect("an answer");
+        let answer = client.query("SELECT n FROM generate_series(1, 4)").expect("an answer");
         assert_eq!((answer.code(), answer.results.len()), ("", 1), "{fault:?}: {answer:?}");
         assert_eq!(answer.results[0].len(), 4, "{fault:?}");
         // What is left of the faults meets others.
-        while fleet.hosts.iter().any(|h| h.queries().is_empty()) {
-            client.ask("SELECT 'next'").expect("an answer");
+        while fleet.hosts.iter().any(|h| h.take_queries().is_empty()) {
+            client.query("SELECT 'next'").expect("an answer");
         }
     }
 }
@@ -293,7 +306,7 @@
 fn a_read_that_a_replica_cannot_run_goes_on_to_the_primary() {
     let fleet = fleet(OPERATOR, 0);
     fleet.warm();
-    fleet.hosts[1..].iter().for_each(|h| (0..3).for_each(|_| h.fail(Fault::Error("25006"))));
+    fleet.hosts[1..].iter().for_each(|h| (0..3).for_each(|_| h.inject_fault(Fault::Error("25006"))));
     let answer = fleet.ask("SELECT a FROM a_view_that_writes");
     assert_eq!(answer.value(), Some("ok"));
 }
@@ -309,14 +322,14 @@
     for round in 0..8 {
         let payload = format!("p{round}");
         let write = format!("INSERT INTO entries (ref, payload) VALUES ('own', '{payload}')");
-        assert_eq!(writer.ask(&write).expect("an answer").code(), "");
+        assert_eq!(writer.query(&write).expect("an answer").code(), "");
         let written = Instant::now();
         let mut seen = BTreeSet::new();
         while written.elapsed() < Duration::from_millis(450) {
-            let answer = writer.ask(read).expect("an answer");
+            let answer = writer.query(read).expect("an answer");
             assert_eq!(answer.value(), Some(payload.as_str()), "after {:?}", written.elapsed());
             own_at_replicas += fleet.replica_queries();
-            let other = reader.ask(read).expect("an answer").value().map(String::from);
+            let other = reader.query(read).expect("an answer").value().map(String::from);
             others_stale += usize::from(other.as_deref() != Some(payload.as_str()));
             seen.insert(other);
             fleet.replica_queries();
@@ -331,23 +344,30 @@
     let group = Group::new();
     let silent = |name: &str, primary, lag_ms| {
         let lag = Duration::from_millis(lag_ms);
-        let options = Options { name: name.into(), primary, lag, tells_commit: false, ..Options::default() };
-        Host::start(address(), &group, options).expect("a host")
+        let options =
+            Options { name: name.into(), primary, lag, reports_commit: false, ..Options::default() };
+        Host::start(loopback_address(), &group, options).expect("a host")
     };
     let hosts = vec![silent("s-1", true, 0), silent("s-2", false, 250), silent("s-3", false, 250)];
-    let agent = Agent::start(address(), hosts.iter().map(|h| Entry::of(h, 3)).collect()).expect("an agent");
+    let agent = Agent::start(loopback_address(), hosts.iter().map(|h| HostEntry::serving(h, 3)).collect())
+        .expect("an agent");
     let proxy =
-        Proxy::start_anywhere(&[PROGRAM], agent.address, &settings(), Some(OPERATOR)).expect("serves");
+        Proxy::start_at_own_address(&[PROGRAM], agent.address, &settings(), Some(OPERATOR)).expect("serves");
     let fleet = Fleet { group: group.clone(), hosts, _agent: agent, proxy };
     fleet.warm();
     let mut client = fleet.client();
     for round in 0..4 {
         let write = format!("UPDATE entries SET payload = 'x' WHERE ref = 'u{round}'");
-        assert_eq!(client.ask(&write).expect("an answer").tags, ["UPDATE 1"]);
+        assert_eq!(client.query(&write).expect("an answer").tags, ["UPDATE 1"]);
         let written = Instant::now();
         while written.elapsed() < Duration::from_millis(300) {
             let read = format!("SELECT payload FROM entries WHERE ref = 'u{round}'");
-            assert_eq!(client.ask(&read).expect("an answer").results[0].len(), 1, "{:?}", written.elapsed());
+            assert_eq!(
+                client.query(&read).expect("an answer").results[0].len(),
+                1,
+                "{:?}",
+                written.elapsed()
+            );
         }
     }
 }
@@ -365,7 +385,7 @@
     for client in &mut slow {
         // What has come so far; then the quick one has its turn.
         client.read_bytes(100_000).expect("the beginning");
-        assert_eq!(quick.ask("SELECT 1").expect("an answer").value(), Some("ok"));
+        assert_eq!(quick.query("SELECT 1").expect("an answer").value(), Some("ok"));
     }
     for client in &mut slow {
         let mut bytes = 100_000;
@@ -381,12 +401,12 @@
     assert!(most < before + 16_000, "{before} KB before, {most} KB at most");
     // One that reads all gets all, and the session goes on.
     let mut whole = fleet.client();
-    let answer = whole.ask(text).expect("an answer");
+    let answer = whole.query(text).expect("an answer");
     assert_eq!(
         (answer.results[0].len(), answer.tags.as_slice()),
         (80_000, &["SELECT 80000".to_string()][..])
     );
-    assert_eq!(whole.ask("SELECT 1").expect("an answer").value(), Some("ok"));
+    assert_eq!(whole.query("SELECT 1").expect("an answer").value(), Some("ok"));
     let (_, most) = fleet.proxy.memory_kb().expect("its status");
     assert!(most < before + 16_000, "{before} KB before, {most} KB at most");
 }
@@ -395,9 +415,9 @@
 fn a_long_answer_that_its_host_breaks_off_ends_the_clients_connection_and_is_not_made_up() {
     let fleet = fleet(OPERATOR, 0);
     fleet.warm();
-    fleet.hosts.iter().for_each(|h| h.fail(Fault::Partly(300_000)));
+    fleet.hosts.iter().for_each(|h| h.inject_fault(Fault::Truncated(300_000)));
     let mut client = fleet.client();
-    let broken = client.ask("SELECT n, repeat('x', 1000) FROM generate_series(1, 1000)");
+    let broken = client.query("SELECT n, repeat('x', 1000) FROM generate_series(1, 1000)");
     assert!(broken.is_err(), "{broken:?}");
 }
 
@@ -405,11 +425,12 @@
 fn a_connection_whose_session_has_changed_serves_nobody_else() {
     let group = Group::new();
     let one = host(&group, "s-1", true, 0);
-    let agent = Agent::start(address(), vec![Entry::of(&one, 3)]).expect("an agent");
+    let agent = Agent::start(loopback_address(), vec![HostEntry::serving(&one, 3)]).expect("an agent");
     // Without probes there is one connection only.
     let mut alone = settings();
     alone["ceilings"]["mayProbe"] = false.into();
-    let proxy = Proxy::start_anywhere(&[PROGRAM], agent.address, &alone, Some(OPERATOR)).expect("serves");
+    let proxy =
+        Proxy::start_at_own_address(&[PROGRAM], agent.address, &alone, Some(OPERATOR)).expect("serves");
     let mut client = Client::connect(proxy.address, "web", "orders").expect("a session");
     let message =
         |kind: u8, body: &[u8]| [&[kind], &(body.len() as u32 + 4).to_be_bytes()[..], body].concat();
@@ -418,9 +439,9 @@
     let usual = message(b'S', b"server_role\0writer\0");
     let opened = |one: &Host| {
         let mut count = 0;
-        while let Some(seen) = one.next(PATIENCE) {
-            count += usize::from(matches!(seen, Seen::Opened(..)));
-            if matches!(&seen, Seen::Query(q) if q == "SELECT 'last'") {
+        while let Some(seen) = one.next_event(PATIENCE) {
+            count += usize::from(matches!(seen, HostEvent::Opened(..)));
+            if matches!(&seen, HostEvent::Query(q) if q == "SELECT 'last'") {
                 return count;
             }
         }
@@ -432,11 +453,11 @@
         ([done.clone(), moved, message(b'Z', b"I")].concat(), 1),
         ([done, usual, message(b'Z', b"I"), b"more".to_vec()].concat(), 1),
     ] {
-        client.ask("SELECT 'last'").expect("an answer");
+        client.query("SELECT 'last'").expect("an answer");
         opened(&one);
-        one.fail(Fault::Bytes(bytes));
-        assert_eq!(client.ask("SELECT 'odd'").expect("an answer").tags, ["SELECT 0"]);
-        assert_eq!(client.ask("SELECT 'last'").expect("an answer").value(), Some("ok"));
+        one.inject_fault(Fault::RawBytes(bytes));
+        assert_eq!(client.query("SELECT 'odd'").expect("an answer").tags, ["SELECT 0"]);
+        assert_eq!(client.query("SELECT 'last'").expect("an answer").value(), Some("ok"));
         assert_eq!(opened(&one), again);
     }
 }
@@ -452,34 +473,34 @@
          group: {by_table: {logs: 4, 'app.*': 3}}}]}}"#;
     let groups = [Group::new(), Group::new()];
     let hosts = [host(&groups[0], "s-1", true, 0), host(&groups[1], "s-2", true, 0)];
-    let list = vec![Entry::of(&hosts[0], 3), Entry::of(&hosts[1], 4)];
-    let agent = Agent::start(address(), list).expect("an agent");
+    let list = vec![HostEntry::serving(&hosts[0], 3), HostEntry::serving(&hosts[1], 4)];
+    let agent = Agent::start(loopback_address(), list).expect("an agent");
     let proxy =
-        Proxy::start_anywhere(&[PROGRAM], agent.address, &settings(), Some(operator)).expect("serves");
+        Proxy::start_at_own_address(&[PROGRAM], agent.address, &settings(), Some(operator)).expect("serves");
     let mut client = Client::connect(proxy.address, "web", "orders").expect("a session");
     for i in 0..40 {
         let write = format!("INSERT INTO entries (ref, payload) VALUES ('r{i}', 'p{i}')");
-        assert_eq!(client.ask(&write).expect("an answer").code(), "");
+        assert_eq!(client.query(&write).expect("an answer").code(), "");
         let read = format!("SELECT payload FROM entries WHERE ref = 'r{i}' AND true");
-        assert_eq!(client.ask(&read).expect("an answer").value(), Some(format!("p{i}").as_str()));
+        assert_eq!(client.query(&read).expect("an answer").value(), Some(format!("p{i}").as_str()));
     }
     // No client's name is that of the session at the host.
     for host in &hosts {
-        assert_eq!(host.next(PATIENCE), Some(Seen::Opened("proxy".into(), "archive".into())));
+        assert_eq!(host.next_event(PATIENCE), Some(HostEvent::Opened("proxy".into(), "archive".into())));
     }
     let held: Vec<usize> =
         groups.iter().map(|g| (0..40).map(|i| g.writes_of(&format!("r{i}"))).sum()).collect();
     assert!(held.iter().sum::<usize>() == 40 && held.iter().all(|&n| n > 5), "{held:?}");
     for text in ["SELECT 1 FROM entries", "DELETE FROM entries WHERE ref IN ('a', 'b')"] {
-        assert_eq!(client.ask(text).expect("an answer").code(), "0A000", "{text}");
+        assert_eq!(client.query(text).expect("an answer").code(), "0A000", "{text}");
     }
-    hosts.iter().for_each(|h| drop(h.queries()));
-    assert_eq!(client.ask("SELECT 1 FROM logs").expect("an answer").value(), Some("ok"));
-    assert_eq!(client.ask("SELECT 1 FROM app.x").expect("an answer").value(), Some("ok"));
-    assert_eq!([hosts[0].queries().len(), hosts[1].queries().len()], [1, 1]);
+    hosts.iter().for_each(|h| drop(h.take_queries()));
+    assert_eq!(client.query("SELECT 1 FROM logs").expect("an answer").value(), Some("ok"));
+    assert_eq!(client.query("SELECT 1 FROM app.x").expect("an answer").value(), Some("ok"));
+    assert_eq!([hosts[0].take_queries().len(), hosts[1].take_queries().len()], [1, 1]);
     // Another user gets another rule.
     let mut other = Client::connect(proxy.address, "school", "orders").expect("a session");
-    let refused = other.ask("SELECT payload FROM entries WHERE ref = 'r1'").expect("an answer");
+    let refused = other.query("SELECT payload FROM entries WHERE ref = 'r1'").expect("an answer");
     assert!(refused.field('M').contains("table entries has no group"), "{}", refused.field('M'));
 }
 
@@ -492,8 +513,8 @@
     );
     let group = Group::new();
     let one = host(&group, "s-1", true, 0);
-    let agent = Agent::start(address(), vec![Entry::of(&one, 3)]).expect("an agent");
-    let failed = Proxy::start_anywhere(&[PROGRAM], agent.address, &settings(), Some(&broken));
+    let agent = Agent::start(loopback_address(), vec![HostEntry::serving(&one, 3)]).expect("an agent");
+    let failed = Proxy::start_at_own_address(&[PROGRAM], agent.address, &settings(), Some(&broken));
     assert!(failed.is_err());
     // On reload: the old one stays whole, then a good one is taken.
     let fleet = fleet(OPERATOR, 0);
@@ -510,7 +531,7 @@
         fleet.proxy.signal("HUP").expect("signalled");
         let line = fleet.proxy.logged("the operator's file stays as it was").expect("logged");
         assert!(line.contains(why), "{line}");
-        assert_eq!(client.ask("SELECT 1").expect("an answer").value(), Some("ok"));
+        assert_eq!(client.query("SELECT 1").expect("an answer").value(), Some("ok"));
     }
     std::fs::write(
         &file,
@@ -520,20 +541,20 @@
     .expect("written");
     fleet.proxy.signal("HUP").expect("signalled");
     fleet.proxy.logged("the operator's file is taken: plain statements are on, 3 rules").expect("logged");
-    assert_eq!(client.ask("SELECT 1").expect("an answer").code(), "0A000");
-    assert_eq!(client.ask("SELECT 1 FROM anywhere").expect("an answer").value(), Some("ok"));
+    assert_eq!(client.query("SELECT 1").expect("an answer").code(), "0A000");
+    assert_eq!(client.query("SELECT 1 FROM anywhere").expect("an answer").value(), Some("ok"));
     std::fs::write(&file, "{}").expect("written");
     fleet.proxy.signal("HUP").expect("signalled");
     fleet.proxy.logged("plain statements are off").expect("logged");
-    assert_eq!(client.ask("SELECT 1").expect("an answer").code(), "42601");
+    assert_eq!(client.query("SELECT 1").expect("an answer").code(), "42601");
 }
 
 #[test]
 fn the_log_is_json_where_that_is_wanted() {
     let one = host(&Group::new(), "s-1", true, 0);
-    let agent = Agent::start(address(), vec![Entry::of(&one, 3)]).expect("an agent");
+    let agent = Agent::start(loopback_address(), vec![HostEntry::serving(&one, 3)]).expect("an agent");
     let words = [PROGRAM, "serve", "--log", "json"];
-    let proxy = Proxy::start_anywhere(&words, agent.address, &settings(), None).expect("it serves");
+    let proxy = Proxy::start_at_own_address(&words, agent.address, &settings(), None).expect("it serves");
     proxy.signal("HUP").expect("signalled");
     let line = proxy.logged("reloaded").expect("logged");
     let line: serde_json::Value = serde_json::from_str(&line).expect("an object a line");
@@ -561,8 +582,8 @@
     let aside = |n: u32| directory.join(format!("load.{n}"));
     while !aside(2).exists() || std::fs::read(aside(2)).is_ok_and(|b| b.starts_with(b"another")) {
         assert!(since.elapsed() < PATIENCE, "no file is put aside");
-        client.ask("SELECT payload FROM entries WHERE ref = 'x'").expect("an answer");
-        client.ask("INSERT INTO entries (ref) VALUES ('x')").expect("an answer");
+        client.query("SELECT payload FROM entries WHERE ref = 'x'").expect("an answer");
+        client.query("INSERT INTO entries (ref) VALUES ('x')").expect("an answer");
     }
     let captures = [read(&aside(2)), read(&aside(1))];
     assert!(std::fs::metadata(aside(1)).expect("a file").len() <= 16 * 1024);
@@ -579,7 +600,7 @@
     // A directory that is gone costs records and nothing else.
     std::fs::remove_dir_all(&directory).expect("removed");
     fleet.proxy.logged("records are lost until it can be written again").expect("logged");
-    assert_eq!(client.ask("SELECT 1").expect("an answer").value(), Some("ok"));
+    assert_eq!(client.query("SELECT 1").expect("an answer").value(), Some("ok"));
 }
 
 #[test]
@@ -598,7 +619,7 @@
     let since = Instant::now();
     loop {
         for text in ["SELECT 1", "INSERT INTO entries (ref) VALUES ('x')"] {
-            assert_eq!(client.ask(text).expect("an answer").code(), "");
+            assert_eq!(client.query(text).expect("an answer").code(), "");
         }
         let left = figures()["headroom"]["3"].clone();
         if left["headroom"].as_f64().is_some_and(|h| h > 0.0) {
