--- a/tests/by_hand.rs
+++ b/tests/by_hand.rs
@@ -28,7 +28,7 @@
 /// Leaves the host out (`direction` is "down") or uses it again ("up") by a call to this process.
 fn set_override(proxy: &Proxy, host: &Host, direction: &str) {
     let who = format!(r#"{{"who":"{}"}}"#, name_of(host));
-    assert_eq!(proxy.call("POST", &format!("/ops/database-hosts/{direction}"), &who).0, 200);
+    assert_eq!(proxy.console_request("POST", &format!("/ops/database-hosts/{direction}"), &who).0, 200);
 }
 
 /// Replaces the folder of overrides by a file, so that nothing in it can be read or written until `restore`.
@@ -66,7 +66,7 @@
 
     /// Uses a connection that the proxy has opened.
     fn with_stream(stream: UnixStream) -> OtherProcess {
-        stream.set_read_timeout(Some(PATIENCE)).expect("set");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
         let lines = BufReader::new(stream.try_clone().expect("a copy"));
         OtherProcess { stream, lines }
     }
@@ -95,7 +95,7 @@
         let started = Instant::now();
         loop {
             let line = self.receive().expect("the proxy keeps the connection");
-            assert!(started.elapsed() < PATIENCE, "no override is sent");
+            assert!(started.elapsed() < TEST_TIMEOUT, "no override is sent");
             if let Some(first) = line["orders"].as_array().and_then(|overrides| overrides.first()) {
                 return first.clone();
             }
@@ -114,9 +114,9 @@
 
 /// The same as the `nth` process beside this one.
 fn start_nth_beside(proxy: &Proxy, hosts: &[&Host], nth: u16) -> Proxy {
-    let next = proxy.nth_beside(nth);
+    let next = proxy.start_nth_beside(nth);
     let hosts: Vec<(&Host, &str)> = hosts.iter().map(|&h| (h, "SERVING")).collect();
-    next.agent.line(&list(42, true, &hosts));
+    next.agent.send_line(&list(42, true, &hosts));
     next.logged("serves on");
     next
 }
@@ -132,11 +132,11 @@
     std::fs::rename(&file, &aside).expect("the order is in its file");
     std::fs::create_dir(&file).expect("the path is free");
     let next = start_beside(&first, &[&primary, &replica]);
-    assert_eq!(next.figures()["hosts_down"], 0);
+    assert_eq!(next.stats()["hosts_down"], 0);
     std::fs::remove_dir(&file).expect("it is empty");
     std::fs::rename(&aside, &file).expect("the path is free again");
     next.logged("was left out by a manual override");
-    assert_eq!(next.figures()["hosts_down"], 1);
+    assert_eq!(next.stats()["hosts_down"], 1);
 }
 
 /// An earlier version, whose clock was an hour behind when it started, writes a file without a comparable stamp.
@@ -146,13 +146,13 @@
     let old = Proxy::with_console(&[&primary, &replica], 1024);
     set_override(&old, &replica, "down");
     let new = start_beside(&old, &[&primary, &replica]);
-    assert_eq!(new.figures()["hosts_down"], 1);
+    assert_eq!(new.stats()["hosts_down"], 1);
     let (file, next) = (override_file(&old, &replica), old.directory.join("next"));
     let an_hour_ago = (unix_ms() - 3_600_000) * 1_000;
     std::fs::write(&next, format!("up {an_hour_ago}")).expect("written");
     std::fs::rename(&next, &file).expect("put in place");
     new.logged("was used again by a manual override");
-    assert_eq!(new.figures()["hosts_down"], 0);
+    assert_eq!(new.stats()["hosts_down"], 0);
 }
 
 /// The second of three processes is killed. The first and the third connect to each other and exchange overrides.
@@ -182,11 +182,11 @@
     let old = Proxy::with_console(&hosts, 1024);
     let new = start_beside(&old, &hosts);
     old.logged("a new process has started");
-    new.agent.asked();
-    old.freeze();
+    new.agent.next_request();
+    old.pause();
     // Waits for 2.6 s: the other process's watch is open, so it makes no new call.
-    assert_eq!(new.agent.asked_within(Duration::from_millis(2_600)), None);
-    old.thaw();
+    assert_eq!(new.agent.next_request_within(Duration::from_millis(2_600)), None);
+    old.resume();
     set_override(&new, &replica, "down");
     old.logged("was left out by a manual override");
 }
@@ -201,17 +201,17 @@
     let old = Proxy::with_console(&hosts, 1024);
     set_override(&old, &replica, "down");
     let folder = BrokenFolder::replace(&old);
-    old.freeze();
-    let new = old.beside();
-    new.agent.line(&list(42, true, &[(&primary, "SERVING"), (&replica, "SERVING")]));
+    old.pause();
+    let new = old.start_beside();
+    new.agent.send_line(&list(42, true, &[(&primary, "SERVING"), (&replica, "SERVING")]));
     // It has its list, but it is not ready while the other process sends nothing.
     new.logged("another process runs");
-    while new.figures()["hosts_listed"] != 2 {}
-    assert_eq!(new.call("GET", "/ops/readiness", "").0, 503);
-    old.thaw();
+    while new.stats()["hosts_listed"] != 2 {}
+    assert_eq!(new.console_request("GET", "/ops/readiness", "").0, 503);
+    old.resume();
     new.logged("was left out by a manual override");
     new.logged("serves on");
-    assert_eq!(new.figures()["hosts_down"], 1);
+    assert_eq!(new.stats()["hosts_down"], 1);
     folder.restore();
 }
 
@@ -221,12 +221,12 @@
 fn a_hung_process_delays_the_start_of_a_new_version_by_a_bounded_time() {
     let (primary, replica) = (host_with_value("primary"), host_with_value("replica"));
     let old = Proxy::with_console(&[&primary, &replica], 1024);
-    old.freeze();
+    old.pause();
     let started = Instant::now();
     let new = start_beside(&old, &[&primary, &replica]);
     assert!(started.elapsed() > Duration::from_millis(1_500), "it did not wait");
     assert!(started.elapsed() < Duration::from_secs(6), "it must be ready within 10 s, with a margin");
-    old.thaw();
+    old.resume();
     set_override(&old, &replica, "down");
     new.logged("was left out by a manual override");
 }
@@ -241,7 +241,7 @@
     let second = start_beside(&first, &hosts);
     let third = start_nth_beside(&first, &hosts, 2);
     for later in [&second, &third] {
-        assert_eq!(later.figures()["hosts_down"], 1);
+        assert_eq!(later.stats()["hosts_down"], 1);
     }
     folder.restore();
 }
@@ -265,8 +265,8 @@
     second.signal("KILL");
     let third = start_nth_beside(&first, &hosts, 2);
     // No other process runs, so this one serves before it has its list.
-    while third.figures()["hosts_listed"] != 2 {}
-    assert_eq!(third.figures()["hosts_down"], 1);
+    while third.stats()["hosts_listed"] != 2 {}
+    assert_eq!(third.stats()["hosts_down"], 1);
 }
 
 /// An override that cannot be written to its file fails, and has no effect in any process. The answer to one that succeeds
@@ -280,14 +280,14 @@
     old.logged("a new process has started");
     let folder = BrokenFolder::replace(&old);
     let who = format!(r#"{{"who":"{}"}}"#, name_of(&replica));
-    let (status, text) = old.call("POST", "/ops/database-hosts/down", &who);
+    let (status, text) = old.console_request("POST", "/ops/database-hosts/down", &who);
     assert!(
         status == 500 && text.contains("the order holds nowhere, nothing has changed"),
         "{status} {text}"
     );
-    assert_eq!((&old.figures()["hosts_down"], &new.figures()["hosts_down"]), (&0.into(), &0.into()));
+    assert_eq!((&old.stats()["hosts_down"], &new.stats()["hosts_down"]), (&0.into(), &0.into()));
     folder.restore();
-    let (status, text) = old.call("POST", "/ops/database-hosts/down", &who);
+    let (status, text) = old.console_request("POST", "/ops/database-hosts/down", &who);
     let answer: serde_json::Value = serde_json::from_str(&text).expect("JSON");
     assert_eq!((status, &answer["processes"], &answer["outlasts_processes"]), (200, &2.into(), &true.into()));
     new.logged("was left out by a manual override");
@@ -317,7 +317,7 @@
     proxy.logged("was left out by a manual override");
     other.send_overrides(&format!(r#"{{"host":"{host}","out":false,"stamp":{}}}"#, ahead + 3));
     proxy.logged("was used again by a manual override");
-    assert_eq!(proxy.figures()["hosts_down"], 0);
+    assert_eq!(proxy.stats()["hosts_down"], 0);
 }
 
 /// A process of an earlier version sends no overrides. A new version waits only for its first message, and reads what it
@@ -331,8 +331,8 @@
     let socket = gone.directory.join("sillfold.sock");
     std::fs::remove_file(&socket).expect("the socket is left");
     let listener = UnixListener::bind(&socket).expect("the path is free");
-    let proxy = gone.beside();
-    proxy.agent.line(&list(42, true, &[(&primary, "SERVING"), (&replica, "SERVING")]));
+    let proxy = gone.start_beside();
+    proxy.agent.send_line(&list(42, true, &[(&primary, "SERVING"), (&replica, "SERVING")]));
     let (stream, _) = listener.accept().expect("the proxy connects");
     let mut other = OtherProcess::with_stream(stream);
     other.send_line(r#"{"process":1,"ready":true,"clients":3,"bytes":0,"hosts":2}"#);
@@ -366,7 +366,7 @@
     let started = Instant::now();
     loop {
         let line = other.receive().expect("the proxy keeps the connection");
-        assert!(started.elapsed() < PATIENCE, "not all overrides were sent");
+        assert!(started.elapsed() < TEST_TIMEOUT, "not all overrides were sent");
         assert!(line.to_string().len() < 48 * 1024, "{} bytes", line.to_string().len());
         received += line["orders"].as_array().expect("overrides").len();
         if line["complete"] == true {
@@ -404,14 +404,14 @@
     other.send_overrides(&format!(r#"{{"host":"{host}","out":false,"stamp":5}}"#));
     other.send_overrides(r#"{"host":"nobody","out":true,"stamp":5,"by":"me"}"#);
     proxy.logged("nobody was left out by a manual override");
-    assert_eq!(proxy.figures()["hosts_down"], 1);
+    assert_eq!(proxy.stats()["hosts_down"], 1);
     for bad in ["nonsense".to_string(), "x".repeat(70_000)] {
         other.send_line(&bad);
         while other.receive().is_some() {}
         proxy.logged("the other process has ended");
         other = OtherProcess::connect(&proxy);
     }
-    assert_eq!(proxy.figures()["hosts_down"], 1);
+    assert_eq!(proxy.stats()["hosts_down"], 1);
 }
 
 /// Guards against a process that connects to itself in a loop. It had become the latest, but still counted as superseded, since
@@ -462,7 +462,7 @@
     assert!(override_file(&proxy, &replica).is_file());
     std::fs::create_dir(override_file(&proxy, &primary)).expect("the path is free");
     let who = format!(r#"{{"who":"{}"}}"#, name_of(&primary));
-    assert_eq!(proxy.call("POST", "/ops/database-hosts/down", &who).0, 500);
+    assert_eq!(proxy.console_request("POST", "/ops/database-hosts/down", &who).0, 500);
     let names = std::fs::read_dir(proxy.directory.join("hosts")).expect("it exists");
     let names: Vec<_> = names.map(|entry| entry.expect("an entry").file_name()).collect();
     assert!(names.iter().all(|name| !name.to_string_lossy().starts_with('.')), "{names:?}");
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -21,7 +21,7 @@
     let (reply_sender, replies) = channel::<Reply>();
     let replies = Mutex::new(replies);
     let script = move |_: usize, _: &str| {
-        replies.lock().expect("lock").recv_timeout(PATIENCE).unwrap_or(Reply::Silence)
+        replies.lock().expect("lock").recv_timeout(TEST_TIMEOUT).unwrap_or(Reply::NoAnswer)
     };
     (Host::start(script), reply_sender)
 }
@@ -40,8 +40,8 @@
 /// and a third client sends only a part of its request.
 #[test]
 fn a_stop_answers_open_and_pipelined_requests_with_errors() {
-    let host = Host::start(|_, _| Reply::Silence);
-    let mute = Host::mute();
+    let host = Host::start(|_, _| Reply::NoAnswer);
+    let mute = Host::without_sessions();
     let mut proxy = Proxy::start_with(&[&host], 1024, with_linger_ms(100));
     let mut proxy_without_connection = Proxy::start_with(&[&mute], 1024, |c| {
         with_linger_ms(100)(c).replace("\"dialTimeoutUs\":1500000", "\"dialTimeoutUs\":19000000")
@@ -51,9 +51,9 @@
     let mut partial = proxy.client();
     let pipelined: Vec<u8> = ["2", "3"].iter().flat_map(|id| query(&read(id, "history", 20_000))).collect();
     sent.send(&[query(&write("1", 20_000)), pipelined].concat());
-    host.query();
+    host.next_query();
     unsent.send(&query(&write("4", 20_000)));
-    assert_eq!(mute.next(), Seen::Opened);
+    assert_eq!(mute.next_event(), HostEvent::Opened);
     proxy.signal("TERM");
     proxy_without_connection.signal("TERM");
     proxy.logged("stops");
@@ -71,7 +71,7 @@
     assert_eq!((answer.code.as_str(), answer.end), ("53300", End::Ready));
     assert_eq!(partial.answer().code, "08P01");
     assert!(proxy.wait().success() && proxy_without_connection.wait().success());
-    assert_eq!(host.next(), Seen::Closed);
+    assert_eq!(host.next_event(), HostEvent::Closed);
 }
 
 /// The client sends a request on an idle connection that the proxy is closing. It sees the end of the connection, and no
@@ -81,16 +81,16 @@
     let host = host_serving("v");
     let mut proxy = Proxy::start_with(&[&host], 1024, with_linger_ms(1));
     let mut client = proxy.client();
-    assert_eq!(client.ask(&read("1", "history", 9000)).value.as_deref(), Some("v"));
+    assert_eq!(client.query(&read("1", "history", 9000)).value.as_deref(), Some("v"));
     proxy.signal("TERM");
     assert_eq!(client.answer().end, End::Closed);
     client.send(&query(&read("2", "history", 9000)));
     assert!(proxy.wait().success());
     let after = client.stream.read(&mut [0]);
     assert!(matches!(after, Ok(0)), "{after:?}");
-    assert_eq!(host.next(), Seen::Opened);
-    assert!(matches!(host.next(), Seen::Query(text) if text.contains("id=1,")));
-    assert_eq!(host.next(), Seen::Closed);
+    assert_eq!(host.next_event(), HostEvent::Opened);
+    assert!(matches!(host.next_event(), HostEvent::Query(text) if text.contains("id=1,")));
+    assert_eq!(host.next_event(), HostEvent::Closed);
 }
 
 /// The signals and the requests are there at once when the frozen program goes on. Requests that were written before the
@@ -100,13 +100,13 @@
     let host = host_serving("v");
     let mut proxy = Proxy::start_with(&[&host], 1024, with_linger_ms(1));
     let (mut old, mut new) = (proxy.client(), Client::connect(proxy.address));
-    proxy.freeze();
+    proxy.pause();
     proxy.signal("TERM");
     proxy.signal("HUP");
     proxy.signal("TERM");
     old.send(&query(&read("1", "history", 9000)));
     new.send(&[startup(), query(&read("2", "history", 9000))].concat());
-    proxy.thaw();
+    proxy.resume();
     assert_eq!(old.answer().value.as_deref(), Some("v"));
     assert_eq!(new.answer().end, End::Ready);
     assert_eq!(new.answer().value.as_deref(), Some("v"));
@@ -122,15 +122,15 @@
     let mut client = proxy.client();
     let all: Vec<u8> = texts.iter().flat_map(|text| query(text)).collect();
     client.send(&all);
-    assert!(host.query().contains("id=1,"));
-    proxy.freeze();
+    assert!(host.next_query().contains("id=1,"));
+    proxy.pause();
     drop(client);
     reply_sender.send(reply).expect("the host waits");
-    host.replied();
-    proxy.thaw();
+    host.wait_for_reply();
+    proxy.resume();
     reply_sender.send(Reply::Row("v")).expect("the host waits");
-    assert_eq!(proxy.client().ask(&read("9", "history", 9000)).value.as_deref(), Some("v"));
-    assert!(host.query().contains("id=9,"));
+    assert_eq!(proxy.client().query(&read("9", "history", 9000)).value.as_deref(), Some("v"));
+    assert!(host.next_query().contains("id=9,"));
 }
 
 /// The answer is an error, after which the proxy would start another attempt.
@@ -154,29 +154,32 @@
     let proxy = Proxy::start(&[&host], 1024);
     let mut client = proxy.client();
     client.send(&query(&read("1", "history", 20_000)));
-    assert_eq!(host.next(), Seen::Opened);
-    proxy.freeze();
+    assert_eq!(host.next_event(), HostEvent::Opened);
+    proxy.pause();
     drop(client);
     host.release_sessions();
-    host.session_up();
-    proxy.thaw();
-    assert_eq!(proxy.client().ask(&read("9", "history", 9_000)).value.as_deref(), Some("v"));
-    assert!(host.query().contains("id=9,"));
+    host.wait_for_session();
+    proxy.resume();
+    assert_eq!(proxy.client().query(&read("9", "history", 9_000)).value.as_deref(), Some("v"));
+    assert!(host.next_query().contains("id=9,"));
 }
 
 /// The client has sent more than the read-ahead limit, so its end of the connection is behind bytes that are discarded.
 #[test]
 fn a_disconnect_behind_more_than_the_read_ahead_limit_withdraws_the_attempt() {
-    let host = Host::start(|_, _| Reply::Silence);
+    let host = Host::start(|_, _| Reply::NoAnswer);
     let proxy = Proxy::start(&[&host], 1024);
     let mut client = proxy.client();
     client.send(&query(&read("1", "history", 20_000)));
-    host.query();
+    host.next_query();
     client.send(&query("SELECT 1").repeat((3 << 20) / 14));
     let disconnected = Instant::now();
     drop(client);
-    assert_eq!(host.next(), Seen::Closed);
-    assert!(disconnected.elapsed() < PATIENCE / 2, "the attempt ended at its deadline, not with its client");
+    assert_eq!(host.next_event(), HostEvent::Closed);
+    assert!(
+        disconnected.elapsed() < TEST_TIMEOUT / 2,
+        "the attempt ended at its deadline, not with its client"
+    );
     assert!(proxy.memory_kb() < 40_000, "{} KB", proxy.memory_kb());
 }
 
@@ -187,7 +190,7 @@
     let proxy = Proxy::start(&[&host], 1024);
     let mut client = proxy.client();
     client.send(&query(&read("1", "history", 20_000)));
-    assert!(host.query().contains("id=1,"));
+    assert!(host.next_query().contains("id=1,"));
     // More than the socket buffers hold: the proxy has read most of it when this returns.
     client.send(&query("SELECT 1").repeat((16 << 20) / 14));
     reply_sender.send(Reply::Row("v")).expect("the host waits");
@@ -214,7 +217,7 @@
         client.stream.shutdown(Shutdown::Write).expect("open");
         assert_eq!(Client { stream: client.stream }.answer().end, End::Closed);
     }
-    assert_eq!(proxy.client().ask(&read("1", "history", 9000)).code, "57P03");
+    assert_eq!(proxy.client().query(&read("1", "history", 9000)).code, "57P03");
 }
 
 /// SIGTERM comes while the proxy can't serve yet, and then once more.
@@ -224,7 +227,7 @@
     let mut client = proxy.client();
     client.send(&query(""));
     // A later request of another client is answered, so the empty query waits by now.
-    assert_eq!(proxy.client().ask(&read("1", "history", 9000)).code, "57P03");
+    assert_eq!(proxy.client().query(&read("1", "history", 9000)).code, "57P03");
     proxy.signal("TERM");
     proxy.logged("stops");
     proxy.signal("TERM");
@@ -242,17 +245,17 @@
     let proxy = Proxy::start_with(&[&host], 1024, one_attempt);
     let mut client = proxy.client();
     reply_sender.send(Reply::Row("v")).expect("the host waits");
-    assert_eq!(client.ask(&read("1", "history", 9000)).value.as_deref(), Some("v"));
-    host.query();
-    proxy.freeze();
+    assert_eq!(client.query(&read("1", "history", 9000)).value.as_deref(), Some("v"));
+    host.next_query();
+    proxy.pause();
     client.send(&query(&read("2", "history", 9000)));
     host.end_connections(b"E\0\0\0");
-    assert_eq!(host.next(), Seen::Closed);
-    proxy.thaw();
+    assert_eq!(host.next_event(), HostEvent::Closed);
+    proxy.resume();
     reply_sender.send(Reply::Row("w")).expect("the host waits");
     let answer = client.answer();
     assert_eq!(answer.value.as_deref(), Some("w"), "{answer:?}");
-    assert_eq!(host.next(), Seen::Opened);
+    assert_eq!(host.next_event(), HostEvent::Opened);
 }
 
 /// Each client writes 200 KB, reads nothing and disconnects. Other clients are served.
@@ -267,25 +270,25 @@
         let sent = client.stream.write_all(&many_queries);
         assert!(sent.is_ok() || sent.is_err_and(|e| e.kind() != ErrorKind::WouldBlock));
     }
-    assert_eq!(proxy.client().ask(&read("1", "history", 9000)).value.as_deref(), Some("v"));
+    assert_eq!(proxy.client().query(&read("1", "history", 9000)).value.as_deref(), Some("v"));
     assert!(proxy.memory_kb() < 40_000, "{} KB", proxy.memory_kb());
 }
 
 /// The first attempt may have run. The connection for the next one comes up when hosts may have forgotten the key.
 #[test]
 fn a_keyed_write_is_not_retried_after_its_deduplication_window() {
-    let host = Host::late(std::time::Duration::from_millis(900));
+    let host = Host::with_slow_sessions(std::time::Duration::from_millis(900));
     let window = |config: String| config.replace("\"dedupWindowUs\":9000000", "\"dedupWindowUs\":700000");
     let proxy = Proxy::start_with(&[&host], 1024, window);
-    let answer = proxy.client().ask(&write("1", 9_000));
+    let answer = proxy.client().query(&write("1", 9_000));
     assert_eq!((answer.code.as_str(), answer.end), ("40003", End::Ready), "{}", answer.message);
-    assert!(host.query().contains("id=1,"));
-    assert_eq!(host.next(), Seen::Closed);
-    assert_eq!(host.next(), Seen::Opened);
+    assert!(host.next_query().contains("id=1,"));
+    assert_eq!(host.next_event(), HostEvent::Closed);
+    assert_eq!(host.next_event(), HostEvent::Opened);
     // The late connection serves the next client or is closed; no query was written to it before.
-    let next_answer = proxy.client().ask(&write("2", 9_000));
+    let next_answer = proxy.client().query(&write("2", 9_000));
     assert_eq!(next_answer.value.as_deref(), Some("v"));
-    assert!(host.query().contains("id=2,"));
+    assert!(host.next_query().contains("id=2,"));
 }
 
 /// The configuration is a pipe, which holds the program in the middle of its start until the test writes to it.
@@ -362,7 +365,7 @@
         let partial_answer = [beginning, message(b'S', b"server_role\0reader\0")].concat();
         let host = Host::start(move |_, _| Reply::Bytes(partial_answer.clone()));
         let proxy = Proxy::start(&[&host], 1024);
-        let answer = proxy.client().ask(&read("1", "browse", 700));
+        let answer = proxy.client().query(&read("1", "browse", 700));
         assert_eq!((answer.code.as_str(), answer.value.as_deref()), (code, value));
         proxy.logged("is no longer primary");
     }
@@ -375,13 +378,13 @@
     let proxy = Proxy::start(&[&host], 1024);
     let mut client = proxy.client();
     client.send(&query(&read("1", "history", 20_000)));
-    assert!(host.query().contains("id=1,"));
-    proxy.freeze();
+    assert!(host.next_query().contains("id=1,"));
+    proxy.pause();
     drop(client);
     let text = [row_alone(), message(b'S', b"server_role\0reader\0"), message(b'Z', b"I")].concat();
     reply_sender.send(Reply::Bytes(text)).expect("the host waits");
-    host.replied();
-    proxy.thaw();
+    host.wait_for_reply();
+    proxy.resume();
     proxy.logged("is no longer primary");
 }
 
@@ -395,7 +398,7 @@
     let silent: Vec<Client> = (0..39).map(|_| Client::connect(proxy.address)).collect();
     let mut asking = Client::connect(proxy.address);
     asking.send(&[startup(), query(&read("1", "history", 9000))].concat());
-    proxy.has_accepted_all();
+    proxy.wait_until_all_accepted();
     proxy.signal("TERM");
     let mut received = Vec::new();
     let ended = asking.stream.read_to_end(&mut received);
@@ -414,7 +417,7 @@
     // With small segments and a small window, the sockets buffer little of a statement.
     stuck.set_recv_buffer_size(4_096).expect("set");
     stuck.set_tcp_mss(536).expect("set");
-    stuck.bind(&SocketAddr::new(address(), 0).into()).expect("bound");
+    stuck.bind(&SocketAddr::new(loopback_address(), 0).into()).expect("bound");
     stuck.listen(64).expect("it listens");
     let listener = TcpListener::from(stuck);
     let mut stuck = Host::start(|_, _| Reply::Row("v"));
@@ -428,7 +431,7 @@
                 small.push(stream);
                 continue;
             }
-            let _ = may_read.recv_timeout(PATIENCE);
+            let _ = may_read.recv_timeout(TEST_TIMEOUT);
             let mut rest = Vec::new();
             let _ = stream.set_read_timeout(Some(Duration::from_millis(500)));
             let _ = stream.read_to_end(&mut rest);
@@ -439,12 +442,12 @@
     let mut client = proxy.client();
     let statement = format!("{} WHERE ref = '{}'", read("1", "history", 9_000), "x".repeat(150 * 1024));
     client.send(&query(&statement));
-    proxy.has_open(1);
-    clock_passes(unix_ms() + 300);
+    proxy.wait_for_open_requests(1);
+    wait_until_after(unix_ms() + 300);
     read_on.send(()).expect("the host waits");
-    let complete = is_complete.recv_timeout(PATIENCE).expect("the host reads");
+    let complete = is_complete.recv_timeout(TEST_TIMEOUT).expect("the host reads");
     assert!(!complete, "the host has the complete statement, 0.3 s late");
-    assert_eq!(proxy.figures()["invariants"]["patience_exceeded"], 0);
+    assert_eq!(proxy.stats()["invariants"]["patience_exceeded"], 0);
     assert_eq!(client.answer().end, End::Ready);
 }
 
--- a/tests/pipeline.rs
+++ b/tests/pipeline.rs
@@ -28,7 +28,7 @@
     }
     fn wait_until_released(&self, id: &str) {
         let held = self.held.0.lock().expect("lock");
-        let waited = self.held.1.wait_timeout_while(held, PATIENCE, |held| held.contains(id));
+        let waited = self.held.1.wait_timeout_while(held, TEST_TIMEOUT, |held| held.contains(id));
         drop(waited.expect("lock"));
     }
 }
@@ -63,7 +63,7 @@
 
 /// The ids of the next queries that a host receives, sorted.
 fn next_ids(host: &Host, count: usize) -> Vec<String> {
-    let mut ids: Vec<String> = (0..count).map(|_| id_of(&host.query())).collect();
+    let mut ids: Vec<String> = (0..count).map(|_| id_of(&host.next_query())).collect();
     ids.sort();
     ids
 }
@@ -77,13 +77,13 @@
 fn assert_next_is_of_another_client(proxy: &Proxy, host: &Host, id: &str) {
     let mut other = proxy.client();
     other.send(&query(&history(id)));
-    assert_eq!(id_of(&host.query()), id);
+    assert_eq!(id_of(&host.next_query()), id);
     assert_served(&mut other, id);
 }
 
 /// Asserts that this client has no answer yet, although a later request of another client has been answered.
 fn assert_no_answer_yet(proxy: &Proxy, client: &Client, id: &str) {
-    assert_eq!(proxy.client().ask(&history(id)).value.as_deref(), Some(id));
+    assert_eq!(proxy.client().query(&history(id)).value.as_deref(), Some(id));
     client.stream.set_nonblocking(true).expect("set");
     let peeked = client.stream.peek(&mut [0]);
     client.stream.set_nonblocking(false).expect("set");
@@ -100,13 +100,13 @@
     client.send(&queries(&ids.iter().map(|id| history(id)).collect::<Vec<_>>()));
     assert_eq!(next_ids(&host, 20), ids);
     for _ in 1..20 {
-        host.replied();
+        host.wait_for_reply();
     }
     // The hosts have answered all others, and these answers wait for their turn.
     assert_no_answer_yet(&proxy, &client, "99");
     gate.release("10");
     ids.iter().for_each(|id| assert_served(&mut client, id));
-    assert!(client.ask("").empty);
+    assert!(client.query("").empty);
 }
 
 /// The third answer waits for the second one only, and is written before the host answers the fourth request.
@@ -135,7 +135,7 @@
     let gate = Gate::holding(&["1"]);
     let host_gate = gate.clone();
     let host = Host::start(move |_, text| match id_of(text).as_str() {
-        "2" => Reply::Silence,
+        "2" => Reply::NoAnswer,
         id => {
             host_gate.wait_until_released(id);
             Reply::Bytes(row(id))
@@ -145,7 +145,7 @@
     let mut client = proxy.client();
     client.send(&queries(&[history("1"), read("2", "browse", 700), history("3")]));
     assert_eq!(next_ids(&host, 3), ["1", "2", "3"]);
-    while host.next() != Seen::Closed {}
+    while host.next_event() != HostEvent::Closed {}
     assert_no_answer_yet(&proxy, &client, "9");
     gate.release("1");
     assert_served(&mut client, "1");
@@ -163,10 +163,10 @@
     let proxy = Proxy::start(&[&host], 1024);
     let (mut client, mut later) = (proxy.client(), proxy.client());
     client.send(&queries(&[write("1"), read("2", "browse", 700)]));
-    assert_eq!(id_of(&host.query()), "1");
+    assert_eq!(id_of(&host.next_query()), "1");
     // Sent later and with a longer deadline, so that the other's deadline has passed when this one's has.
     later.send(&query(&read("7", "browse", 1000)));
-    assert_eq!(id_of(&host.query()), "7");
+    assert_eq!(id_of(&host.next_query()), "7");
     assert!(later.answer().value.is_none());
     gate.release("1");
     assert_served(&mut client, "1");
@@ -190,7 +190,7 @@
     gate.release("1");
     assert_served(&mut client, "1");
     assert_served(&mut client, "2");
-    assert_eq!(id_of(&host.query()), "3");
+    assert_eq!(id_of(&host.next_query()), "3");
     assert_next_is_of_another_client(&proxy, &host, "11");
     gate.release("3");
     assert_served(&mut client, "3");
@@ -287,8 +287,8 @@
     let all: Vec<u8> = ids.iter().flat_map(|id| query(&format!("{} -- {padding}", history(id)))).collect();
     let mut sending = client.stream.try_clone().expect("clone");
     let sender = thread::spawn(move || sending.write_all(&all).expect("the program reads"));
-    while id_of(&host.query()) != "1" {}
-    assert_eq!(proxy.client().ask(&history("0")).value.as_deref(), Some("0"));
+    while id_of(&host.next_query()) != "1" {}
+    assert_eq!(proxy.client().query(&history("0")).value.as_deref(), Some("0"));
     assert!(proxy.memory_kb() < 20_000, "{} KB", proxy.memory_kb());
     gate.release("1");
     ids.iter().for_each(|id| assert_served(&mut client, id));
@@ -322,7 +322,7 @@
 fn all_pipelined_requests_are_withdrawn_when_the_client_disconnects() {
     let host = Host::start(|_, text| match id_of(text).as_str() {
         "9" => Reply::Bytes(row("9")),
-        _ => Reply::Silence,
+        _ => Reply::NoAnswer,
     });
     let proxy = Proxy::start(&[&host], 1024);
     let mut client = proxy.client();
@@ -332,16 +332,19 @@
     let disconnected = Instant::now();
     drop(client);
     for _ in 0..3 {
-        assert_eq!(host.next(), Seen::Closed);
+        assert_eq!(host.next_event(), HostEvent::Closed);
     }
-    assert!(disconnected.elapsed() < PATIENCE / 2, "they ended at their deadlines, not with their client");
+    assert!(
+        disconnected.elapsed() < TEST_TIMEOUT / 2,
+        "they ended at their deadlines, not with their client"
+    );
     assert_next_is_of_another_client(&proxy, &host, "9");
 }
 
 /// The stop's time ends long before the client's deadlines.
 #[test]
 fn a_stop_answers_all_pipelined_requests_in_order() {
-    let host = Host::start(|_, _| Reply::Silence);
+    let host = Host::start(|_, _| Reply::NoAnswer);
     let linger = |config: String| config.replacen('{', "{\"linger_ms\":100,", 1);
     let mut proxy = Proxy::start_with(&[&host], 1024, linger);
     let mut client = proxy.client();
@@ -366,12 +369,12 @@
     let mut client = proxy.client();
     client.send(&queries(&["1", "2", "3"].map(history)));
     assert_eq!(next_ids(&old, 3), ["1", "2", "3"]);
-    proxy.agent.line(&list(42, true, &[(&new, "SERVING"), (&old, "DRAINING")]));
+    proxy.agent.send_line(&list(42, true, &[(&new, "SERVING"), (&old, "DRAINING")]));
     // New requests go to the new host, which shows that the list has been applied.
     let ids = (100..200).map(|id| id.to_string());
-    let mut answered = ids.map(|id| proxy.client().ask(&history(&id)).value.as_deref() == Some(&id));
+    let mut answered = ids.map(|id| proxy.client().query(&history(&id)).value.as_deref() == Some(&id));
     assert!(answered.all(|served| served));
-    assert_eq!(new.next(), Seen::Opened);
+    assert_eq!(new.next_event(), HostEvent::Opened);
     old.end_connections(b"");
     ["1", "2", "3"].iter().for_each(|id| assert_served(&mut client, id));
     client.send(&queries(&["4", "5"].map(history)));
@@ -396,7 +399,7 @@
     client.send(&queries(&["1", "2"].map(history)));
     assert_eq!(next_ids(&host, 2), ["1", "2"]);
     assert_no_answer_yet(&proxy, &client, "8");
-    assert_eq!(id_of(&host.query()), "8");
+    assert_eq!(id_of(&host.next_query()), "8");
     gate.release("1");
     assert_served(&mut client, "1");
     assert_eq!(client.answer().value.map(|v| v.len()), Some(VALUE_BYTES));
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -175,5 +175,5 @@
     idle.clear();
     let answer = asking.answer();
     assert_eq!((answer.value.as_deref(), answer.code.as_str()), (Some("v"), ""), "{}", answer.message);
-    assert_eq!(proxy.figures()["hosts_down"], 0);
+    assert_eq!(proxy.stats()["hosts_down"], 0);
 }
