--- a/src/api.rs
+++ b/src/api.rs
@@ -272,11 +272,11 @@
 /// old.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct HostReport {
-    /// The position that the host has applied.
+    /// The position up to which the host has applied the log, if it reports one.
     pub position: Option<Micros>,
-    /// The role that the host claims.
+    /// The role that the host claims, if it reports one.
     pub role: Option<Role>,
-    /// The number of requests that the host works on.
+    /// The number of requests that the host works on, if it reports it.
     pub in_flight: Option<f64>,
 }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -11,11 +11,13 @@
 //! let settings = Settings {
 //!     proxy_count: 1, ordinal: 0, zone: 0,
 //!     classes: vec![Class {
-//!         access: Access::AnyRead, idempotency: Idempotency::Idempotent, latency_target: 200_000, deadline: 1_000_000,
+//!         access: Access::AnyRead, idempotency: Idempotency::Idempotent,
+//!         latency_target: 200_000, deadline: 1_000_000,
 //!         worth: 1.0, late_worth: 0.0, latency_target_stretch: 0.0,
 //!     }],
 //!     list_mode: ListMode::Pushed, list_role: ListRole::Absent,
-//!     lag_check: LagCheck::Reject, session_tokens: SessionTokens::FromClient, cross_zone_costs: false, answers_carry_positions: true,
+//!     lag_check: LagCheck::Reject, session_tokens: SessionTokens::FromClient,
+//!     cross_zone_costs: false, answers_carry_positions: true,
 //!     limits: Limits {
 //!         cancel: true, probes: false, peers: false, retry_after: true,
 //!         max_retry_after: 1_000_000, hedging: false, max_attempts: 4,
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -41,7 +41,8 @@
 const OLD_WEIGHT: f64 = 0.9;
 /// Latency samples kept per host.
 const HOST_SAMPLES: usize = 40;
-/// Age at which a latency sample expires. Short, so that a recovery shows soon.
+/// Age at which a latency sample expires. Short, so that a recovery shows soon. Also the longest pause of a
+/// host, and how long a received lag and a recent start of a host count in `Router::estimated_position`.
 const SAMPLE_AGE_US: Micros = 5_000_000;
 /// Weight of the old value in the mean latency of a class and of all classes.
 const CLASS_OLD_WEIGHT: f64 = 0.98;
--- a/src/logic/lifecycle.rs
+++ b/src/logic/lifecycle.rs
@@ -36,7 +36,7 @@
         refusable || mutants::on("refusals promise anything")
     }
 
-    /// Takes in a request that arrived: refuses it under overload, or else sends or holds it.
+    /// Handles a request that arrived: refuses it under overload, or else sends or holds it.
     /// `is_incomplete`: its last bytes have not arrived.
     pub(super) fn admit(&mut self, info: &RequestInfo, is_incomplete: bool) {
         self.budgets.credit_request(self.settings.proxy_count);
@@ -165,8 +165,8 @@
         }
     }
 
-    /// Takes in the end of an attempt: what it shows of its host, then the request's next step, then the held
-    /// requests of the group.
+    /// Handles the end of an attempt: records what it shows of its host, takes the request's next step, and
+    /// releases the held requests of the group.
     pub(super) fn attempt_ended(&mut self, result: &AttemptResult) {
         let (id, outcome) = (result.id, result.outcome);
         let Some(request) = self.requests.get_mut(&id) else { return };
--- a/src/logic/membership.rs
+++ b/src/logic/membership.rs
@@ -36,7 +36,7 @@
         self.left_out.get(&host_id).copied()
     }
 
-    /// Takes in a manual override. The rule on drains applies from the first order to leave the host out
+    /// Applies a manual override. The rule on drains applies from the first order to leave the host out
     /// until it is used again; from then on the host is cold.
     pub(super) fn apply_override(&mut self, host_id: HostId, left_out: bool, since: Micros) {
         // Another process may have recorded the override by a clock that is ahead.
@@ -52,7 +52,7 @@
         host.readmit(left_out_since, since, INITIAL_CONCURRENCY_LIMIT, warm_before);
     }
 
-    /// Takes in an update of the list.
+    /// Applies an update of the list.
     pub(super) fn apply_list(&mut self, update: ListUpdate, entries: &[HostEntry]) {
         if update == ListUpdate::Failed {
             let wait = BACKOFF_US << self.schedule.subscribe_failures.min(MAX_BACKOFF_DOUBLINGS);
--- a/src/logic/overload.rs
+++ b/src/logic/overload.rs
@@ -18,8 +18,8 @@
         let unobserved = self.unobserved_share();
         let applies = class_settings.access != Access::Write && unobserved > 0.0;
         let Some(group) = self.groups.get(&group_id).filter(|_| applies) else { return 0.0 };
-        // No host rejects an `AnyRead` because it lags. So rejections of other reads for lag count at most as much
-        // as reads that are late or rejected as overloaded.
+        // No host rejects an `AnyRead` because it lags. So rejections of other reads for lag count at most as
+        // much as reads that are late or rejected as overloaded.
         let failures = |tally: ReadTally| {
             tally.late
                 + if class_settings.access == Access::AnyRead {
--- a/src/logic/primary.rs
+++ b/src/logic/primary.rs
@@ -5,7 +5,7 @@
 use super::*;
 
 impl Router {
-    /// Takes in a host's report. `direct`: the report comes with the host's answer; otherwise it is some time
+    /// Applies a host's report. `direct`: the report comes with the host's answer; otherwise it is some time
     /// old.
     pub(super) fn apply_report(&mut self, host_id: HostId, report: HostReport, direct: bool) {
         let Some(&index) = self.host_index.get(&host_id) else { return };
@@ -20,7 +20,7 @@
         }
     }
 
-    /// Takes in a host's claim of a role. `at` orders claims: a claim in an answer (`direct`) is the newest
+    /// Applies a host's claim of a role. `at` orders claims: a claim in an answer (`direct`) is the newest
     /// of its host, one in a report is as old as the report's position.
     pub(super) fn apply_role(&mut self, index: usize, role: Role, at: Micros, direct: bool) {
         let host = &mut self.hosts[index];
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,5 +1,5 @@
 //! The records that the decision module (`logic.rs`) keeps of hosts, groups, classes, requests, tenants and
-//! budgets, and how each takes in an observation.
+//! budgets, and how each is updated.
 //!
 //! Nothing here chooses a host or decides about a request.
 
@@ -111,10 +111,11 @@
 
     /// The tail-adjusted latency, averaged with `weight` samples of the `usual` latency of all hosts.
     pub fn weighted_latency(&self, (usual, weight): (f64, f64)) -> Option<f64> {
-        let n = self.samples.len() as f64;
+        let own_weight = self.samples.len() as f64;
         let weight = if usual > 0.0 { weight } else { 0.0 };
-        self.tail_latency
-            .map(|own| if weight > 0.0 { (n * own + weight * usual) / (n + weight) } else { own })
+        self.tail_latency.map(|own| {
+            if weight > 0.0 { (own_weight * own + weight * usual) / (own_weight + weight) } else { own }
+        })
     }
 
     /// Records a position that the host held at most `max_age` ago. The lag at that time was at most
