--- a/src/net/admission.rs
+++ b/src/net/admission.rs
@@ -7,7 +7,7 @@
 
 use super::core::Core;
 use super::world::{self, Spawner};
-use super::{Budget, Held, by};
+use super::{ResourceUsage, SharedLimit, timeout_at};
 use async_channel::{Receiver, Sender};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashSet, VecDeque};
@@ -19,7 +19,7 @@
 /// A connection that is idle for this long between requests is closed. Guards against clients that send one request and
 /// keep the connection.
 pub const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// The idle timeout while more than 1/8 of all slots are idle.
+/// The idle timeout while more than 1/8 of all slots are idle, and of a connection without any request so far.
 pub const IDLE_TIMEOUT_CROWDED: Duration = Duration::from_secs(2);
 /// The idle timeout while more than 2/8 of all slots are idle.
 pub const IDLE_TIMEOUT_OVERCROWDED: Duration = Duration::from_millis(300);
@@ -50,9 +50,9 @@
 pub struct Admission {
     core: Rc<Core>,
     /// How many connections clients may have.
-    max_open: Budget,
+    max_open: SharedLimit,
     /// How many bytes of input all clients together may have unanswered.
-    max_bytes: Budget,
+    max_bytes: SharedLimit,
     /// The number of connections with a slot.
     open: Rc<Cell<usize>>,
     /// The number of connections beyond the limit that are being refused. Counted apart, so that their closes don't take
@@ -180,8 +180,8 @@
     pub fn new(core: Rc<Core>, max_open: usize, max_bytes: usize, executor: Spawner) -> Admission {
         Admission {
             core,
-            max_open: Budget::new(max_open),
-            max_bytes: Budget::new(max_bytes),
+            max_open: SharedLimit::new(max_open),
+            max_bytes: SharedLimit::new(max_bytes),
             open: Rc::default(),
             refusing: Rc::default(),
             bytes: Rc::default(),
@@ -226,7 +226,7 @@
             }
         };
         if has_none() {
-            by(world::now() + REFUSAL_TIMEOUT, freed).await;
+            timeout_at(world::now() + REFUSAL_TIMEOUT, freed).await;
         }
     }
 
@@ -293,7 +293,7 @@
                     let _ = self.ended.1.recv().await;
                 }
             };
-            by(world::now() + EVICTION_TIMEOUT, slot_freed).await;
+            timeout_at(world::now() + EVICTION_TIMEOUT, slot_freed).await;
         }
     }
 
@@ -415,7 +415,7 @@
     }
 
     /// Shares the limits with another process, which uses this much of them; `None` if there is no other.
-    pub fn share_limits(&self, other: Option<Held>) {
+    pub fn share_limits(&self, other: Option<ResourceUsage>) {
         let (open, bytes) = self.usage();
         self.max_open.share(open, other.map(|held| held.clients + OTHER_PROCESS_DESCRIPTORS));
         self.max_bytes.share(bytes, other.map(|held| held.bytes));
