--- a/src/net/hosts.rs
+++ b/src/net/hosts.rs
@@ -322,8 +322,8 @@
         self.read_answer(attempt, deadline, partial).await
     }
 
-    /// Reports an invariant that a written attempt has broken, if any. `announced_time` is the time that the statement tells
-    /// its host, and `give_up_at` is when the attempt ends.
+    /// Reports an invariant that a written attempt has broken, if any. `announced_time` is the time that the statement announces
+    /// to its host, and `give_up_at` is when the attempt ends.
     pub fn check_started(
         &self, attempt: &AttemptConnection, start: &ApprovedStart, id: &str, announced_time: Micros,
         give_up_at: Micros,
@@ -431,8 +431,8 @@
         &self, host: HostId, id: &str, deadline: Micros, context: impl Fn(Micros) -> AttemptContext,
     ) -> Result<(AttemptConnection, ApprovedStart), Outcome> {
         let deadline = self.core.clock.instant(deadline);
-        let begun = world::now();
-        let connect_deadline = (begun + self.connect_timeout).min(deadline);
+        let started = world::now();
+        let connect_deadline = (started + self.connect_timeout).min(deadline);
         let shortage = Cell::new(false);
         let connection = match timeout_at(connect_deadline, self.connection(host, &shortage)).await {
             Some(connection) => connection?,
@@ -441,7 +441,7 @@
             // Nothing was written, so this is not a timeout of the host. Guards against an unreachable host that passes
             // for a slow one: a class whose deadlines are shorter than the connect timeout would never show that the host
             // is out of reach. A connect that had too little time proves nothing about the host.
-            None if world::since(begun) < CONCLUSIVE_CONNECT.min(self.connect_timeout / 2) => {
+            None if world::since(started) < CONCLUSIVE_CONNECT.min(self.connect_timeout / 2) => {
                 return Err(Outcome::NotSent);
             }
             None => return Err(Outcome::ConnectFailed),
--- a/src/net/world.rs
+++ b/src/net/world.rs
@@ -257,14 +257,14 @@
     async fn connect_tcp(to: SocketAddr) -> io::Result<Async<TcpStream>> {
         loop {
             faults::before(Call::Socket)?;
-            let dial = async {
+            let connect = async {
                 faults::before(Call::Connect)?;
                 Async::<TcpStream>::connect(to).await
             };
-            match dial.await {
+            match connect.await {
                 // The socket is closed, so the next try makes a new one.
                 Err(e) if is_interruption(&e) => {}
-                dialled => return dialled,
+                connected => return connected,
             }
         }
     }
@@ -375,12 +375,12 @@
         match self {
             Stream::Tcp(s) => {
                 let ends = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
-                let mut asked = [PollFd::new(s.get_ref(), PollFlags::RDHUP)];
-                let look = || {
+                let mut polled = [PollFd::new(s.get_ref(), PollFlags::RDHUP)];
+                let check = || {
                     faults::before(Call::Poll)?;
-                    poll(&mut asked, Some(&Timespec::default())).map_err(io::Error::from)
+                    poll(&mut polled, Some(&Timespec::default())).map_err(io::Error::from)
                 };
-                uninterrupted(look).is_ok() && asked[0].revents().intersects(ends)
+                uninterrupted(check).is_ok() && polled[0].revents().intersects(ends)
             }
             Stream::Unix(_) => false,
             Stream::Simulated(w) => w.is_hung_up(),
--- a/tests/by_hand.rs
+++ b/tests/by_hand.rs
@@ -72,7 +72,7 @@
     }
 
     fn send_line(&mut self, line: &str) {
-        self.stream.write_all(format!("{line}\n").as_bytes()).expect("it exists");
+        self.stream.write_all(format!("{line}\n").as_bytes()).expect("the proxy keeps the connection");
     }
 
     /// Sends overrides. Each is a JSON object with host, out and stamp.
@@ -129,7 +129,7 @@
     set_override(&first, &replica, "down");
     let (file, aside) = (override_file(&first, &replica), first.directory.join("aside"));
     first.signal("KILL");
-    std::fs::rename(&file, &aside).expect("the order is in its file");
+    std::fs::rename(&file, &aside).expect("the override is in its file");
     std::fs::create_dir(&file).expect("the path is free");
     let next = start_beside(&first, &[&primary, &replica]);
     assert_eq!(next.figures()["hosts_down"], 0);
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -37,12 +37,12 @@
     let proxy = Proxy::start(&[&host], 1024);
     proxy.agent.asked();
     let next = Agent::scripted(&[Call::Silence, Call::Refuse, Call::Silence]);
-    let asked = Instant::now();
+    let started = Instant::now();
     proxy.reload(&proxy.agent.address.to_string(), &next.address.to_string());
     for _ in 0..4 {
         assert!(next.asked().contains("stream=1&index=41 "));
     }
-    assert!(asked.elapsed() < NOTIFIED_AFTER - Duration::from_millis(500), "{:?}", asked.elapsed());
+    assert!(started.elapsed() < NOTIFIED_AFTER - Duration::from_millis(500), "{:?}", started.elapsed());
 }
 
 /// The configuration is reloaded while a call is unanswered.
@@ -70,16 +70,16 @@
     let next = Agent::scripted(&[Call::Bytes(head)]);
     proxy.reload(&proxy.agent.address.to_string(), &next.address.to_string());
     next.asked();
-    let begun = Instant::now();
+    let started = Instant::now();
     let again = loop {
         let _ = next.raw(b" ");
         if let Some(asked) = next.asked_within(Duration::from_millis(50)) {
             break asked;
         }
-        assert!(begun.elapsed() < PATIENCE, "the watch is not reopened");
+        assert!(started.elapsed() < PATIENCE, "the watch is not reopened");
     };
     assert!(again.contains("stream=1&index=41 "));
-    assert!(begun.elapsed() < NOTIFIED_AFTER - Duration::from_millis(500), "{:?}", begun.elapsed());
+    assert!(started.elapsed() < NOTIFIED_AFTER - Duration::from_millis(500), "{:?}", started.elapsed());
 }
 
 #[test]
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -42,10 +42,10 @@
         caller
     };
     let _callers: Vec<TcpStream> = (0..40).map(incomplete_call).collect();
-    let asked = Instant::now();
+    let started = Instant::now();
     assert_eq!(proxy.call("GET", "/ops/readiness", "").0, 200);
     let figures = proxy.figures();
-    assert!(asked.elapsed().as_secs() < 2, "a call waited for callers that keep their connections");
+    assert!(started.elapsed().as_secs() < 2, "a call waited for callers that keep their connections");
     let history = serde_json::json!({"success":1,"busy":0,"failure":1,"backend_calls":2});
     // Its deadline is too short for any host, so the request is refused on arrival.
     let browse = serde_json::json!({"success":0,"busy":1,"failure":0,"backend_calls":0});
