--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -19,15 +19,15 @@
 fn a_silent_watch_is_reopened_before_the_proxy_counts_as_notified() {
     let (old, new) = (host_with_value("old"), host_with_value("new"));
     let proxy = Proxy::start(&[&old], 1024);
-    assert!(proxy.agent.asked().contains("index=41 "));
+    assert!(proxy.agent.next_request().contains("index=41 "));
     let silent = Instant::now();
-    proxy.agent.hush();
-    assert!(proxy.agent.asked().contains("stream=1&index=41 "));
-    proxy.agent.line(&list(42, true, &[(&new, "SERVING")]));
+    proxy.agent.silence_watches();
+    assert!(proxy.agent.next_request().contains("stream=1&index=41 "));
+    proxy.agent.send_line(&list(42, true, &[(&new, "SERVING")]));
     proxy.agent.end_watch();
-    assert!(proxy.agent.asked().contains("stream=1&index=42 "));
+    assert!(proxy.agent.next_request().contains("stream=1&index=42 "));
     assert!(silent.elapsed() < NOTIFIED_AFTER - Duration::from_millis(500), "{:?}", silent.elapsed());
-    assert_eq!(proxy.client().ask(&read("1", "history", 9000)).value.as_deref(), Some("new"));
+    assert_eq!(proxy.client().query(&read("1", "history", 9000)).value.as_deref(), Some("new"));
 }
 
 /// While it is down, discovery accepts calls and does not answer. It may return at any moment.
@@ -35,12 +35,12 @@
 fn an_unanswered_call_is_given_up_and_made_again() {
     let host = host_with_value("v");
     let proxy = Proxy::start(&[&host], 1024);
-    proxy.agent.asked();
-    let next = Agent::scripted(&[Call::Silence, Call::Refuse, Call::Silence]);
+    proxy.agent.next_request();
+    let next = Agent::scripted(&[Call::NoAnswer, Call::Refuse, Call::NoAnswer]);
     let started = Instant::now();
     proxy.reload(&proxy.agent.address.to_string(), &next.address.to_string());
     for _ in 0..4 {
-        assert!(next.asked().contains("stream=1&index=41 "));
+        assert!(next.next_request().contains("stream=1&index=41 "));
     }
     assert!(started.elapsed() < NOTIFIED_AFTER - Duration::from_millis(500), "{:?}", started.elapsed());
 }
@@ -50,13 +50,13 @@
 fn a_reload_gives_up_an_unanswered_call_at_once() {
     let host = host_with_value("v");
     let proxy = Proxy::start(&[&host], 1024);
-    proxy.agent.asked();
-    let silent = Agent::scripted(&vec![Call::Silence; 100]);
+    proxy.agent.next_request();
+    let silent = Agent::scripted(&vec![Call::NoAnswer; 100]);
     proxy.reload(&proxy.agent.address.to_string(), &silent.address.to_string());
-    silent.asked();
+    silent.next_request();
     let (moved, next) = (Instant::now(), Agent::start());
     proxy.reload(&proxy.agent.address.to_string(), &next.address.to_string());
-    assert!(next.asked().contains("stream=1&index=41 "));
+    assert!(next.next_request().contains("stream=1&index=41 "));
     assert!(moved.elapsed() < Duration::from_millis(900), "{:?}", moved.elapsed());
 }
 
@@ -65,18 +65,18 @@
 fn a_line_that_never_ends_counts_as_a_silent_watch() {
     let host = host_with_value("v");
     let proxy = Proxy::start(&[&host], 1024);
-    proxy.agent.asked();
+    proxy.agent.next_request();
     let head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nfffff\r\n".to_vec();
     let next = Agent::scripted(&[Call::Bytes(head)]);
     proxy.reload(&proxy.agent.address.to_string(), &next.address.to_string());
-    next.asked();
+    next.next_request();
     let started = Instant::now();
     let again = loop {
-        let _ = next.raw(b" ");
-        if let Some(asked) = next.asked_within(Duration::from_millis(50)) {
+        let _ = next.write_raw(b" ");
+        if let Some(asked) = next.next_request_within(Duration::from_millis(50)) {
             break asked;
         }
-        assert!(started.elapsed() < PATIENCE, "the watch is not reopened");
+        assert!(started.elapsed() < TEST_TIMEOUT, "the watch is not reopened");
     };
     assert!(again.contains("stream=1&index=41 "));
     assert!(started.elapsed() < NOTIFIED_AFTER - Duration::from_millis(500), "{:?}", started.elapsed());
@@ -86,14 +86,14 @@
 fn a_list_as_indented_json_is_applied() {
     let (old, new) = (host_with_value("old"), host_with_value("new"));
     let proxy = Proxy::start(&[&old], 1024);
-    proxy.agent.asked();
+    proxy.agent.next_request();
     // Braces and quotes inside a string do not end the message.
     let flat = list(42, true, &[(&new, "SERVING")]).replace("\"type\":\"m\"", "\"type\":\"m}\\\"{\"");
     let value: serde_json::Value = serde_json::from_str(&flat).expect("JSON");
-    proxy.agent.line(&serde_json::to_string_pretty(&value).expect("JSON"));
+    proxy.agent.send_line(&serde_json::to_string_pretty(&value).expect("JSON"));
     proxy.agent.end_watch();
-    assert!(proxy.agent.asked().contains("stream=1&index=42 "));
-    assert_eq!(proxy.client().ask(&read("1", "history", 9000)).value.as_deref(), Some("new"));
+    assert!(proxy.agent.next_request().contains("stream=1&index=42 "));
+    assert_eq!(proxy.client().query(&read("1", "history", 9000)).value.as_deref(), Some("new"));
 }
 
 /// An incomplete message, then complete ones. The proxy reopens the watch once to receive the incomplete one again. If it is
@@ -102,22 +102,22 @@
 fn an_incomplete_message_is_requested_again_and_does_not_block_later_ones() {
     let (old, new) = (host_with_value("old"), host_with_value("new"));
     let proxy = Proxy::start(&[&old], 1024);
-    assert!(proxy.agent.asked().contains("index=41 "));
+    assert!(proxy.agent.next_request().contains("index=41 "));
     let whole = list(42, false, &[(&old, "DRAINING"), (&new, "SERVING")]);
     let incomplete = &whole[..whole.len() / 2];
-    proxy.agent.line(incomplete);
+    proxy.agent.send_line(incomplete);
     // The next message shows that the one before it is incomplete.
-    proxy.agent.line(&list(43, false, &[(&new, "SERVING")]));
-    assert!(proxy.agent.asked().contains("stream=1&index=41 "));
-    proxy.agent.line(incomplete);
-    proxy.agent.line(&list(43, false, &[(&new, "SERVING")]));
+    proxy.agent.send_line(&list(43, false, &[(&new, "SERVING")]));
+    assert!(proxy.agent.next_request().contains("stream=1&index=41 "));
+    proxy.agent.send_line(incomplete);
+    proxy.agent.send_line(&list(43, false, &[(&new, "SERVING")]));
     proxy.agent.end_watch();
     // The message after it is applied, but the index does not advance past the incomplete one.
-    assert!(proxy.agent.asked().contains("stream=1&index=41 "));
-    proxy.agent.line(&whole);
+    assert!(proxy.agent.next_request().contains("stream=1&index=41 "));
+    proxy.agent.send_line(&whole);
     proxy.agent.end_watch();
-    assert!(proxy.agent.asked().contains("stream=1&index=42 "));
-    assert_eq!(proxy.client().ask(&read("1", "history", 9000)).value.as_deref(), Some("new"));
+    assert!(proxy.agent.next_request().contains("stream=1&index=42 "));
+    assert_eq!(proxy.client().query(&read("1", "history", 9000)).value.as_deref(), Some("new"));
 }
 
 /// An HTTP answer without a length ends with the connection. A reset does not end it.
@@ -129,16 +129,16 @@
         [b"HTTP/1.1 200 OK\r\n\r\n".as_slice(), text.as_bytes()].concat()
     };
     let proxy = Proxy::start(&[&old], 1024);
-    proxy.agent.asked();
+    proxy.agent.next_request();
     // This agent does not know the index any more, so the whole list is requested.
     let unknown = b"HTTP/1.1 410 Gone\r\nContent-Length: 0\r\n\r\n".to_vec();
     let next = Agent::scripted(&[Call::Bytes(unknown), Call::Reset(answer(&new)), Call::Refuse]);
     proxy.reload(&proxy.agent.address.to_string(), &next.address.to_string());
-    assert!(next.asked().contains("stream=1&index=41 "));
+    assert!(next.next_request().contains("stream=1&index=41 "));
     for _ in 0..3 {
-        assert!(next.asked().ends_with("GET /registry/instances HTTP/1.1"));
+        assert!(next.next_request().ends_with("GET /registry/instances HTTP/1.1"));
     }
-    assert_eq!(proxy.client().ask(&read("1", "history", 9000)).value.as_deref(), Some("old"));
+    assert_eq!(proxy.client().query(&read("1", "history", 9000)).value.as_deref(), Some("old"));
 }
 
 /// Idle clients fill their share of the descriptors while discovery is down. The machine enforces the limit.
@@ -146,20 +146,20 @@
 fn discovery_and_hosts_get_descriptors_while_clients_fill_their_share() {
     let (old, new) = (host_with_value("old"), host_with_value("new"));
     let proxy = Proxy::start(&[&old], 96);
-    proxy.agent.asked();
-    let next = Agent::scripted(&vec![Call::Silence; 1_000]);
+    proxy.agent.next_request();
+    let next = Agent::scripted(&vec![Call::NoAnswer; 1_000]);
     proxy.reload(&proxy.agent.address.to_string(), &next.address.to_string());
-    next.asked();
+    next.next_request();
     let idle_clients: Vec<Client> = (0..39).map(|_| proxy.client()).collect();
     // Further clients are refused or replace another one, so that some connections are being closed.
     let others: Vec<Client> = (0..60).map(|_| Client::connect(proxy.address)).collect();
     let back = Agent::start();
     let returned = Instant::now();
     proxy.reload(&proxy.agent.address.to_string(), &back.address.to_string());
-    assert!(back.asked().contains("stream=1&index=41 "));
-    back.line(&list(42, true, &[(&new, "SERVING")]));
+    assert!(back.next_request().contains("stream=1&index=41 "));
+    back.send_line(&list(42, true, &[(&new, "SERVING")]));
     back.end_watch();
-    assert!(back.asked().contains("stream=1&index=42 "));
+    assert!(back.next_request().contains("stream=1&index=42 "));
     assert!(returned.elapsed() < Duration::from_millis(900), "{:?}", returned.elapsed());
     // A new client is accepted once one of the silent clients has been closed.
     let served = (0..).find_map(|id| {
@@ -167,7 +167,7 @@
         let both = [startup(), query(&read(&format!("{id}"), "history", 9000))].concat();
         let sent = client.stream.write_all(&both).is_ok() && client.answer().end == End::Ready;
         let value = sent.then(|| client.answer().value).flatten();
-        assert!(value.is_some() || returned.elapsed() < PATIENCE, "no new client is served");
+        assert!(value.is_some() || returned.elapsed() < TEST_TIMEOUT, "no new client is served");
         value
     });
     assert_eq!(served.as_deref(), Some("new"));
