--- a/crates/lab/src/client.rs
+++ b/crates/lab/src/client.rs
@@ -1,40 +1,41 @@
-//! A client that asks and reads whole answers, written apart from the proxy's codec.
+//! A blocking client that sends queries and reads complete answers. It shares no code with the proxy's codec, so that a
+//! fault there does not go unnoticed here.
 
 use crate::wire;
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// Longer than anything here takes.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Longest wait for bytes from the server; longer than any answer of a correct proxy takes.
+const READ_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// All that came back up to ReadyForQuery.
+/// The complete answer to a query, up to ReadyForQuery.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Answer {
     /// The rows of each result, as text.
     pub results: Vec<Vec<Vec<Option<String>>>>,
-    /// Names of the columns of each result that has some.
+    /// The column names of each result that has columns.
     pub columns: Vec<Vec<String>>,
-    /// Tags of commands.
+    /// The tags of all CommandComplete messages.
     pub tags: Vec<String>,
-    /// The fields of the error, if there was one, by their letters.
+    /// The fields of the ErrorResponse, as pairs of the field's letter and its text; empty if there was none.
     pub error: Vec<(char, String)>,
-    /// An empty query was answered.
+    /// Whether EmptyQueryResponse was received.
     pub empty: bool,
-    /// The session stands in a transaction that has failed.
-    pub failed: bool,
+    /// Whether the session is in a failed transaction.
+    pub in_failed_transaction: bool,
 }
 
 impl Answer {
-    /// A field of the error: `C` its code, `M` its message, `D` the time to come back.
+    /// A field of the error: `C` the SQLSTATE, `M` the message, `D` the detail, which holds the time to retry after.
     pub fn field(&self, letter: char) -> &str {
         self.error.iter().find(|f| f.0 == letter).map_or("", |f| &f.1)
     }
-    /// The code of the error; empty if there was none.
+    /// The SQLSTATE of the error; empty if there was none.
     pub fn code(&self) -> &str {
         self.field('C')
     }
-    /// The only value of the only row.
+    /// The first value of the first row, where the answer has exactly one result.
     pub fn value(&self) -> Option<&str> {
         match self.results.as_slice() {
             [rows] => rows.first()?.first()?.as_deref(),
@@ -43,40 +44,40 @@
     }
 }
 
-/// A session.
+/// A client with an open session.
 pub struct Client {
     stream: TcpStream,
 }
 
 impl Client {
-    /// Opens one as this user in this database.
-    pub fn connect(to: SocketAddr, user: &str, database: &str) -> io::Result<Client> {
-        let mut stream = TcpStream::connect(to)?;
+    /// Connects and opens a session for `user` in `database`.
+    pub fn connect(address: SocketAddr, user: &str, database: &str) -> io::Result<Client> {
+        let mut stream = TcpStream::connect(address)?;
         stream.set_nodelay(true)?;
-        stream.set_read_timeout(Some(PATIENCE))?;
+        stream.set_read_timeout(Some(READ_TIMEOUT))?;
         stream.write_all(&wire::startup(user, database))?;
         let mut client = Client { stream };
         client.answer()?;
         Ok(client)
     }
 
-    /// Asks, and reads the whole answer.
+    /// Sends a query and reads the complete answer.
     pub fn query(&mut self, text: &str) -> io::Result<Answer> {
         self.send(text)?;
         self.answer()
     }
 
-    /// Asks, and reads nothing.
+    /// Sends a query without reading its answer.
     pub fn send(&mut self, text: &str) -> io::Result<()> {
         self.send_bytes(text.as_bytes())
     }
 
-    /// The same with a text that may be none.
+    /// Sends a query that may hold bytes other than UTF-8, without reading its answer.
     pub fn send_bytes(&mut self, text: &[u8]) -> io::Result<()> {
         self.stream.write_all(&wire::message(b'Q', &[text, b"\0"].concat()))
     }
 
-    /// Reads so many bytes of what comes, whatever they are.
+    /// Reads `count` bytes without decoding them.
     pub fn read_bytes(&mut self, count: usize) -> io::Result<Vec<u8>> {
         let mut bytes = vec![0; count];
         self.stream.read_exact(&mut bytes)?;
@@ -91,17 +92,22 @@
             let texts = || body.split(|&b| b == 0).map(|t| String::from_utf8_lossy(t).into_owned());
             match kind {
                 b'Z' => {
-                    answer.failed = body == b"E";
+                    answer.in_failed_transaction = body == b"E";
                     return Ok(answer);
                 }
                 b'T' => {
-                    answer.columns.push(names(&body));
+                    answer.columns.push(column_names(&body));
                     answer.results.push(Vec::new());
                 }
                 b'D' => {
-                    let rows =
-                        answer.results.last_mut().ok_or_else(|| io::Error::other("a row of nothing"))?;
-                    rows.push(values(&body).ok_or_else(|| io::Error::other("a row that ends early"))?);
+                    let rows = answer
+                        .results
+                        .last_mut()
+                        .ok_or_else(|| io::Error::other("DataRow without a RowDescription"))?;
+                    rows.push(
+                        row_values(&body)
+                            .ok_or_else(|| io::Error::other("DataRow ends before its values"))?,
+                    );
                 }
                 b'C' => answer.tags.extend(texts().next()),
                 b'I' => answer.empty = true,
@@ -115,26 +121,31 @@
     }
 }
 
-fn names(body: &[u8]) -> Vec<String> {
-    let (mut names, mut rest) = (Vec::new(), body.get(2..).unwrap_or(&[]));
+/// The column names of a RowDescription.
+fn column_names(body: &[u8]) -> Vec<String> {
+    /// Bytes of a field's description behind its name, with the byte that ends the name.
+    const BYTES_BEHIND_NAME: usize = 19;
+    let mut names = Vec::new();
+    let mut rest = body.get(2..).unwrap_or(&[]);
     while let Some(end) = rest.iter().position(|&b| b == 0) {
         names.push(String::from_utf8_lossy(&rest[..end]).into_owned());
-        rest = rest.get(end + 19..).unwrap_or(&[]);
+        rest = rest.get(end + BYTES_BEHIND_NAME..).unwrap_or(&[]);
     }
     names
 }
 
-fn values(body: &[u8]) -> Option<Vec<Option<String>>> {
+/// The values of a DataRow, where `None` is NULL; nothing if the message ends early.
+fn row_values(body: &[u8]) -> Option<Vec<Option<String>>> {
     let count = i16::from_be_bytes(*body.first_chunk()?);
     let mut rest = body.get(2..)?;
     let mut values = Vec::new();
     for _ in 0..count {
-        let len = i32::from_be_bytes(*rest.first_chunk()?);
+        let length = i32::from_be_bytes(*rest.first_chunk()?);
         rest = rest.get(4..)?;
-        values.push(match usize::try_from(len) {
-            Ok(len) => {
-                let value = rest.get(..len)?;
-                rest = rest.get(len..)?;
+        values.push(match usize::try_from(length) {
+            Ok(length) => {
+                let value = rest.get(..length)?;
+                rest = rest.get(length..)?;
                 Some(String::from_utf8_lossy(value).into_owned())
             }
             Err(_) => None,
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,5 +1,5 @@
-//! Stand-ins on loopback: database hosts that speak PostgreSQL's protocol, discovery's agent, the proxy as a
-//! process among them, and a client. For tests, the demonstration and measurements. It must never be linked into the proxy.
+//! Stand-ins on loopback for tests, the demonstration and measurements: database hosts that speak PostgreSQL's protocol,
+//! discovery's agent, a client, and the proxy as a child process. The proxy must never link this crate.
 #![warn(missing_docs)]
 
 mod agent;
--- a/crates/lab/src/proxy.rs
+++ b/crates/lab/src/proxy.rs
@@ -1,4 +1,5 @@
-//! The proxy as a process: its configuration, its start and its end. It must never leave a process behind.
+//! Runs the proxy as a child process: writes its configuration, starts it, reads its log and ends it. It must never leave a
+//! process behind.
 
 use crate::client::Client;
 use std::io::{self, BufRead, BufReader};
@@ -9,24 +10,26 @@
 use std::sync::mpsc::{Receiver, channel};
 use std::time::Duration;
 
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Longest wait for a line of the log.
+const LOG_TIMEOUT: Duration = Duration::from_secs(20);
+/// The port on which a proxy at its own address listens; the console has the next one.
 const PORT: u16 = 20433;
 
-/// A loopback address of this process's own, for peers that listen at any port of it.
+/// A loopback address that only this process uses, for stand-ins that listen at any free port.
 pub fn loopback_address() -> IpAddr {
-    // The upper half of these; the stories' other peers have the lower.
-    own(0)
+    own_address(0)
 }
 
-/// The same for the nth proxy, whose ports are always the same. Guards against two proxies at one address, of which
-/// the second would find the console's port taken.
-fn own(n: u32) -> IpAddr {
+/// The loopback address of the nth proxy of this process. Proxies have fixed ports: of two at the same address, the second
+/// would find the console's port in use. These addresses begin with 127.192 to 127.251, those of the
+/// tests' support with 127.64 to 127.191.
+fn own_address(n: u32) -> IpAddr {
     let [_, _, a, b] = std::process::id().to_be_bytes();
     IpAddr::from([127, 192 + (n % 60) as u8, a, b.max(1)])
 }
 
-/// The settings of a deployment with one proxy: `browse` is a read at most 800 ms old, `history` any read,
-/// `ingest` a keyed write. Hosts check no bound; they may be probed.
+/// The settings of a deployment with one proxy. Class `browse` reads data at most 800 ms old, `history` reads data of any
+/// age, `ingest` is a keyed write. Hosts don't check the bound themselves; the proxy may probe them.
 pub fn settings() -> serde_json::Value {
     serde_json::json!({
         "balancers": 1, "ordinal": 0, "zone": 0, "membershipMode": "pushed", "azs": ["a"],
@@ -49,40 +52,46 @@
     })
 }
 
-/// A proxy that runs; it is ended when this goes.
+/// A running proxy; dropping it kills the process and removes its directory.
 pub struct Proxy {
     child: Child,
-    /// Where it listens.
+    /// The address on which the proxy serves clients.
     pub address: SocketAddr,
-    /// Where operators call.
+    /// The address of the operators' console.
     pub console: SocketAddr,
     log: Receiver<String>,
     directory: PathBuf,
 }
 
 impl Proxy {
-    /// Starts `program`, maybe under other words that run it, and waits until it serves.
+    /// Starts the proxy at `at` and waits until it serves. `program` is the command line: the proxy's program, with a wrapper
+    /// such as valgrind and its arguments before it where wanted. `operator` is the text of the operator's file.
     pub fn start(
         program: &[&str], at: SocketAddr, discovery: SocketAddr, settings: &serde_json::Value,
         operator: Option<&str>,
     ) -> io::Result<Proxy> {
-        let proxy = Proxy::begin(program, at, discovery, settings, operator)?;
+        let proxy = Proxy::spawn(program, at, discovery, settings, operator)?;
         proxy.logged("serves on")?;
-        // It answers the empty query once it has heard of discovery's list.
+        // The proxy answers the empty query once it has received the list of hosts.
         let answer = Client::connect(at, "web", "orders")?.query("")?;
-        if answer.empty { Ok(proxy) } else { Err(io::Error::other(format!("not ready: {answer:?}"))) }
+        if answer.empty {
+            Ok(proxy)
+        } else {
+            Err(io::Error::other(format!("the proxy is not ready: {answer:?}")))
+        }
     }
 
-    /// Starts it at an address of its own.
+    /// Starts the proxy at an address that no other proxy of this process uses.
     pub fn start_at_own_address(
         program: &[&str], discovery: SocketAddr, settings: &serde_json::Value, operator: Option<&str>,
     ) -> io::Result<Proxy> {
         static NEXT: AtomicU32 = AtomicU32::new(1);
-        let at = SocketAddr::new(own(NEXT.fetch_add(1, Ordering::Relaxed)), PORT);
+        let at = SocketAddr::new(own_address(NEXT.fetch_add(1, Ordering::Relaxed)), PORT);
         Proxy::start(program, at, discovery, settings, operator)
     }
 
-    fn begin(
+    /// Writes the configuration and starts the process, without waiting for it.
+    fn spawn(
         program: &[&str], at: SocketAddr, discovery: SocketAddr, settings: &serde_json::Value,
         operator: Option<&str>,
     ) -> io::Result<Proxy> {
@@ -109,32 +118,32 @@
         }
         command.env("LB_CONFIG", directory.join("config.json")).env("TMPDIR", directory.join("tmp"));
         let mut child = command.stdin(Stdio::null()).stderr(Stdio::piped()).spawn()?;
-        let (tell, log) = channel();
+        let (line_sender, log) = channel();
         if let Some(stderr) = child.stderr.take() {
             std::thread::spawn(move || {
-                // Read to the end, so that the program is never held up.
+                // Reads to the end: a full pipe would block the proxy.
                 for line in BufReader::new(stderr).lines().map_while(Result::ok) {
-                    let _ = tell.send(line);
+                    let _ = line_sender.send(line);
                 }
             });
         }
         Ok(Proxy { child, address: at, console, log, directory })
     }
 
-    /// The id of its process.
+    /// The process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// The operator's file that it was given.
+    /// The path of the operator's file that the proxy was started with.
     pub fn operator_file(&self) -> PathBuf {
         self.directory.join("operator.json5")
     }
 
-    /// Waits for a line of its log that holds this.
+    /// Waits for the next log line that contains `text`, and returns it.
     pub fn logged(&self, text: &str) -> io::Result<String> {
         loop {
-            let line = self.log.recv_timeout(PATIENCE).map_err(|_| {
+            let line = self.log.recv_timeout(LOG_TIMEOUT).map_err(|_| {
                 io::Error::new(io::ErrorKind::TimedOut, format!("the proxy never logged {text:?}"))
             })?;
             if line.contains(text) {
@@ -143,24 +152,24 @@
         }
     }
 
-    /// Sends it a signal, by the machine's `kill`.
+    /// Sends a signal by the system's `kill` command; `name` is without SIG.
     pub fn signal(&self, name: &str) -> io::Result<()> {
         Command::new("kill").args([&format!("-{name}"), &self.id().to_string()]).status().map(|_| ())
     }
 
-    /// Waits for its end; its exit code.
+    /// Waits for the process to end; returns its exit code, or nothing if a signal ended it.
     pub fn wait(&mut self) -> io::Result<Option<i32>> {
         self.child.wait().map(|s| s.code())
     }
 
-    /// Memory that it holds and has held at most, in KB.
+    /// The current and the highest resident memory of the process, in KB.
     pub fn memory_kb(&self) -> io::Result<(u64, u64)> {
         let status = std::fs::read_to_string(Path::new("/proc").join(self.id().to_string()).join("status"))?;
-        let get = |key: &str| {
-            let line = status.lines().find(|l| l.starts_with(key));
-            line.and_then(|l| l.split_whitespace().nth(1)?.parse().ok()).unwrap_or(0)
+        let value_kb = |key: &str| {
+            let line = status.lines().find(|line| line.starts_with(key));
+            line.and_then(|line| line.split_whitespace().nth(1)?.parse().ok()).unwrap_or(0)
         };
-        Ok((get("VmRSS:"), get("VmHWM:")))
+        Ok((value_kb("VmRSS:"), value_kb("VmHWM:")))
     }
 }
 
--- a/crates/lab/src/soaks.rs
+++ b/crates/lab/src/soaks.rs
@@ -1,4 +1,5 @@
-//! The command `soak`: many runs, a line for each, and their sums. A run that broke a rule leaves its logs behind.
+//! The command `soak`: runs a range of seeds, prints a line for each run, and then the sums. The logs of a run that broke a
+//! rule are kept.
 
 use crate::days::range;
 use sillfold_lab::soak::{self, Options, Report};
@@ -9,19 +10,21 @@
 use std::thread;
 use std::time::Instant;
 
-/// Broken rules of one run that are printed.
-const MOST_LINES: usize = 12;
+/// Violations of one run that are printed at most.
+const MAX_PRINTED_VIOLATIONS: usize = 12;
 
-/// Runs these seeds, so many at the same time; an error where one broke a rule.
+/// Runs all seeds of a range such as `1..4`, `jobs` at a time. Returns an error if a run broke a rule.
 pub fn many(seeds: &str, jobs: usize, options: &Options) -> io::Result<()> {
-    let (from, to) = range(seeds)?;
-    let (next, reports, begun) = (AtomicU64::new(from), Mutex::new(Vec::new()), Instant::now());
+    let (first, end) = range(seeds)?;
+    let next_seed = AtomicU64::new(first);
+    let reports = Mutex::new(Vec::new());
+    let started = Instant::now();
     thread::scope(|scope| {
         for _ in 0..jobs.max(1) {
             scope.spawn(|| {
                 loop {
-                    let seed = next.fetch_add(1, Ordering::Relaxed);
-                    if seed >= to {
+                    let seed = next_seed.fetch_add(1, Ordering::Relaxed);
+                    if seed >= end {
                         return;
                     }
                     let report = soak::run(seed, options).unwrap_or_else(|e| Report {
@@ -37,13 +40,13 @@
             });
         }
     });
-    let reports = reports.into_inner().map_err(|_| io::Error::other("a run was left unfinished"))?;
+    let reports = reports.into_inner().map_err(|_| io::Error::other("a run ended in a panic"))?;
     let broken = reports.iter().filter(|r| !r.broken.is_empty()).count();
     let processes: u64 = reports.iter().map(|r| r.processes).sum();
     println!(
         "{} runs in {:.0} s, {processes} processes, {broken} broke a rule",
         reports.len(),
-        begun.elapsed().as_secs_f64()
+        started.elapsed().as_secs_f64()
     );
     println!("ends: {:?}", sum(reports.iter().map(|r| &r.ends)));
     println!("troubles: {:?}", sum(reports.iter().map(|r| &r.troubles)));
@@ -51,9 +54,10 @@
     if broken > 0 { Err(io::Error::other(format!("{broken} runs broke a rule"))) } else { Ok(()) }
 }
 
+/// Adds up the counts of all runs, by name.
 fn sum<'a>(all: impl Iterator<Item = &'a BTreeMap<String, u64>>) -> BTreeMap<String, u64> {
     let mut sum = BTreeMap::new();
-    all.flatten().for_each(|(what, n)| *sum.entry(what.clone()).or_default() += n);
+    all.flatten().for_each(|(name, count)| *sum.entry(name.clone()).or_default() += count);
     sum
 }
 
@@ -61,5 +65,5 @@
     let Report { seed, processes, ends, held_up_ms, broken, .. } = report;
     let verdict = if broken.is_empty() { "kept".into() } else { format!("{} broken", broken.len()) };
     println!("seed {seed}: {verdict}, {processes} processes, held up {held_up_ms} ms, {ends:?}");
-    broken.iter().take(MOST_LINES).for_each(|line| println!("    {line}"));
+    broken.iter().take(MAX_PRINTED_VIOLATIONS).for_each(|line| println!("    {line}"));
 }
--- a/tests/plain.rs
+++ b/tests/plain.rs
@@ -147,7 +147,7 @@
         let answer = client.query(text).expect("an answer");
         assert_eq!(answer.code(), code, "{text}");
         assert!(answer.field('M').contains(reason), "{text}: {}", answer.field('M'));
-        if answer.failed {
+        if answer.in_failed_transaction {
             client.query("ROLLBACK").expect("an answer");
         }
     }
@@ -165,7 +165,7 @@
     let fleet = fleet(OPERATOR, 0);
     let mut client = fleet.client();
     let answer = client.query("BEGIN").expect("an answer");
-    assert_eq!((answer.code(), answer.failed), ("0A000", true));
+    assert_eq!((answer.code(), answer.in_failed_transaction), ("0A000", true));
     let request = "/* id=1,c=history,d=9000,cluster=3 */ SELECT payload FROM entries WHERE ref = 'x'";
     for inside in [
         "INSERT INTO entries (ref) VALUES ('half')",
@@ -176,16 +176,19 @@
         request,
     ] {
         let answer = client.query(inside).expect("an answer");
-        assert_eq!((answer.code(), answer.failed), ("25P02", true), "{inside}");
+        assert_eq!((answer.code(), answer.in_failed_transaction), ("25P02", true), "{inside}");
     }
     let long = format!("INSERT INTO entries (ref) VALUES ('{}')", "x".repeat(200_000));
     assert_eq!(client.query(&long).expect("an answer").code(), "25P02");
     // COMMIT ends the transaction with ROLLBACK, as in PostgreSQL after an error.
     let answer = client.query("COMMIT").expect("an answer");
-    assert_eq!((answer.tags.as_slice(), answer.failed), (&["ROLLBACK".to_string()][..], false));
+    assert_eq!(
+        (answer.tags.as_slice(), answer.in_failed_transaction),
+        (&["ROLLBACK".to_string()][..], false)
+    );
     assert_eq!(client.query("SELECT 1").expect("an answer").value(), Some("ok"));
     let whole = client.query("BEGIN; INSERT INTO entries (ref) VALUES ('half'); COMMIT").expect("an answer");
-    assert_eq!((whole.code(), whole.failed), ("0A000", false));
+    assert_eq!((whole.code(), whole.in_failed_transaction), ("0A000", false));
     // Another session isn't affected.
     client.query("BEGIN").expect("an answer");
     assert_eq!(fleet.ask("SELECT 1").value(), Some("ok"));
