--- a/crates/lab/src/days.rs
+++ b/crates/lab/src/days.rs
@@ -12,7 +12,7 @@
 
 /// Prints a seed's day as a plan.
 pub fn show(seed: u64) -> io::Result<()> {
-    println!("{}", serde_json::to_string_pretty(&Plan::of(seed))?);
+    println!("{}", serde_json::to_string_pretty(&Plan::from_seed(seed))?);
     Ok(())
 }
 
@@ -55,7 +55,7 @@
                     if seed >= to {
                         return;
                     }
-                    let outcome = sim::run(&Plan::of(seed), false);
+                    let outcome = sim::run(&Plan::from_seed(seed), false);
                     let Ok(mut done) = done.lock() else { return };
                     done.push((seed, outcome));
                     if shows {
@@ -94,7 +94,7 @@
     let Some((seed, outcome)) = failing.first() else { return Ok(()) };
     let Some((broken, step, _)) = &outcome.broken else { return Ok(()) };
     println!("\nseed {seed}, step {step}, made smaller:");
-    let small = sim::shrink(&Plan::of(*seed), broken.rule, shrink);
+    let small = sim::shrink(&Plan::from_seed(*seed), broken.rule, shrink);
     println!("{}", serde_json::to_string_pretty(&small)?);
     if let Some((b, step, about)) = sim::run(&small, false).broken {
         about.iter().for_each(|line| println!("  {line}"));
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -201,7 +201,7 @@
         }
         Command::Sim { seeds, jobs, replay, plan, show, shrink } => match (replay, plan) {
             (Some(seed), _) if show => days::show(seed),
-            (Some(seed), _) => days::replay(&Plan::of(seed)),
+            (Some(seed), _) => days::replay(&Plan::from_seed(seed)),
             (None, Some(file)) => Plan::read(&file).map_err(io::Error::other).and_then(|p| days::replay(&p)),
             (None, None) => days::many(&seeds, jobs, shrink),
         },
--- a/crates/lab/src/sim/agent.rs
+++ b/crates/lab/src/sim/agent.rs
@@ -3,7 +3,7 @@
 
 use super::deployment::ListRole;
 use super::host::Fleet;
-use super::world::Us;
+use super::world::Micros;
 use sillfold::net::world::{self, Listener, Spawner, Stream};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -12,11 +12,11 @@
 
 /// Changes are looked for this often, and a silent watch gets an empty line this often.
 const LOOK: Duration = Duration::from_millis(10);
-const BEAT: Us = 2_000_000;
+const BEAT: Micros = 2_000_000;
 /// What is told is there by then, unless the way is cut.
-pub const THERE: Us = 15_000;
+pub const THERE: Micros = 15_000;
 /// What discovery has and could be heard counts as told after this long, whatever became of watches and calls.
-const TOLD: Us = 6_000_000;
+const TOLD: Micros = 6_000_000;
 
 /// Discovery's agent.
 pub struct Agent {
@@ -32,7 +32,7 @@
     opened: Cell<u64>,
     silent: Cell<u64>,
     /// Since when each proxy's process could reach this one.
-    reaches: RefCell<BTreeMap<usize, Us>>,
+    reaches: RefCell<BTreeMap<usize, Micros>>,
 }
 
 impl Agent {
@@ -55,7 +55,7 @@
 
     /// Tells the book what counts as told by and by, whether or not anybody asked.
     pub async fn counts(self: Rc<Agent>) {
-        let mut off_since: BTreeMap<usize, Us> = BTreeMap::new();
+        let mut off_since: BTreeMap<usize, Micros> = BTreeMap::new();
         loop {
             let (now, _) = (self.fleet.world.now(), self.list());
             for (i, off) in self.kept.borrow().2.iter().enumerate() {
@@ -66,7 +66,7 @@
                 }
             }
             for (peer, since) in self.reaches.borrow_mut().iter_mut() {
-                if self.fleet.world.is_cut(self.machine.get(), *peer) {
+                if self.fleet.world.is_blocked(self.machine.get(), *peer) {
                     *since = now;
                     continue;
                 }
@@ -85,9 +85,9 @@
         let hosts = self.fleet.hosts.borrow();
         let mut listed = self.listed_primaries.borrow_mut();
         if listed.len() < hosts.len() {
-            *listed = hosts.iter().map(|h| h.primary && role != ListRole::Silent).collect();
+            *listed = hosts.iter().map(|h| h.primary && role != ListRole::Absent).collect();
         }
-        let ListRole::Late(delay_ms) = role else { return };
+        let ListRole::Delayed(delay_ms) = role else { return };
         for (host, listed) in hosts.iter().zip(listed.iter_mut()) {
             if host.primary != *listed && host.role_since + delay_ms * 1_000 <= now {
                 *listed = host.primary;
@@ -124,7 +124,7 @@
     /// Serves for as long as its machine lives.
     pub async fn serve(self: Rc<Agent>, listener: Listener, spawner: Spawner) {
         while let Ok(stream) = listener.accept().await {
-            let (peer, _) = self.fleet.world.accepted();
+            let (peer, _) = self.fleet.world.last_accepted();
             let agent = self.clone();
             spawner.spawn(async move {
                 let _ = agent.talk(stream, peer).await;
@@ -135,7 +135,7 @@
     /// What a list says of hosts that are off, for the book.
     fn told(&self, peer: usize) {
         let world = &self.fleet.world;
-        if world.is_cut(self.machine.get(), peer) {
+        if world.is_blocked(self.machine.get(), peer) {
             return;
         }
         let by = world.now() + THERE;
--- a/crates/lab/src/sim/check.rs
+++ b/crates/lab/src/sim/check.rs
@@ -1,9 +1,9 @@
 //! The rules that hold whatever fails, as a book that is told what hosts, discovery and clients see. It owns what it
 //! was told and the first rule that was broken. It is pure: it must never look into a proxy, nor at a clock.
 
-use super::deployment::{Class, DedupScope, Effect, Need, Tokens};
+use super::deployment::{Access, Class, DedupScope, Idempotency, SessionTokens};
 use super::freshness::Freshness;
-use super::world::{Machine, Us};
+use super::world::{Machine, Micros};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Where an attempt stands, as its host knows.
@@ -36,22 +36,22 @@
     /// The number of the connection over which it came.
     pub connection: u64,
     /// When it was sent.
-    pub sent: Us,
+    pub sent: Micros,
     /// When its process set out to send it: it may have been held up since.
-    pub issued: Us,
+    pub issued: Micros,
 }
 
 struct Attempt {
     place: Place,
     connection: u64,
-    at: Us,
+    at: Micros,
     state: State,
 }
 
 /// What a host answered, from data as of a position, and to which attempt.
 struct Made {
     id: String,
-    position: Us,
+    position: Micros,
     host: usize,
     origin: Origin,
 }
@@ -66,9 +66,9 @@
     /// The session that it reads or writes in.
     pub session: &'a str,
     /// When its client sent it.
-    pub sent: Us,
+    pub sent: Micros,
     /// The position of the session's last write, where the request carries it.
-    pub mark: Us,
+    pub mark: Micros,
 }
 
 /// A broken rule, and what its report is about.
@@ -79,7 +79,7 @@
     /// What happened.
     pub what: String,
     /// When, in virtual microseconds.
-    pub at: Us,
+    pub at: Micros,
     /// Words that lines of the trace about it hold.
     pub about: Vec<String>,
 }
@@ -88,33 +88,33 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Figures {
     /// New work may reach a draining or gone host for so long after a proxy was told.
-    pub grace: Us,
+    pub grace: Micros,
     /// A cold host's share of its capacity at its start, and how long it is cold.
     pub start_capacity: f64,
     /// See there.
-    pub cold: Us,
+    pub cold: Micros,
     /// So many times what a cold host can do, for so long, tips it over.
     pub tip_multiple: f64,
     /// See there.
-    pub overload_for: Us,
+    pub overload_for: Micros,
     /// Attempts at a request at most.
     pub max_attempts: usize,
     /// How a session's own writes are known.
-    pub tokens: Tokens,
+    pub tokens: SessionTokens,
     /// Whether every answer tells the position of its data.
     pub answer_positions: bool,
     /// An attempt may begin for so long after its client has left.
-    pub gone: Us,
+    pub gone: Micros,
     /// What an answer may be late by its way alone.
-    pub way: Us,
+    pub way: Micros,
     /// By how much a proxy may be held up before a write; 0 on a day without that.
-    pub held_up: Us,
+    pub held_up: Micros,
     /// Cores of a host.
     pub cores: f64,
 }
 
 /// A complete answer to a write is its client's within this time.
-const PASSED_ON_IN: Us = 250_000;
+const PASSED_ON_IN: Micros = 250_000;
 
 /// What was seen, and what rule was broken first.
 pub struct Book {
@@ -122,14 +122,14 @@
     attempts: BTreeMap<String, Vec<Attempt>>,
     made: BTreeMap<String, Made>,
     /// When the first complete answer to a write was written to a process that could hear it.
-    complete: BTreeMap<String, Us>,
+    complete: BTreeMap<String, Micros>,
     /// Since when each proxy knows that a host drains or is gone.
-    told: BTreeMap<(Machine, usize), Us>,
+    told: BTreeMap<(Machine, usize), Micros>,
     /// Since when each knows that operators leave a host out.
-    by_hand: BTreeMap<(Machine, usize), Us>,
-    cold_work: BTreeMap<usize, VecDeque<(Us, f64)>>,
+    by_hand: BTreeMap<(Machine, usize), Micros>,
+    cold_work: BTreeMap<usize, VecDeque<(Micros, f64)>>,
     /// When clients of open requests left.
-    left: BTreeMap<String, Us>,
+    left: BTreeMap<String, Micros>,
     /// What reads must reflect.
     pub freshness: Freshness,
     /// The first broken rule.
@@ -172,13 +172,13 @@
     }
 
     /// Notes that a rule was broken, unless one was before.
-    pub fn breaks(&mut self, rule: &'static str, at: Us, what: String, about: &[&str]) {
+    pub fn breaks(&mut self, rule: &'static str, at: Micros, what: String, about: &[&str]) {
         let about = about.iter().map(|s| s.to_string()).collect();
         self.broken.get_or_insert(Broken { rule, what, at, about });
     }
 
     /// A proxy was told, or will be by then, that a host drains or is gone; or that it serves again.
-    pub fn tells(&mut self, proxy: Machine, host: usize, off: bool, by: Us) {
+    pub fn tells(&mut self, proxy: Machine, host: usize, off: bool, by: Micros) {
         if off {
             let told = self.told.entry((proxy, host)).or_insert(by);
             *told = by.min(*told);
@@ -188,7 +188,7 @@
     }
 
     /// Operators left a host out at a proxy, or it heard so from the one beside it or before it, by then; or no more.
-    pub fn by_hand(&mut self, proxy: Machine, host: usize, out: bool, by: Us) {
+    pub fn by_hand(&mut self, proxy: Machine, host: usize, out: bool, by: Micros) {
         if out {
             self.by_hand.entry((proxy, host)).or_insert(by);
         } else {
@@ -197,18 +197,19 @@
     }
 
     /// The client of a request has closed its connection.
-    pub fn leaves(&mut self, now: Us, id: &str) {
+    pub fn leaves(&mut self, now: Micros, id: &str) {
         self.left.insert(id.to_string(), now);
     }
 
     /// What a proxy was to hear after this moment never came.
-    pub fn untells(&mut self, proxy: Machine, after: Us) {
+    pub fn untells(&mut self, proxy: Machine, after: Micros) {
         self.told.retain(|k, by| k.0 != proxy || *by <= after);
     }
 
     /// The whole of an attempt is at a host; `held` tells whether the proxy still holds a connection open.
     pub fn attempt(
-        &mut self, now: Us, id: &str, class: &Class, place: Place, origin: Origin, held: impl Fn(u64) -> bool,
+        &mut self, now: Micros, id: &str, class: &Class, place: Place, origin: Origin,
+        held: impl Fn(u64) -> bool,
     ) -> usize {
         self.counts.attempts += 1;
         let f = self.figures;
@@ -223,16 +224,16 @@
         if let Some(a) = before.iter().find(|a| a.state != State::Refused) {
             let rule = "no repeat beyond the class";
             let after = sent.saturating_sub(a.at);
-            match class.effect {
-                Effect::Safe => {}
-                Effect::Once => {
+            match class.idempotency {
+                Idempotency::Idempotent => {}
+                Idempotency::NotIdempotent => {
                     let (name, first) = (&class.name, a.place.host);
                     faults.push((
                         rule,
                         format!("{id} of {name} comes again, and may have run at host {first}"),
                     ));
                 }
-                Effect::Keyed(scope, window_ms)
+                Idempotency::Keyed(scope, window_ms)
                     if after > window_ms * 1_000 || !drops_repeats(scope, a.place, place) =>
                 {
                     let what = format!(
@@ -240,7 +241,7 @@
                     );
                     faults.push((rule, what));
                 }
-                Effect::Keyed(..) => {}
+                Idempotency::Keyed(..) => {}
             }
         }
         if before.len() >= f.max_attempts {
@@ -277,7 +278,7 @@
     }
 
     /// So much work came to a host that started at this time.
-    pub fn works(&mut self, now: Us, host: usize, started: Us, work: f64) {
+    pub fn works(&mut self, now: Micros, host: usize, started: Micros, work: f64) {
         let f = self.figures;
         let rise = now.saturating_sub(started) as f64 / f.cold as f64;
         let came = self.cold_work.entry(host).or_default();
@@ -295,12 +296,12 @@
     }
 
     /// A host made this answer to an attempt, from data as of this position.
-    pub fn makes(&mut self, value: &str, id: &str, position: Us, host: usize, origin: Origin) {
+    pub fn makes(&mut self, value: &str, id: &str, position: Micros, host: usize, origin: Origin) {
         self.made.insert(value.to_string(), Made { id: id.to_string(), position, host, origin });
     }
 
     /// A client got a value for its request.
-    pub fn gets(&mut self, now: Us, asked: Asked, value: &str) {
+    pub fn gets(&mut self, now: Micros, asked: Asked, value: &str) {
         self.counts.served += 1;
         let Asked { id, class, .. } = asked;
         let Some(made) = self.made.get(value).filter(|m| m.id == id) else {
@@ -321,12 +322,12 @@
     }
 
     /// A complete answer to a write, up to the end of its command, is written to a process that can hear it.
-    pub fn completes(&mut self, now: Us, id: &str) {
+    pub fn completes(&mut self, now: Micros, id: &str) {
         self.complete.entry(id.to_string()).or_insert(now);
     }
 
     /// A client got an error; `was_cut` tells whether a link failed between two moments.
-    pub fn fails(&mut self, now: Us, id: &str, was_cut: impl Fn(Us, Us) -> bool) {
+    pub fn fails(&mut self, now: Micros, id: &str, was_cut: impl Fn(Micros, Micros) -> bool) {
         self.counts.errors += 1;
         let Some(written) = self.complete.get(id).copied() else { return };
         // One hold-up as the answer comes, one as it is passed on.
@@ -338,19 +339,21 @@
     }
 
     /// How much older than they may be the data of a read are.
-    fn behind(&self, asked: Asked, made: &Made) -> Us {
+    fn behind(&self, asked: Asked, made: &Made) -> Micros {
         let Origin { process, issued: sent, .. } = made.origin;
         let excused = self.freshness.is_excused(process, made.host, sent);
         // Where answers tell positions, that of an old primary says itself that it is too old.
         let excused_unless_told = excused && !self.figures.answer_positions;
-        let must_reflect = match (asked.class.need, self.figures.tokens) {
-            (Need::Any | Need::Write, _) => 0,
-            (Need::Session, Tokens::Carried) if excused_unless_told => 0,
-            (Need::Session, Tokens::Carried) => asked.mark,
-            (Need::Session, Tokens::Remembered) if excused => 0,
-            (Need::Session, Tokens::Remembered) => self.freshness.must_reflect(process, asked.session, sent),
-            (Need::Bounded(_), _) if excused_unless_told => 0,
-            (Need::Bounded(bound_ms), _) => {
+        let must_reflect = match (asked.class.access, self.figures.tokens) {
+            (Access::AnyRead | Access::Write, _) => 0,
+            (Access::SessionRead, SessionTokens::FromClient) if excused_unless_told => 0,
+            (Access::SessionRead, SessionTokens::FromClient) => asked.mark,
+            (Access::SessionRead, SessionTokens::TrackedByProxy) if excused => 0,
+            (Access::SessionRead, SessionTokens::TrackedByProxy) => {
+                self.freshness.must_reflect(process, asked.session, sent)
+            }
+            (Access::BoundedRead(_), _) if excused_unless_told => 0,
+            (Access::BoundedRead(bound_ms), _) => {
                 let from = if excused { asked.sent } else { sent };
                 from.saturating_sub(bound_ms * 1_000)
             }
@@ -359,7 +362,7 @@
     }
 
     /// A client's request has no answer yet, or had one at this time; this late, the rule is broken.
-    pub fn waits(&mut self, now: Us, id: &str, class: &Class, sent: Us, answered: bool) {
+    pub fn waits(&mut self, now: Micros, id: &str, class: &Class, sent: Micros, answered: bool) {
         let late = now.saturating_sub(sent + class.deadline_ms * 1_000);
         if late > self.figures.way + 2 * self.figures.held_up {
             let what = if answered { "was answered" } else { "is not answered" };
@@ -369,7 +372,7 @@
     }
 
     /// A client's connection ended in the middle of a request, or said something that nobody asked for.
-    pub fn strange(&mut self, now: Us, id: &str, what: &str) {
+    pub fn strange(&mut self, now: Micros, id: &str, what: &str) {
         self.breaks("one final answer in time", now, format!("{id}: {what}"), &[id]);
     }
 }
--- a/crates/lab/src/sim/client.rs
+++ b/crates/lab/src/sim/client.rs
@@ -2,9 +2,9 @@
 //! they wait for. They must never forgive what the page on rules does not.
 
 use super::check::Asked;
-use super::deployment::{Class, Effect, Need, Tokens};
+use super::deployment::{Access, Class, Idempotency, SessionTokens};
 use super::host::{Fleet, next};
-use super::world::Us;
+use super::world::Micros;
 use crate::wire;
 use futures_lite::future;
 use sillfold::net::world::{self, Stream};
@@ -14,16 +14,16 @@
 use std::time::Duration;
 
 /// A connection that ends this soon after a request was sent was closed before that was there.
-const CROSSED: Us = 12_000;
+const CROSSED: Micros = 12_000;
 
 /// A proxy, as its clients know it.
 pub struct Target {
     /// Where it listens.
     pub address: SocketAddr,
     /// When a process there was last killed: what was out then has no answer.
-    pub killed: Cell<Option<Us>>,
+    pub killed: Cell<Option<Micros>>,
     /// Until when clients ask.
-    pub until: Us,
+    pub until: Micros,
     /// Requests that are out.
     pub out: Cell<usize>,
 }
@@ -45,12 +45,12 @@
 impl Client {
     /// One of its sessions, by lot.
     fn session(&self, fleet: &Fleet) -> u64 {
-        self.sessions.0 + fleet.world.draw(self.sessions.1)
+        self.sessions.0 + fleet.world.draw_below(self.sessions.1)
     }
 
     /// One of its proxies, by lot.
     fn target(&self, fleet: &Fleet) -> Rc<Target> {
-        self.targets[fleet.world.draw(self.targets.len() as u64) as usize].clone()
+        self.targets[fleet.world.draw_below(self.targets.len() as u64) as usize].clone()
     }
 }
 
@@ -62,7 +62,7 @@
     let mut target = client.target(&fleet);
     let mut connection: Option<(Stream, Vec<u8>)> = None;
     loop {
-        let rest = (-(rest_ms as f64) * 1e3 * (1.0 - w.lot()).ln()) as u64;
+        let rest = (-(rest_ms as f64) * 1e3 * (1.0 - w.draw_fraction()).ln()) as u64;
         world::after(Duration::from_micros(rest.min(10_000_000))).await;
         if w.now() >= target.until {
             return;
@@ -83,7 +83,7 @@
             None => {
                 target = client.target(&fleet);
                 let Some(stream) = opens(target.address).await else {
-                    world::after(Duration::from_millis(50 + w.draw(100))).await;
+                    world::after(Duration::from_millis(50 + w.draw_below(100))).await;
                     continue;
                 };
                 (stream, Vec::new())
@@ -93,7 +93,7 @@
         target.out.set(target.out.get() + 1);
         let kept = ask(&fleet, &target, &mut stream, &mut came, (&client, count), &mut mark).await;
         target.out.set(target.out.get() - 1);
-        if kept && w.draw(20) > 0 {
+        if kept && w.draw_below(20) > 0 {
             connection = Some((stream, came));
         }
     }
@@ -132,19 +132,20 @@
     let session = client.session(fleet);
     let group = session % client.groups as u64;
     let session = format!("s{session}");
-    let is_marked = class.need == Need::Session && fleet.deployment.tokens == Tokens::Carried;
-    let key = if class.effect == Effect::Safe { String::new() } else { format!(",k={id}") };
+    let is_marked =
+        class.access == Access::SessionRead && fleet.deployment.tokens == SessionTokens::FromClient;
+    let key = if class.idempotency == Idempotency::Idempotent { String::new() } else { format!(",k={id}") };
     // A mark is of the group that the write was in: clients here keep one of the latest write to any, in time.
     let after = if is_marked && *mark > 0 { format!(",after={mark}") } else { String::new() };
     let (name, d) = (&class.name, class.deadline_ms);
-    let verb = match class.need {
-        Need::Write => format!("INSERT INTO e VALUES ('{session}')"),
+    let verb = match class.access {
+        Access::Write => format!("INSERT INTO e VALUES ('{session}')"),
         _ => format!("SELECT v FROM e WHERE k = '{session}'"),
     };
     let text = format!("/* id={id},c={name},d={d}{key}{after},cluster={group} */ {verb}");
     let sent = w.now();
     let brought = if is_marked { fleet.mark(*mark) } else { 0 };
-    w.note(|| format!("client {number} asks {id} of {name} in group {group}, session {session} "));
+    w.trace(|| format!("client {number} asks {id} of {name} in group {group}, session {session} "));
     fleet.book.borrow_mut().counts.asked += 1;
     if stream.write_all(&wire::message(b'Q', &[text.as_bytes(), b"\0"].concat())).await.is_err() {
         fleet.book.borrow_mut().counts.excused += 1;
@@ -152,14 +153,18 @@
     }
     let (mut value, mut error) = (None, None);
     // Some give up in the middle of it, and close.
-    let leaves = if w.draw(25) == 0 { sent + 1_000 + w.draw(class.deadline_ms * 500) } else { Us::MAX };
+    let leaves = if w.draw_below(25) == 0 {
+        sent + 1_000 + w.draw_below(class.deadline_ms * 500)
+    } else {
+        Micros::MAX
+    };
     loop {
         if w.now() >= leaves {
             let mut book = fleet.book.borrow_mut();
             book.leaves(w.now(), &id);
             book.counts.excused += 1;
             drop(book);
-            w.note(|| format!("client {number} leaves while {id} is open"));
+            w.trace(|| format!("client {number} leaves while {id} is open"));
             return false;
         }
         let message = async { Some(next(stream, came).await) };
@@ -202,15 +207,15 @@
                     (Some(value), None) => {
                         let (id, class, session) = (&id, &*class, &session);
                         book.gets(now, Asked { id, class, session, sent, mark: brought }, &value);
-                        if class.need == Need::Write {
+                        if class.access == Access::Write {
                             // It was committed by now.
                             *mark = w.unix_ms();
                         }
                     }
                     (None, Some(code)) => {
-                        book.fails(now, &id, |since, by| w.was_cut(since, by));
+                        book.fails(now, &id, |since, by| w.was_disrupted(since, by));
                         drop(book);
-                        w.note(|| format!("client {number} has {code} for {id}"));
+                        w.trace(|| format!("client {number} has {code} for {id}"));
                     }
                     _ => book.strange(now, &id, "neither a row nor an error"),
                 }
@@ -234,7 +239,7 @@
 
 /// The class of the next request, by lot.
 fn draw_class(fleet: &Fleet) -> Rc<Class> {
-    let mut lot = fleet.world.lot();
+    let mut lot = fleet.world.draw_fraction();
     let class = fleet.classes.iter().find(|c| {
         lot -= c.share;
         lot < 0.0
@@ -243,7 +248,7 @@
 }
 
 /// A client that does not behave, for so long; what it asks is of no rule's concern but that others are served.
-pub async fn rude(fleet: Rc<Fleet>, target: Rc<Target>, until: Us) {
+pub async fn rude(fleet: Rc<Fleet>, target: Rc<Target>, until: Micros) {
     let w = fleet.world.clone();
     while w.now() < until {
         let Ok(stream) = Stream::connect(target.address).await else {
@@ -251,7 +256,7 @@
             continue;
         };
         let startup = wire::startup("web", "orders");
-        let parts: &[&[u8]] = match w.draw(5) {
+        let parts: &[&[u8]] = match w.draw_below(5) {
             0 => &[&startup[..startup.len() / 2]],
             1 => &[&[0xff; 64]],
             2 => &[&startup, b"Q\0\0\x01\0half"],
@@ -263,12 +268,12 @@
                 break;
             }
         }
-        if w.draw(3) == 0 {
+        if w.draw_below(3) == 0 {
             let _ = stream.shutdown();
         }
-        let left = until.saturating_sub(w.now()).min(500_000 + w.draw(4_000_000));
+        let left = until.saturating_sub(w.now()).min(500_000 + w.draw_below(4_000_000));
         let reads = async { while let Ok(1..) = stream.read_with(|_| ()).await {} };
         future::or(reads, world::after(Duration::from_micros(left))).await;
-        world::after(Duration::from_millis(10 + w.draw(100))).await;
+        world::after(Duration::from_millis(10 + w.draw_below(100))).await;
     }
 }
--- a/crates/lab/src/sim/deployment.rs
+++ b/crates/lab/src/sim/deployment.rs
@@ -17,13 +17,13 @@
 /// For how long a new version may still send to a draining host, in microseconds.
 pub const DRAIN_GRACE_US: u64 = 500_000;
 /// A cold host's share of its capacity at its start, and for how long it is cold.
-pub const START_CAPACITY: f64 = 0.2;
+pub const COLD_START_CAPACITY: f64 = 0.2;
 /// See there, in microseconds.
-pub const COLD_US: u64 = 8_000_000;
+pub const COLD_DURATION_US: u64 = 8_000_000;
 /// So many times what a cold host can do, for so long, tips it over.
-pub const TIP_MULTIPLE: f64 = 3.0;
+pub const OVERLOAD_MULTIPLE: f64 = 3.0;
 /// See there, in microseconds.
-pub const OVERLOAD_FOR_US: u64 = 1_000_000;
+pub const OVERLOAD_DURATION_US: u64 = 1_000_000;
 /// How far replicas usually are behind, in milliseconds.
 const REPLICATION_DELAYS_MS: [u64; 5] = [5, 20, 80, 300, 1_000];
 /// Where a write waits for a replica, it does not wait for one that is further behind than this.
@@ -32,13 +32,16 @@
 /// How recent the data of an answer must be, and whether the class writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Need {
+pub enum Access {
     /// Any data will do.
-    Any,
+    #[serde(rename = "any")]
+    AnyRead,
     /// So many milliseconds behind at most, as of the sending of the attempt.
-    Bounded(u64),
+    #[serde(rename = "bounded")]
+    BoundedRead(u64),
     /// Every write of the request's session.
-    Session,
+    #[serde(rename = "session")]
+    SessionRead,
     /// It is a write.
     Write,
 }
@@ -58,11 +61,13 @@
 /// How a class's requests may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Effect {
+pub enum Idempotency {
     /// At any time.
-    Safe,
+    #[serde(rename = "safe")]
+    Idempotent,
     /// Never once one may have run.
-    Once,
+    #[serde(rename = "once")]
+    NotIdempotent,
     /// Inside the scope, for so many milliseconds after the first that may have run.
     Keyed(DedupScope, u64),
 }
@@ -76,10 +81,12 @@
     pub name: String,
     /// What it needs.
     #[garde(skip)]
-    pub need: Need,
+    #[serde(rename = "need")]
+    pub access: Access,
     /// How it may be repeated.
     #[garde(skip)]
-    pub effect: Effect,
+    #[serde(rename = "effect")]
+    pub idempotency: Idempotency,
     /// For how long its clients wait, in milliseconds.
     #[garde(range(min = 100, max = 6_000))]
     pub deadline_ms: u64,
@@ -106,11 +113,13 @@
 /// How a session's own writes are known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Tokens {
+pub enum SessionTokens {
     /// Each session read carries the position of the session's last write.
-    Carried,
+    #[serde(rename = "carried")]
+    FromClient,
     /// The proxy remembers the writes of each session.
-    Remembered,
+    #[serde(rename = "remembered")]
+    TrackedByProxy,
 }
 
 /// What a replica does with a read that it is too far behind for.
@@ -118,9 +127,11 @@
 #[serde(rename_all = "snake_case")]
 pub enum LagCheck {
     /// It answers from what it has.
-    None,
+    #[serde(rename = "none")]
+    Unchecked,
     /// It turns the read away at once.
-    Refuse,
+    #[serde(rename = "refuse")]
+    Reject,
     /// It waits so many milliseconds, then turns the read away.
     Wait(u64),
 }
@@ -129,8 +140,8 @@
     /// Its value in the settings object.
     pub fn name(self) -> &'static str {
         match self {
-            LagCheck::None => "silent",
-            LagCheck::Refuse => "bounce",
+            LagCheck::Unchecked => "silent",
+            LagCheck::Reject => "bounce",
             LagCheck::Wait(_) => "await",
         }
     }
@@ -146,20 +157,23 @@
 #[serde(rename_all = "snake_case")]
 pub enum ListRole {
     /// So many milliseconds after they change.
-    Late(u64),
+    #[serde(rename = "late")]
+    Delayed(u64),
     /// Those of the day's start.
-    Start,
+    #[serde(rename = "start")]
+    AtStartup,
     /// It does not.
-    Silent,
+    #[serde(rename = "silent")]
+    Absent,
 }
 
 impl ListRole {
     /// Its value in the settings object.
     pub fn name(self) -> &'static str {
         match self {
-            ListRole::Late(_) => "trailing",
-            ListRole::Start => "static",
-            ListRole::Silent => "silent",
+            ListRole::Delayed(_) => "trailing",
+            ListRole::AtStartup => "static",
+            ListRole::Absent => "silent",
         }
     }
 }
@@ -170,7 +184,7 @@
 pub struct Deployment {
     /// How a session's own writes are known.
     #[garde(skip)]
-    pub tokens: Tokens,
+    pub tokens: SessionTokens,
     /// What replicas do with reads that they are too far behind for.
     #[garde(skip)]
     pub lag_check: LagCheck,
@@ -214,23 +228,23 @@
 
 impl Default for Deployment {
     fn default() -> Deployment {
-        Deployment::standard(Family::Await, false)
+        Deployment::standard(Family::Wait, false)
     }
 }
 
 impl Deployment {
     /// The deployment of plans that name none: six classes, and sessions that carry their marks.
-    pub fn standard(family: Family, blind: bool) -> Deployment {
+    pub fn standard(family: Family, positions_from_probes_only: bool) -> Deployment {
         let lag_check = match family {
-            Family::Silent => LagCheck::None,
-            Family::Bounce => LagCheck::Refuse,
-            Family::Await => LagCheck::Wait(100),
+            Family::Unchecked => LagCheck::Unchecked,
+            Family::Reject => LagCheck::Reject,
+            Family::Wait => LagCheck::Wait(100),
         };
         Deployment {
-            tokens: Tokens::Carried,
+            tokens: SessionTokens::FromClient,
             lag_check,
-            list_role: ListRole::Late(0),
-            answer_positions: !blind,
+            list_role: ListRole::Delayed(0),
+            answer_positions: !positions_from_probes_only,
             synchronous_commit: false,
             replication_delay_ms: 20,
             probes: true,
@@ -245,18 +259,18 @@
     }
 
     /// A deployment drawn from a seed, of so many proxies that run.
-    pub fn of(seed: u64, proxies: usize) -> Deployment {
+    pub fn from_seed(seed: u64, proxies: usize) -> Deployment {
         let mut dice = Dice(Rand64::new(u128::from(seed) ^ 0x6465_706c_6f79));
-        let tokens = if dice.one_in(3) { Tokens::Carried } else { Tokens::Remembered };
+        let tokens = if dice.one_in(3) { SessionTokens::FromClient } else { SessionTokens::TrackedByProxy };
         let lag_check = match dice.below(3) {
-            0 => LagCheck::None,
-            1 => LagCheck::Refuse,
+            0 => LagCheck::Unchecked,
+            1 => LagCheck::Reject,
             _ => LagCheck::Wait(20 + dice.below(180)),
         };
         let list_role = match dice.below(3) {
-            0 => ListRole::Late(dice.below(4_000)),
-            1 => ListRole::Start,
-            _ => ListRole::Silent,
+            0 => ListRole::Delayed(dice.below(4_000)),
+            1 => ListRole::AtStartup,
+            _ => ListRole::Absent,
         };
         let (answer_positions, synchronous_commit, probes) =
             (!dice.one_in(3), dice.one_in(3), !dice.one_in(3));
@@ -301,7 +315,8 @@
 
     /// The settings object that the proxy with this number gets.
     pub fn settings(&self, ordinal: usize, running: usize, peers: bool) -> Value {
-        let bound_us = |class: &Class| if let Need::Bounded(ms) = class.need { ms * 1_000 } else { 0 };
+        let bound_us =
+            |class: &Class| if let Access::BoundedRead(ms) = class.access { ms * 1_000 } else { 0 };
         let zones: Vec<String> = (0..self.zones).map(|zone| self.zone_name(zone as u8)).collect();
         json!({
             "balancers": self.named_proxies.max(running), "ordinal": ordinal,
@@ -314,7 +329,7 @@
                 "positions": self.answer_positions, "roleInList": self.list_role.name(),
                 "commitWaits": self.synchronous_commit,
                 "stalenessBoundUs": self.classes.iter().map(bound_us).collect::<Vec<_>>(),
-                "writeMarks": if self.tokens == Tokens::Carried { "brought" } else { "kept" }, "zeroUs": 0,
+                "writeMarks": if self.tokens == SessionTokens::FromClient { "brought" } else { "kept" }, "zeroUs": 0,
             },
             "ceilings": {
                 "mostTries": self.max_attempts, "dialTimeoutUs": self.dial_timeout_ms * 1_000,
@@ -323,8 +338,8 @@
                 "maxRetryAfterUs": self.max_retry_after_ms * 1_000, "peerMessages": peers,
             },
             "safety": {
-                "drainGraceUs": DRAIN_GRACE_US, "startCapacity": START_CAPACITY, "coldUs": COLD_US,
-                "tipMultiple": TIP_MULTIPLE, "overloadForUs": OVERLOAD_FOR_US, "askWithinUs": 10_000_000,
+                "drainGraceUs": DRAIN_GRACE_US, "startCapacity": COLD_START_CAPACITY, "coldUs": COLD_DURATION_US,
+                "tipMultiple": OVERLOAD_MULTIPLE, "overloadForUs": OVERLOAD_DURATION_US, "askWithinUs": 10_000_000,
             },
         })
     }
@@ -333,11 +348,11 @@
 impl Class {
     /// What it needs, as the settings object says it.
     fn read_name(&self) -> &'static str {
-        match self.need {
-            Need::Any => "eventual",
-            Need::Bounded(_) => "lag_bound",
-            Need::Session => "causal",
-            Need::Write => "mutate",
+        match self.access {
+            Access::AnyRead => "eventual",
+            Access::BoundedRead(_) => "lag_bound",
+            Access::SessionRead => "causal",
+            Access::Write => "mutate",
         }
     }
 
@@ -345,13 +360,13 @@
         let mut class = json!({
             "name": self.name, "deadlineUs": self.deadline_ms * 1_000, "sloUs": self.aim_ms * 1_000,
             "worth": self.worth, "lateWorth": self.late_worth, "aimStretch": self.aim_stretch,
-            "effect": match self.effect {
-                Effect::Safe => "retryable",
-                Effect::Once => "fragile",
-                Effect::Keyed(..) => "dedup",
+            "effect": match self.idempotency {
+                Idempotency::Idempotent => "retryable",
+                Idempotency::NotIdempotent => "fragile",
+                Idempotency::Keyed(..) => "dedup",
             },
         });
-        if let Effect::Keyed(scope, window_ms) = self.effect {
+        if let Idempotency::Keyed(scope, window_ms) = self.idempotency {
             class["dedupWindowUs"] = (window_ms * 1_000).into();
             class["dedupScope"] = match scope {
                 DedupScope::All => "all",
@@ -365,20 +380,20 @@
 }
 
 fn standard_classes() -> Vec<Class> {
-    let keyed = Effect::Keyed(DedupScope::Group, 800);
+    let keyed = Idempotency::Keyed(DedupScope::Group, 800);
     let rows = [
         // Its clients wait for longer than a stop may take.
-        ("report", Need::Any, Effect::Safe, 6_000, 20e3, 0.02),
-        ("browse", Need::Bounded(800), Effect::Safe, 800, 6e3, 0.45),
-        ("history", Need::Any, Effect::Safe, 900, 12e3, 0.23),
-        ("own", Need::Session, Effect::Safe, 1_000, 6e3, 0.1),
-        ("post", Need::Write, Effect::Once, 1_500, 9e3, 0.1),
-        ("ingest", Need::Write, keyed, 2_900, 9e3, 0.1),
+        ("report", Access::AnyRead, Idempotency::Idempotent, 6_000, 20e3, 0.02),
+        ("browse", Access::BoundedRead(800), Idempotency::Idempotent, 800, 6e3, 0.45),
+        ("history", Access::AnyRead, Idempotency::Idempotent, 900, 12e3, 0.23),
+        ("own", Access::SessionRead, Idempotency::Idempotent, 1_000, 6e3, 0.1),
+        ("post", Access::Write, Idempotency::NotIdempotent, 1_500, 9e3, 0.1),
+        ("ingest", Access::Write, keyed, 2_900, 9e3, 0.1),
     ];
-    let class = |(name, need, effect, deadline_ms, work_us, share): (&str, _, _, u64, _, _)| Class {
+    let class = |(name, access, idempotency, deadline_ms, work_us, share): (&str, _, _, u64, _, _)| Class {
         name: name.into(),
-        need,
-        effect,
+        access,
+        idempotency,
         deadline_ms,
         aim_ms: deadline_ms * 2 / 5,
         worth: 3.0,
@@ -406,35 +421,35 @@
     /// One to eight classes; where one reads what its session wrote, one writes.
     fn classes(&mut self) -> Vec<Class> {
         let count = 1 + self.below(MAX_CLASSES as u64) as usize;
-        let mut needs: Vec<Need> = (0..count).map(|_| self.need()).collect();
-        if count == 1 && needs[0] == Need::Session {
-            needs[0] = Need::Write;
+        let mut accesses: Vec<Access> = (0..count).map(|_| self.access()).collect();
+        if count == 1 && accesses[0] == Access::SessionRead {
+            accesses[0] = Access::Write;
         }
         if count > 1 {
-            needs[0] = Need::Write;
-            needs[1] = if self.one_in(4) { needs[1] } else { Need::Session };
+            accesses[0] = Access::Write;
+            accesses[1] = if self.one_in(4) { accesses[1] } else { Access::SessionRead };
         }
-        let weights: Vec<u64> = needs.iter().map(|_| 1 + self.below(6)).collect();
+        let weights: Vec<u64> = accesses.iter().map(|_| 1 + self.below(6)).collect();
         let all: u64 = weights.iter().sum();
-        let each = needs.into_iter().zip(weights).enumerate();
-        each.map(|(n, (need, weight))| self.class(n, need, weight as f64 / all as f64)).collect()
+        let each = accesses.into_iter().zip(weights).enumerate();
+        each.map(|(n, (access, weight))| self.class(n, access, weight as f64 / all as f64)).collect()
     }
 
-    fn need(&mut self) -> Need {
+    fn access(&mut self) -> Access {
         match self.below(5) {
-            0 => Need::Any,
-            1 | 2 => Need::Bounded(100 + self.below(2_400)),
-            3 => Need::Session,
-            _ => Need::Write,
+            0 => Access::AnyRead,
+            1 | 2 => Access::BoundedRead(100 + self.below(2_400)),
+            3 => Access::SessionRead,
+            _ => Access::Write,
         }
     }
 
-    fn class(&mut self, number: usize, need: Need, share: f64) -> Class {
+    fn class(&mut self, number: usize, access: Access, share: f64) -> Class {
         let deadline_ms = if self.one_in(10) { 6_000 } else { 400 + self.below(2_600) };
         Class {
             name: format!("class{number}"),
-            need,
-            effect: self.effect(need),
+            access,
+            idempotency: self.idempotency(access),
             deadline_ms,
             aim_ms: deadline_ms * (15 + self.below(80)) / 100,
             worth: (1 + self.below(40)) as f64 / 4.0,
@@ -445,18 +460,18 @@
         }
     }
 
-    fn effect(&mut self, need: Need) -> Effect {
-        let repeats = if need == Need::Write { 2 } else { 10 };
+    fn idempotency(&mut self, access: Access) -> Idempotency {
+        let repeats = if access == Access::Write { 2 } else { 10 };
         match self.below(repeats + 8) {
-            n if n < repeats => Effect::Safe,
-            n if n < repeats + 3 => Effect::Once,
+            n if n < repeats => Idempotency::Idempotent,
+            n if n < repeats + 3 => Idempotency::NotIdempotent,
             _ => {
                 let scope = match self.below(3) {
                     0 => DedupScope::All,
                     1 => DedupScope::Zone,
                     _ => DedupScope::Group,
                 };
-                Effect::Keyed(scope, 200 + self.below(2_800))
+                Idempotency::Keyed(scope, 200 + self.below(2_800))
             }
         }
     }
--- a/crates/lab/src/sim/forged_peer.rs
+++ b/crates/lab/src/sim/forged_peer.rs
@@ -3,7 +3,7 @@
 //! them.
 
 use super::host::Fleet;
-use super::world::Us;
+use super::world::Micros;
 use sillfold::net::core::shared_host_id;
 use sillfold::net::world;
 use sillfold_talk::{Datagram, Item, Sender};
@@ -15,7 +15,7 @@
 const INTERVAL: Duration = Duration::from_millis(20);
 
 /// Sends false news to all proxies in the name of one, until this time.
-pub async fn run(fleet: Rc<Fleet>, all: Vec<SocketAddr>, ordinal: usize, until: Us) {
+pub async fn run(fleet: Rc<Fleet>, all: Vec<SocketAddr>, ordinal: usize, until: Micros) {
     let begun = fleet.world.unix_ms();
     let mut number = 0;
     while fleet.world.now() < until {
@@ -27,13 +27,13 @@
             .map(|name| Item::HostPosition {
                 host: shared_host_id(name),
                 position_ms: now,
-                primary: fleet.world.lot() < 0.5,
+                primary: fleet.world.draw_fraction() < 0.5,
             })
             .collect();
         items.push(Item::TenantRate { tenant: 0, tenths_per_s: u32::MAX });
         let sender = Sender { ordinal: ordinal as u16, incarnation: begun, sequence: number };
         let (datagram, _) = Datagram::pack(sender, &items);
-        all.iter().for_each(|to| fleet.world.forge(all[ordinal], *to, datagram.bytes()));
+        all.iter().for_each(|to| fleet.world.send_forged_datagram(all[ordinal], *to, datagram.bytes()));
         world::after(INTERVAL).await;
     }
 }
--- a/crates/lab/src/sim/host.rs
+++ b/crates/lab/src/sim/host.rs
@@ -3,8 +3,8 @@
 //! and turns writes away.
 
 use super::check::{Book, Origin, Place, State};
-use super::deployment::{Class, DedupScope, Deployment, Effect, LagCheck, Need, Tokens};
-use super::world::{Us, World};
+use super::deployment::{Access, Class, DedupScope, Deployment, Idempotency, LagCheck, SessionTokens};
+use super::world::{Micros, World};
 use crate::wire;
 use futures_lite::future;
 use sillfold::net::world::{self, Listener, Spawner, Stream};
@@ -18,7 +18,7 @@
 pub const CORES: usize = 4;
 const SESSIONS: usize = 100;
 /// Work that waits longer than this for a core is turned away.
-const MOST_WAIT: Us = 600_000;
+const MOST_WAIT: Micros = 600_000;
 /// A host that waits for what has not been applied looks again this often.
 const LOOK_AGAIN: Duration = Duration::from_millis(5);
 /// A message past this is none.
@@ -47,7 +47,7 @@
     /// It is lost, and the session is silent from then on.
     Lost,
     /// It takes so much longer on its way.
-    Delayed(Us),
+    Delayed(Micros),
     /// It tells the host's role, and nothing more comes.
     RoleOnly,
 }
@@ -68,7 +68,7 @@
 struct Commit {
     id: String,
     session: String,
-    position: Us,
+    position: Micros,
 }
 
 /// A host, whatever process runs there.
@@ -84,9 +84,9 @@
     /// Whether it takes writes.
     pub primary: bool,
     /// How far behind it applies.
-    pub lag: Us,
+    pub lag: Micros,
     /// When its process started; 0 long ago.
-    pub started: Us,
+    pub started: Micros,
     /// Its state in the list.
     pub status: &'static str,
     /// What it does wrong, and how many times slower it works.
@@ -94,13 +94,13 @@
     /// See there.
     pub slow: u64,
     /// Some of its sessions come up so late.
-    pub late: Us,
+    pub late: Micros,
     /// What becomes of so many percent of its answers.
     pub answers: (AnswerFault, u64),
     /// Since when it has its role.
-    pub role_since: Us,
-    applied: Us,
-    busy_until: [Us; CORES],
+    pub role_since: Micros,
+    applied: Micros,
+    busy_until: [Micros; CORES],
     sessions: usize,
 }
 
@@ -121,7 +121,7 @@
     /// Keys of writes, by where their repeats are dropped.
     keys: RefCell<BTreeMap<(KeyScope, String), Kept>>,
     /// The latest commit of each session.
-    last_commits: RefCell<BTreeMap<String, Us>>,
+    last_commits: RefCell<BTreeMap<String, Micros>>,
     serial: Cell<u64>,
 }
 
@@ -136,9 +136,9 @@
 /// What a key was first used for.
 #[derive(Clone)]
 struct Kept {
-    at: Us,
+    at: Micros,
     value: String,
-    position: Us,
+    position: Micros,
 }
 
 /// A session's place at its host; dropping it gives it back.
@@ -171,7 +171,7 @@
     }
 
     /// How far replicas are behind where nothing is wrong.
-    pub fn usual_lag(&self) -> Us {
+    pub fn usual_lag(&self) -> Micros {
         self.deployment.replication_delay_ms * 1_000
     }
 
@@ -216,26 +216,26 @@
     }
 
     /// The host's process begins anew, with nothing in hand.
-    pub fn begins(&self, host: usize, started: Us) {
+    pub fn begins(&self, host: usize, started: Micros) {
         let h = &mut self.hosts.borrow_mut()[host];
         (h.busy_until, h.started) = ([0; CORES], started);
     }
 
     /// Up to where a host has applied its group's log; it never takes back what it has.
-    fn applied(&self, host: usize) -> Us {
+    fn applied(&self, host: usize) -> Micros {
         let h = &mut self.hosts.borrow_mut()[host];
         h.applied = h.applied.max(self.world.now().saturating_sub(if h.primary { 0 } else { h.lag }));
         h.applied
     }
 
     /// From now on a host applies so far behind.
-    pub fn lags(&self, host: usize, lag: Us) {
+    pub fn lags(&self, host: usize, lag: Micros) {
         self.applied(host);
         self.hosts.borrow_mut()[host].lag = lag;
     }
 
     /// When so much work, with all before it, is done; nothing where it would wait too long for a core.
-    fn takes(&self, host: usize, work: f64) -> Option<Us> {
+    fn takes(&self, host: usize, work: f64) -> Option<Micros> {
         let now = self.world.now();
         let h = &mut self.hosts.borrow_mut()[host];
         let core = h.busy_until.iter_mut().min()?;
@@ -243,14 +243,14 @@
         if begin > now + MOST_WAIT {
             return None;
         }
-        *core = begin + (work * h.slow as f64) as Us;
+        *core = begin + (work * h.slow as f64) as Micros;
         Some(*core)
     }
 
     /// A host's process, for as long as it lives.
     pub async fn serve(self: Rc<Fleet>, host: usize, listener: Listener, spawner: Spawner) {
         while let Ok(stream) = listener.accept().await {
-            let (peer, number) = self.world.accepted();
+            let (peer, number) = self.world.last_accepted();
             let fleet = self.clone();
             spawner.spawn(async move {
                 fleet.hosts.borrow_mut()[host].sessions += 1;
@@ -278,7 +278,7 @@
             }
         }
         let late = self.hosts.borrow()[host].late;
-        if late > 0 && self.world.draw(2) == 0 {
+        if late > 0 && self.world.draw_below(2) == 0 {
             world::after(Duration::from_micros(late)).await;
         }
         if self.hosts.borrow()[host].sessions > SESSIONS {
@@ -319,12 +319,13 @@
         &self, host: usize, (peer, connection): (usize, u64), stream: &Stream, answer: Answer,
     ) -> std::io::Result<bool> {
         let (fault, percent) = self.hosts.borrow()[host].answers;
-        let fault = if percent > 0 && self.world.draw(100) < percent { fault } else { AnswerFault::None };
+        let fault =
+            if percent > 0 && self.world.draw_below(100) < percent { fault } else { AnswerFault::None };
         self.notes_written(host, peer, &answer, fault);
         let Answer { body, notes, commit, .. } = answer;
         if let Some(commit) = commit
             && matches!(fault, AnswerFault::None | AnswerFault::Cut)
-            && self.world.is_heard(connection)
+            && self.world.is_peer_reachable(connection)
         {
             self.book.borrow_mut().completes(self.world.now(), &commit.id);
         }
@@ -332,7 +333,7 @@
             AnswerFault::None => {}
             AnswerFault::Delayed(by) => world::after(Duration::from_micros(by)).await,
             AnswerFault::Cut => {
-                let notes = if self.world.draw(2) == 0 { notes } else { Vec::new() };
+                let notes = if self.world.draw_below(2) == 0 { notes } else { Vec::new() };
                 stream.write_all(&[body, notes].concat()).await?;
                 return Ok(false);
             }
@@ -358,10 +359,10 @@
             freshness.commits(now, peer, session, *position);
             let what =
                 || format!("host {host} tells machine {peer} of a commit of session {session} at {position}");
-            self.world.note(what);
+            self.world.trace(what);
         }
         if fault != AnswerFault::None {
-            self.world.note(|| format!("host {host} to machine {peer}: {fault:?}"));
+            self.world.trace(|| format!("host {host} to machine {peer}: {fault:?}"));
         }
     }
 
@@ -376,8 +377,8 @@
             return None;
         };
         let (class, id) = (asked.class.clone(), asked.id);
-        w.note(|| format!("host {host} has {id} from machine {peer}, session {} ", asked.session));
-        let (sent, issued) = w.sent(connection);
+        w.trace(|| format!("host {host} has {id} from machine {peer}, session {} ", asked.session));
+        let (sent, issued) = w.last_arrival_times(connection);
         let origin = Origin { process: peer, connection, sent, issued };
         let (mode, primary, started, place) = {
             let h = &self.hosts.borrow()[host];
@@ -388,12 +389,12 @@
                 format!("{id} is for group {} and came to host {host} of {}", asked.group, place.group);
             self.book.borrow_mut().breaks("no answer nobody made", w.now(), what, &[id]);
         }
-        let held = |n| w.held_open(n);
+        let held = |n| w.is_peer_end_open(n);
         let index = self.book.borrow_mut().attempt(w.now(), id, &class, place, origin, held);
         let ended = |state| self.book.borrow_mut().ended(id, index, state);
         let refuse = |code: &str, why: &str| {
             ended(State::Refused);
-            w.note(|| format!("host {host} turns {id} away: {why}"));
+            w.trace(|| format!("host {host} turns {id} away: {why}"));
             let notes = self.notes(host, self.applied(host), false);
             let role = Some(self.hosts.borrow()[host].primary);
             Some(Answer { body: wire::error(code, why), notes, role, commit: None })
@@ -408,16 +409,16 @@
             Mode::Garbage => {
                 ended(State::Ran);
                 let whole = [row("half", "SELECT 1"), wire::ready()].concat();
-                let cut = w.draw(40) as usize;
-                let bytes = if w.draw(2) == 0 { vec![0xff; 1 + cut] } else { whole[..cut].to_vec() };
+                let cut = w.draw_below(40) as usize;
+                let bytes = if w.draw_below(2) == 0 { vec![0xff; 1 + cut] } else { whole[..cut].to_vec() };
                 let _ = stream.write_all(&bytes).await;
                 return None;
             }
         }
-        if class.need == Need::Write && !primary {
+        if class.access == Access::Write && !primary {
             return refuse("25006", "cannot execute INSERT in a read-only transaction");
         }
-        let work = -class.work_us * (1.0 - w.lot()).ln();
+        let work = -class.work_us * (1.0 - w.draw_fraction()).ln();
         if started > 0 {
             self.book.borrow_mut().works(w.now(), host, started, work);
         }
@@ -435,9 +436,9 @@
         ended(State::Ran);
         self.serial.set(self.serial.get() + 1);
         let value = format!("v{host}.{}", self.serial.get());
-        if class.need != Need::Write {
+        if class.access != Access::Write {
             self.book.borrow_mut().makes(&value, id, read_at, host, origin);
-            w.note(|| format!("host {host} answers {id} with {value}, as of {read_at}"));
+            w.trace(|| format!("host {host} answers {id} with {value}, as of {read_at}"));
             let role = Some(self.hosts.borrow()[host].primary);
             let notes = self.notes(host, read_at, false);
             return Some(Answer { body: row(&value, "SELECT 1"), notes, role, commit: None });
@@ -445,7 +446,7 @@
         let Kept { value, position, .. } = self.commit(host, &asked, value);
         let replicated = self.is_replicated(host, position, stream).await;
         self.book.borrow_mut().makes(&value, id, position, host, origin);
-        w.note(|| format!("host {host} answers {id} with {value}"));
+        w.trace(|| format!("host {host} answers {id} with {value}"));
         let role = Some(self.hosts.borrow()[host].primary);
         let notes = self.notes(host, position, true);
         let commit = Some(Commit { id: id.to_string(), session: asked.session.to_string(), position });
@@ -456,7 +457,7 @@
     async fn catches_up(&self, host: usize, asked: &Asked<'_>) -> bool {
         let (w, check) = (&self.world, self.deployment.lag_check);
         let begun = w.now();
-        while check != LagCheck::None && !self.is_fresh(host, asked) {
+        while check != LagCheck::Unchecked && !self.is_fresh(host, asked) {
             if w.now() >= begun + check.wait_ms() * 1_000 {
                 return false;
             }
@@ -467,13 +468,15 @@
 
     fn is_fresh(&self, host: usize, asked: &Asked) -> bool {
         let at = self.applied(host);
-        match asked.class.need {
-            Need::Any | Need::Write => true,
-            Need::Bounded(bound_ms) => at + bound_ms * 1_000 >= self.world.now(),
-            Need::Session if self.deployment.tokens == Tokens::Carried => {
+        match asked.class.access {
+            Access::AnyRead | Access::Write => true,
+            Access::BoundedRead(bound_ms) => at + bound_ms * 1_000 >= self.world.now(),
+            Access::SessionRead if self.deployment.tokens == SessionTokens::FromClient => {
                 asked.after.is_none_or(|ms| at + 1_000 >= self.mark(ms))
             }
-            Need::Session => self.last_commits.borrow().get(asked.session).is_none_or(|last| at >= *last),
+            Access::SessionRead => {
+                self.last_commits.borrow().get(asked.session).is_none_or(|last| at >= *last)
+            }
         }
     }
 
@@ -482,7 +485,7 @@
         let now = self.world.now();
         let new = Kept { at: now, value, position: self.applied(host) };
         let mut kept = new.clone();
-        if let (Effect::Keyed(scope, window_ms), Some(key)) = (asked.class.effect, asked.key) {
+        if let (Idempotency::Keyed(scope, window_ms), Some(key)) = (asked.class.idempotency, asked.key) {
             let scope = match scope {
                 DedupScope::All => KeyScope::All,
                 DedupScope::Zone => KeyScope::Zone(self.hosts.borrow()[host].zone),
@@ -503,7 +506,7 @@
 
     /// Waits until another member of the group has a commit, where writes wait for that; false if whoever asked has
     /// left meanwhile.
-    async fn is_replicated(&self, host: usize, position: Us, stream: &Stream) -> bool {
+    async fn is_replicated(&self, host: usize, position: Micros, stream: &Stream) -> bool {
         if !self.deployment.synchronous_commit {
             return true;
         }
@@ -512,7 +515,7 @@
             (0..hosts.len()).filter(|n| *n != host && hosts[*n].group == hosts[host].group).collect()
         };
         while !others.is_empty() && !others.iter().any(|n| self.applied(*n) >= position) {
-            if !self.lasts(stream, LOOK_AGAIN.as_micros() as Us).await {
+            if !self.lasts(stream, LOOK_AGAIN.as_micros() as Micros).await {
                 return false;
             }
         }
@@ -520,7 +523,7 @@
     }
 
     /// Waits as long as the work takes; false if whoever asked has left meanwhile.
-    async fn lasts(&self, stream: &Stream, work: Us) -> bool {
+    async fn lasts(&self, stream: &Stream, work: Micros) -> bool {
         let done = async {
             world::after(Duration::from_micros(work)).await;
             true
@@ -534,13 +537,13 @@
     }
 
     /// A mark in Unix milliseconds as a position.
-    pub fn mark(&self, ms: u64) -> Us {
+    pub fn mark(&self, ms: u64) -> Micros {
         let begin = self.world.unix_ms() - self.world.now() / 1_000;
         ms.saturating_sub(begin) * 1_000
     }
 
     /// What an answer tells of its host: its role, and the position of what was read, or of a write's commit.
-    fn notes(&self, host: usize, position: Us, commit: bool) -> Vec<u8> {
+    fn notes(&self, host: usize, position: Micros, commit: bool) -> Vec<u8> {
         let role = self.role_note(host);
         if !self.deployment.answer_positions && !commit {
             return role;
--- a/crates/lab/src/sim/mod.rs
+++ b/crates/lab/src/sim/mod.rs
@@ -19,7 +19,7 @@
 use client::{Client, Target};
 use deployment::Deployment;
 use host::{AnswerFault, Fleet, Mode};
-use plan::{Fault, Plan, What};
+use plan::{Fault, FaultKind, Plan};
 use sillfold::config::Config;
 use sillfold::invariants::Violation;
 use sillfold::net::core::Core;
@@ -36,7 +36,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::task::{Context, Wake, Waker};
-use world::{Machine, Us, World};
+use world::{Machine, Micros, World};
 
 /// Descriptors of a proxy, as its settings have it, and of other machines.
 const SOCKETS: usize = 192;
@@ -44,24 +44,24 @@
 /// So many steps of tasks without time moving on: something spins.
 const SPINS: u64 = 400_000;
 /// After the last request, how long answers may take; then how long a stop may take.
-const REST: Us = 7_000_000;
-const STOP: Us = 4_500_000;
+const REST: Micros = 7_000_000;
+const STOP: Micros = 4_500_000;
 /// Clients of a proxy that share each of its sessions, and one client in so many that roams over all proxies.
 const CLIENTS_OF_A_SESSION: usize = 3;
 const ROAMS_ONE_IN: usize = 6;
 /// A process that starts is ready by then, where discovery can be reached.
-const READY: Us = 10_000_000;
+const READY: Micros = 10_000_000;
 
 /// The figures of the rules on a day of this deployment.
 fn figures(plan: &Plan, deployment: &Deployment) -> Figures {
-    let holds_up = plan.faults.iter().any(|f| matches!(f.what, What::HoldUps(..)));
+    let holds_up = plan.faults.iter().any(|f| matches!(f.kind, FaultKind::HoldUps(..)));
     Figures {
-        held_up: if holds_up { world::HELD_UP } else { 0 },
+        held_up: if holds_up { world::MAX_WRITE_DELAY_US } else { 0 },
         grace: deployment::DRAIN_GRACE_US,
-        start_capacity: deployment::START_CAPACITY,
-        cold: deployment::COLD_US,
-        tip_multiple: deployment::TIP_MULTIPLE,
-        overload_for: deployment::OVERLOAD_FOR_US,
+        start_capacity: deployment::COLD_START_CAPACITY,
+        cold: deployment::COLD_DURATION_US,
+        tip_multiple: deployment::OVERLOAD_MULTIPLE,
+        overload_for: deployment::OVERLOAD_DURATION_US,
         max_attempts: deployment.max_attempts,
         tokens: deployment.tokens,
         answer_positions: deployment.answer_positions,
@@ -136,7 +136,7 @@
     process: usize,
     machine: Machine,
     /// Since when it is to be ready, and could be.
-    waits: Cell<Option<Us>>,
+    waits: Cell<Option<Micros>>,
     core: Rc<Core>,
     upgrade: Rc<Upgrade>,
     clients: Rc<sillfold::net::client::Clients>,
@@ -159,7 +159,7 @@
     beside: Vec<Vec<Runs>>,
     /// Hosts that operators leave out at each proxy, as its files tell.
     out: Vec<BTreeSet<usize>>,
-    stopping: Vec<(Runs, Us)>,
+    stopping: Vec<(Runs, Micros)>,
     targets: Vec<Rc<Target>>,
     /// Machines of clients that behave.
     askers: BTreeSet<Machine>,
@@ -178,11 +178,11 @@
 
 /// Runs a day.
 pub fn run(plan: &Plan, whole_trace: bool) -> Outcome {
-    let world = World::new(plan.seed, plan.choppy, whole_trace);
+    let world = World::new(plan.seed, plan.partial_io, whole_trace);
     let deployment = plan.deployment();
     let book = Book::new(figures(plan, &deployment));
     let fleet = Rc::new(Fleet::new(world.clone(), book, deployment));
-    let machine = world.machine(MANY);
+    let machine = world.add_machine(MANY);
     let agent = Rc::new(Agent::new(fleet.clone(), machine));
     let mut day = Day {
         agent_at: (machine, address(1, 0, 80)),
@@ -207,12 +207,12 @@
     day.go();
     let broken = day.fleet.book.borrow_mut().broken.take();
     let broken = broken.map(|b| {
-        let about = day.world.tail(&b.about);
+        let about = day.world.trace_tail(&b.about);
         (b, day.steps, about)
     });
-    let ((hash, lines), counts) = (day.world.hash(), day.fleet.book.borrow().counts);
+    let ((hash, lines), counts) = (day.world.trace_hash(), day.fleet.book.borrow().counts);
     let violations = day.violations();
-    Outcome { hash, lines, steps: day.steps, counts, violations, broken, trace: day.world.whole() }
+    Outcome { hash, lines, steps: day.steps, counts, violations, broken, trace: day.world.take_trace() }
 }
 
 /// Smaller plans that break the same rule, as far as so many tries find.
@@ -251,7 +251,7 @@
         &mut self, machine: Machine, at: SocketAddr, serve: impl FnOnce(Listener, Spawner) -> F,
     ) -> usize {
         let (process, executor) = self.process(machine);
-        let seat = self.world.seen_by(machine);
+        let seat = self.world.view_from(machine);
         let listener = seam::with(seat, || Listener::alone(at));
         if let Ok(listener) = listener {
             executor.spawn(serve(listener, Spawner::of(&executor))).detach();
@@ -273,7 +273,7 @@
             agent.serve(listener, spawner)
         });
         for n in 0..groups * members {
-            let machine = self.world.machine(MANY);
+            let machine = self.world.add_machine(MANY);
             let process = self.host(n, machine);
             self.hosts.push(process);
         }
@@ -287,7 +287,7 @@
             self.proxy(p);
         }
         for p in 0..self.plan.proxies {
-            let machine = self.world.machine(MANY);
+            let machine = self.world.add_machine(MANY);
             self.askers.insert(machine);
             let (_, executor) = self.process(machine);
             for _ in 0..self.plan.clients {
@@ -316,21 +316,21 @@
 
     /// Starts a proxy's process on a machine of its own; where one was there before, beside it.
     fn proxy(&mut self, p: usize) {
-        let machine = self.world.machine_at(SOCKETS, p);
+        let machine = self.world.add_machine_with_disk(SOCKETS, p);
         let (process, executor) = self.process(machine);
-        let settings = self.fleet.deployment.settings(p, self.plan.proxies, self.plan.talk);
+        let settings = self.fleet.deployment.settings(p, self.plan.proxies, self.plan.peer_messages);
         let mut text = serde_json::json!({
             "name": format!("p{p}"), "listen": self.targets[p].address.to_string(),
             "discovery": self.agent_at.1.to_string(),
-            "seed": format!("{:x}", self.world.draw(u64::MAX)),
+            "seed": format!("{:x}", self.world.draw_below(u64::MAX)),
             "limits": {"sockets": SOCKETS, "memory_mb": 48},
             "linger_ms": 300, "settings": settings,
         });
-        if self.plan.talk {
+        if self.plan.peer_messages {
             text["peer_listen"] = address(4, p, 7946).to_string().into();
             text["peers"] = (0..self.plan.proxies).map(|q| address(4, q, 7946).to_string()).collect();
         }
-        let started = seam::with(self.world.seen_by(machine), || {
+        let started = seam::with(self.world.view_from(machine), || {
             let mut config = Config::from_text(text.to_string().as_bytes(), Some("/tmp/proxy".into()))?;
             Proxy::start(&mut config, &Default::default(), &Spawner::of(&executor))
         });
@@ -368,7 +368,7 @@
 
     fn go(&mut self) {
         // What begins and what ends, in time.
-        let mut script: BTreeMap<(Us, usize), (Fault, bool)> = BTreeMap::new();
+        let mut script: BTreeMap<(Micros, usize), (Fault, bool)> = BTreeMap::new();
         for (i, f) in self.plan.faults.iter().enumerate() {
             script.insert((f.at_ms * 1_000, 2 * i), (f.clone(), true));
             script.insert(((f.at_ms + f.for_ms) * 1_000, 2 * i + 1), (f.clone(), false));
@@ -403,7 +403,7 @@
 
     /// What no host, agent or client sees: connections closed over what was sent, and processes that are not ready.
     fn looks(&self) {
-        for (from, to) in self.world.closed_over() {
+        for (from, to) in self.world.take_closed_with_unread_data() {
             // Whoever is killed does not choose when.
             if self.askers.contains(&from) && !self.killed.contains(&to) {
                 let what = format!("machine {to} closed a connection over what machine {from} had sent");
@@ -413,10 +413,10 @@
         let now = self.world.now();
         for run in self.proxies.iter().flatten() {
             let Some(since) = run.waits.get() else { continue };
-            let ready = seam::with(self.world.seen_by(run.machine), || run.core.is_ready());
+            let ready = seam::with(self.world.view_from(run.machine), || run.core.is_ready());
             let since = Some(since).filter(|_| !ready);
             // While nobody could tell it, it cannot know.
-            let cut = self.world.is_cut(self.agent_at.0, run.machine);
+            let cut = self.world.is_blocked(self.agent_at.0, run.machine);
             run.waits.set(since.map(|since| if cut { now } else { since }));
             if since.is_some_and(|since| !cut && now > since + READY) {
                 self.breaks(
@@ -434,12 +434,12 @@
             let before = self.steps;
             for i in 0..self.processes.len() {
                 let p = &mut self.processes[i];
-                if !p.is_awake() || self.world.is_held_up(p.machine) {
+                if !p.is_awake() || self.world.is_delayed(p.machine) {
                     continue;
                 }
                 p.idle = None;
                 let Some(executor) = p.executor.clone() else { continue };
-                let (seat, dying) = (self.world.seen_by(p.machine), p.dying);
+                let (seat, dying) = (self.world.view_from(p.machine), p.dying);
                 let most = dying.unwrap_or(u64::MAX).min(1_000);
                 let ticks = seam::with(seat, || {
                     let mut ticks = 0;
@@ -482,7 +482,7 @@
         let killed: Vec<usize> = (0..self.proxies.len())
             .filter(|n| self.proxies[*n].as_ref().is_some_and(|r| r.process == process))
             .collect();
-        self.world.note(|| format!("the process on machine {machine} is killed"));
+        self.world.trace(|| format!("the process on machine {machine} is killed"));
         for n in killed {
             self.targets[n].killed.set(Some(self.world.now()));
             self.proxies[n] = None;
@@ -495,100 +495,105 @@
             }
         }
         self.killed.insert(machine);
-        seam::with(self.world.seen_by(machine), || drop(executor));
+        seam::with(self.world.view_from(machine), || drop(executor));
     }
 
     fn fault(&mut self, fault: &Fault, begins: bool) {
-        self.world.note(|| format!("{:?} {}", fault.what, if begins { "begins" } else { "ends" }));
+        self.world.trace(|| format!("{:?} {}", fault.kind, if begins { "begins" } else { "ends" }));
         let (hosts, members) = (self.hosts.len(), self.plan.members);
         let host = |n: usize| n % hosts;
         let proxies = self.plan.proxies;
-        match fault.what {
-            What::Room(zone) => {
+        match fault.kind {
+            FaultKind::Room(zone) => {
                 for n in 0..hosts {
                     if self.fleet.hosts.borrow()[n].zone == zone {
                         if begins { self.lose(n) } else { self.start_host(n) }
                     }
                 }
             }
-            What::HostKilled(n) if begins => {
+            FaultKind::HostKilled(n) if begins => {
                 let process = self.hosts[host(n)];
                 self.kill(process);
             }
-            What::HostKilled(n) => self.start_host(host(n)),
-            What::Hung(n) => {
+            FaultKind::HostKilled(n) => self.start_host(host(n)),
+            FaultKind::Hung(n) => {
                 let process = self.hosts[host(n)];
                 self.processes[process].frozen = begins;
             }
-            What::Handover(group) => {
+            FaultKind::Handover(group) => {
                 let first = group % self.plan.groups * members;
                 let present = (first..first + members).find(|n| self.fleet.hosts.borrow()[*n].primary);
                 match (begins, present) {
                     (true, Some(old)) => self.fleet.set_role(old, false),
                     (false, None) => {
                         // Never one that is behind what was committed: it has caught up.
-                        let n = first + self.world.draw(members as u64) as usize;
+                        let n = first + self.world.draw_below(members as u64) as usize;
                         self.fleet.set_role(n, true);
                     }
                     _ => {}
                 }
             }
-            What::Lag(n, ms) => {
+            FaultKind::Lag(n, ms) => {
                 let lag = if begins { ms * 1_000 } else { self.fleet.usual_lag() };
                 self.fleet.lags(host(n), lag);
             }
-            What::Errors(n) | What::Garbage(n) => {
-                let mode = match fault.what {
+            FaultKind::Errors(n) | FaultKind::Garbage(n) => {
+                let mode = match fault.kind {
                     _ if !begins => Mode::Well,
-                    What::Errors(_) => Mode::Errors,
+                    FaultKind::Errors(_) => Mode::Errors,
                     _ => Mode::Garbage,
                 };
                 self.fleet.hosts.borrow_mut()[host(n)].mode = mode;
             }
-            What::Slow(n, times) => {
+            FaultKind::Slow(n, times) => {
                 self.fleet.hosts.borrow_mut()[host(n)].slow = if begins { times } else { 1 };
             }
-            What::Drain(n) if begins => self.fleet.change(host(n), |h| h.status = "DRAINING"),
-            What::Drain(n) => {
+            FaultKind::Drain(n) if begins => self.fleet.change(host(n), |h| h.status = "DRAINING"),
+            FaultKind::Drain(n) => {
                 self.kill(self.hosts[host(n)]);
                 self.start_host(host(n));
                 self.fleet.change(host(n), |h| h.status = "SERVING");
             }
-            What::CutThere(p, n) | What::CutBack(p, n) => {
+            FaultKind::CutThere(p, n) | FaultKind::CutBack(p, n) => {
                 let Some(run) = &self.proxies[p % proxies] else { return };
                 let (there, here) =
                     (self.processes[self.hosts[host(n)]].machine, self.processes[run.process].machine);
                 let (from, to) =
-                    if matches!(fault.what, What::CutThere(..)) { (here, there) } else { (there, here) };
-                self.world.cut(from, to, begins);
+                    if matches!(fault.kind, FaultKind::CutThere(..)) { (here, there) } else { (there, here) };
+                self.world.set_blocked(from, to, begins);
             }
-            What::AgentSilent(p) => {
+            FaultKind::AgentSilent(p) => {
                 let Some(run) = &self.proxies[p % proxies] else { return };
                 let here = self.processes[run.process].machine;
-                self.world.cut(self.agent_at.0, here, begins);
+                self.world.set_blocked(self.agent_at.0, here, begins);
                 // What is held back may come, or never: nobody can say what it knows until it hears a list again.
                 let after = if begins { self.world.now() } else { 0 };
                 self.fleet.book.borrow_mut().untells(here, after);
             }
-            What::AgentStale => self.agent.stale.set(begins.then(|| self.fleet.index.get())),
-            What::ClockStep(p, ms) => {
+            FaultKind::AgentStale => self.agent.stale.set(begins.then(|| self.fleet.index.get())),
+            FaultKind::ClockStep(p, ms) => {
                 let by = if begins { ms } else { -ms } * 1_000;
                 self.world.step_clock(p % proxies, by);
             }
-            What::Interruptions(p) => self.world.fail_calls(p % proxies, |f| f.interrupted = begins),
-            What::Shortage(p, percent) => {
-                self.world.fail_calls(p % proxies, |f| f.shortage = if begins { percent } else { 0 });
+            FaultKind::Interruptions(p) => {
+                self.world.change_call_faults(p % proxies, |f| f.interrupted = begins)
             }
-            What::HoldUps(p, one_in) => {
-                self.world.fail_calls(p % proxies, |f| f.held_up_one_in = if begins { one_in } else { 0 });
+            FaultKind::Shortage(p, percent) => {
+                self.world.change_call_faults(p % proxies, |f| f.shortage = if begins { percent } else { 0 });
             }
-            What::DiskUnreadable(p) => self.world.fail_calls(p % proxies, |f| f.unreadable = begins),
-            What::ProxyKilled(p, steps) if begins => {
+            FaultKind::HoldUps(p, one_in) => {
+                self.world
+                    .change_call_faults(p % proxies, |f| f.held_up_one_in = if begins { one_in } else { 0 });
+            }
+            FaultKind::DiskUnreadable(p) => {
+                self.world.change_call_faults(p % proxies, |f| f.unreadable = begins)
+            }
+            FaultKind::ProxyKilled(p, steps) if begins => {
                 if let Some(run) = &self.proxies[p % proxies] {
                     self.processes[run.process].dying = Some(steps.max(1));
                 }
             }
-            What::ProxyKilled(p, _) => {
+            FaultKind::ProxyKilled(p, _) => {
                 if let Some(run) = &self.proxies[p % proxies] {
                     // It had too little to do to die in the middle of it.
                     let process = run.process;
@@ -600,7 +605,7 @@
                     self.proxy(p % proxies);
                 }
             }
-            What::ProxyReplaced(p) if begins => {
+            FaultKind::ProxyReplaced(p) if begins => {
                 // Two versions at a time, no more.
                 if self.beside[p % proxies].is_empty()
                     && let Some(old) = self.proxies[p % proxies].take()
@@ -609,39 +614,39 @@
                     self.beside[p % proxies].push(old);
                 }
             }
-            What::ProxyReplaced(p) => {
+            FaultKind::ProxyReplaced(p) => {
                 for old in std::mem::take(&mut self.beside[p % proxies]) {
                     self.end(old);
                 }
             }
-            What::WatchesSilent if begins => self.agent.silence(),
-            What::WatchesSilent => {}
-            What::LateSessions(n, ms) => {
+            FaultKind::WatchesSilent if begins => self.agent.silence(),
+            FaultKind::WatchesSilent => {}
+            FaultKind::LateSessions(n, ms) => {
                 self.fleet.hosts.borrow_mut()[host(n)].late = if begins { ms * 1_000 } else { 0 };
             }
-            What::CutAnswers(n, percent) => {
+            FaultKind::CutAnswers(n, percent) => {
                 self.fault_answers(host(n), begins, (AnswerFault::Cut, percent));
             }
-            What::LostAnswers(n, percent) => {
+            FaultKind::LostAnswers(n, percent) => {
                 self.fault_answers(host(n), begins, (AnswerFault::Lost, percent));
             }
-            What::DelayedAnswers(n, percent, ms) => {
+            FaultKind::DelayedAnswers(n, percent, ms) => {
                 self.fault_answers(host(n), begins, (AnswerFault::Delayed(ms * 1_000), percent));
             }
-            What::RoleOnlyAnswers(n, percent) => {
+            FaultKind::RoleOnlyAnswers(n, percent) => {
                 self.fault_answers(host(n), begins, (AnswerFault::RoleOnly, percent));
             }
-            What::ByHand(p, n) => self.by_hand(p % proxies, host(n), begins),
-            What::DiskFull(p) => self.world.fill(p % proxies, begins),
-            What::TornFile(p) if begins => {
-                let torn = self.world.tear(p % proxies);
-                self.world.note(|| format!("{torn:?} is torn"));
+            FaultKind::ByHand(p, n) => self.by_hand(p % proxies, host(n), begins),
+            FaultKind::DiskFull(p) => self.world.set_disk_full(p % proxies, begins),
+            FaultKind::TornFile(p) if begins => {
+                let torn = self.world.truncate_random_file(p % proxies);
+                self.world.trace(|| format!("{torn:?} is torn"));
                 // Whatever it said, the next process may not know it.
                 self.out[p % proxies].clear();
             }
-            What::TornFile(_) => {}
-            What::Rude(p, n) if begins => {
-                let machine = self.world.machine(MANY);
+            FaultKind::TornFile(_) => {}
+            FaultKind::Rude(p, n) if begins => {
+                let machine = self.world.add_machine(MANY);
                 let (_, executor) = self.process(machine);
                 let until = (fault.at_ms + fault.for_ms) * 1_000;
                 for _ in 0..n {
@@ -649,15 +654,15 @@
                     executor.spawn(client::rude(fleet, target, until)).detach();
                 }
             }
-            What::Rude(..) => {}
-            What::ForgedPeer(p) if begins && self.plan.talk => {
-                let machine = self.world.machine(MANY);
+            FaultKind::Rude(..) => {}
+            FaultKind::ForgedPeer(p) if begins && self.plan.peer_messages => {
+                let machine = self.world.add_machine(MANY);
                 let (_, executor) = self.process(machine);
                 let until = (fault.at_ms + fault.for_ms) * 1_000;
                 let all = (0..proxies).map(|q| address(4, q, 7946)).collect();
                 executor.spawn(forged_peer::run(self.fleet.clone(), all, p % proxies, until)).detach();
             }
-            What::ForgedPeer(_) => {}
+            FaultKind::ForgedPeer(_) => {}
         }
     }
 
@@ -674,8 +679,8 @@
         if !run.core.knows_host(&name) {
             return;
         }
-        let told = seam::with(self.world.seen_by(run.machine), || run.upgrade.by_hand(&name, out));
-        self.world.note(|| format!("proxy {p}: host {host} by hand, out {out}: {told:?}"));
+        let told = seam::with(self.world.view_from(run.machine), || run.upgrade.by_hand(&name, out));
+        self.world.trace(|| format!("proxy {p}: host {host} by hand, out {out}: {told:?}"));
         if told.is_err() {
             return;
         }
@@ -701,7 +706,7 @@
     /// A host's machine loses power.
     fn lose(&mut self, n: usize) {
         let process = self.hosts[n];
-        self.world.power(self.processes[process].machine, false);
+        self.world.set_powered(self.processes[process].machine, false);
         self.kill(process);
     }
 
@@ -712,7 +717,7 @@
         if self.processes[process].executor.is_some() {
             return;
         }
-        self.world.power(machine, true);
+        self.world.set_powered(machine, true);
         let now = self.world.now();
         self.fleet.begins(n, now);
         self.fleet.change(n, |_| {});
@@ -751,7 +756,7 @@
         let figures = serde_json::to_value(run.core.figures()).unwrap_or_default();
         let out = figures["inflight"].as_u64().unwrap_or(u64::MAX);
         let machine = self.processes[run.process].machine;
-        let (open, hosts) = (self.world.open(machine), run.hosts.held());
+        let (open, hosts) = (self.world.open_descriptors(machine), run.hosts.held());
         let all = clients + hosts;
         match () {
             () if out > 0 => Err(format!("{out} requests are still open")),
@@ -759,7 +764,7 @@
             // A dial has its descriptor counted before it is open.
             () if all > open + 2 => Err(format!("{all} descriptors are counted, {open} are open")),
             // Beside them, a watch of discovery, what versions say to each other, and the talk.
-            () if open > all + 1 + run.upgrade.meetings().max(2) + usize::from(self.plan.talk) => {
+            () if open > all + 1 + run.upgrade.meetings().max(2) + usize::from(self.plan.peer_messages) => {
                 Err(format!("{open} descriptors are open, {all} of them accounted for"))
             }
             () => Ok(()),
--- a/crates/lab/src/sim/plan.rs
+++ b/crates/lab/src/sim/plan.rs
@@ -39,15 +39,16 @@
     pub for_ms: u64,
     /// Whether reads and writes of sockets are cut into parts.
     #[garde(skip)]
-    pub choppy: bool,
+    #[serde(rename = "choppy")]
+    pub partial_io: bool,
     /// Whether proxies may talk to each other.
     #[garde(skip)]
-    #[serde(default)]
-    pub talk: bool,
+    #[serde(default, rename = "talk")]
+    pub peer_messages: bool,
     /// Whether positions show in probes only, not in answers, in a plan without a deployment.
     #[garde(skip)]
-    #[serde(default)]
-    pub blind: bool,
+    #[serde(default, rename = "blind")]
+    pub positions_from_probes_only: bool,
     /// What the settings say; where it is absent, six classes, and sessions that carry their marks.
     #[garde(dive)]
     #[serde(default)]
@@ -62,11 +63,14 @@
 #[serde(rename_all = "snake_case")]
 pub enum Family {
     /// They serve them: the proxy must not ask.
-    Silent,
+    #[serde(rename = "silent")]
+    Unchecked,
     /// They turn them away.
-    Bounce,
+    #[serde(rename = "bounce")]
+    Reject,
     /// They wait a while, then turn them away.
-    Await,
+    #[serde(rename = "await")]
+    Wait,
 }
 
 /// Something that fails, when, and for how long, in virtual milliseconds.
@@ -79,13 +83,14 @@
     #[serde(default)]
     pub for_ms: u64,
     /// What it is.
-    pub what: What,
+    #[serde(rename = "what")]
+    pub kind: FaultKind,
 }
 
 /// What fails. Hosts are counted through all groups, a group's first member being its primary at the start.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum What {
+pub enum FaultKind {
     /// All hosts of a room lose power, and return cold.
     Room(u8),
     /// A host's process is killed and starts again, cold.
@@ -160,42 +165,46 @@
     let mut faults = Vec::new();
     let proxy = |to: &mut dyn FnMut(u64) -> u64| to(proxies) as usize;
     if to(2) == 0 {
-        faults.push(Fault { at_ms: 0, for_ms: 40_000, what: What::Interruptions(proxy(to)) });
+        faults.push(Fault { at_ms: 0, for_ms: 40_000, kind: FaultKind::Interruptions(proxy(to)) });
     }
     for _ in 0..to(3) {
         let (at_ms, for_ms) = (1_000 + to(22_000), 20 + to(800));
-        faults.push(Fault { at_ms, for_ms, what: What::Shortage(proxy(to), 30 + to(71)) });
+        faults.push(Fault { at_ms, for_ms, kind: FaultKind::Shortage(proxy(to), 30 + to(71)) });
     }
     if to(3) == 0 {
         let (at_ms, for_ms) = (1_000 + to(15_000), 1_000 + to(10_000));
-        faults.push(Fault { at_ms, for_ms, what: What::HoldUps(proxy(to), 20 + to(200)) });
+        faults.push(Fault { at_ms, for_ms, kind: FaultKind::HoldUps(proxy(to), 20 + to(200)) });
     }
     if to(3) == 0 {
         // Behind the step the process is replaced, and around that a host starts anew.
         let (at_ms, proxy, host) = (1_000 + to(15_000), proxy(to), to(hosts) as usize);
         let step = CLOCKS_OFF_MS[to(CLOCKS_OFF_MS.len() as u64) as usize];
-        faults.push(Fault { at_ms, for_ms: 60_000, what: What::ClockStep(proxy, step) });
+        faults.push(Fault { at_ms, for_ms: 60_000, kind: FaultKind::ClockStep(proxy, step) });
         let replaced_ms = at_ms + 100 + to(1_000);
-        faults.push(Fault { at_ms: replaced_ms, for_ms: 500 + to(2_000), what: What::ProxyReplaced(proxy) });
+        faults.push(Fault {
+            at_ms: replaced_ms,
+            for_ms: 500 + to(2_000),
+            kind: FaultKind::ProxyReplaced(proxy),
+        });
         let killed_ms = (replaced_ms + to(4_000)).saturating_sub(1_500);
-        faults.push(Fault { at_ms: killed_ms, for_ms: 100 + to(1_000), what: What::HostKilled(host) });
+        faults.push(Fault { at_ms: killed_ms, for_ms: 100 + to(1_000), kind: FaultKind::HostKilled(host) });
     }
     if to(4) == 0 {
         let (at_ms, for_ms, proxy) = (1_000 + to(20_000), 200 + to(1_500), proxy(to));
-        faults.push(Fault { at_ms, for_ms, what: What::DiskUnreadable(proxy) });
+        faults.push(Fault { at_ms, for_ms, kind: FaultKind::DiskUnreadable(proxy) });
     }
     faults
 }
 
 impl Plan {
     /// A day drawn from a seed.
-    pub fn of(seed: u64) -> Plan {
+    pub fn from_seed(seed: u64) -> Plan {
         let mut lots = Rand64::new(u128::from(seed) ^ 0x706c_616e);
         let mut to = |n: u64| lots.rand_range(0..n);
-        let family = [Family::Silent, Family::Bounce, Family::Await][to(3) as usize];
+        let family = [Family::Unchecked, Family::Reject, Family::Wait][to(3) as usize];
         let (proxies, groups, members) = (1 + to(3) as usize, 1 + to(2) as usize, 2 + to(4) as usize);
         let (clients, rest_ms) = (4 + to(12) as usize, 60 + to(200));
-        let choppy = to(3) == 0;
+        let partial_io = to(3) == 0;
         // Faults gather, so that they overlap: what fails alone is found by the other tests.
         let centres: Vec<u64> = (0..1 + to(3)).map(|_| 2_000 + to(22_000)).collect();
         let hosts = (groups * members) as u64;
@@ -205,73 +214,73 @@
             let at_ms = (centre + to(3_000)).saturating_sub(1_500);
             let for_ms = 200 + to(5_000);
             let (host, proxy) = (to(hosts) as usize, to(proxies as u64) as usize);
-            let what = match to(24) {
-                0 => What::Room(to(2) as u8),
-                1 => What::HostKilled(host),
-                2 => What::Hung(host),
-                3 => What::Hung(host / members * members),
-                4 | 5 => What::Handover(host / members),
-                6 => What::Lag(host, 200 + to(4_000)),
-                7 => What::Errors(host),
-                8 => What::Slow(host, 2 + to(20)),
-                9 => What::Garbage(host),
-                10 | 11 => What::Drain(host),
-                12 => What::CutThere(proxy, host),
-                13 => What::CutBack(proxy, host),
-                14 => What::AgentSilent(proxy),
-                15 => What::AgentStale,
-                16 => What::ClockStep(proxy, to(4_000) as i64 - 2_000),
+            let kind = match to(24) {
+                0 => FaultKind::Room(to(2) as u8),
+                1 => FaultKind::HostKilled(host),
+                2 => FaultKind::Hung(host),
+                3 => FaultKind::Hung(host / members * members),
+                4 | 5 => FaultKind::Handover(host / members),
+                6 => FaultKind::Lag(host, 200 + to(4_000)),
+                7 => FaultKind::Errors(host),
+                8 => FaultKind::Slow(host, 2 + to(20)),
+                9 => FaultKind::Garbage(host),
+                10 | 11 => FaultKind::Drain(host),
+                12 => FaultKind::CutThere(proxy, host),
+                13 => FaultKind::CutBack(proxy, host),
+                14 => FaultKind::AgentSilent(proxy),
+                15 => FaultKind::AgentStale,
+                16 => FaultKind::ClockStep(proxy, to(4_000) as i64 - 2_000),
                 17 => {
                     if to(2) == 0 {
-                        What::ProxyKilled(proxy, to(40))
+                        FaultKind::ProxyKilled(proxy, to(40))
                     } else {
-                        What::ProxyReplaced(proxy)
+                        FaultKind::ProxyReplaced(proxy)
                     }
                 }
-                18 | 19 => What::ProxyReplaced(proxy),
-                20 | 21 => What::ByHand(proxy, host),
+                18 | 19 => FaultKind::ProxyReplaced(proxy),
+                20 | 21 => FaultKind::ByHand(proxy, host),
                 22 => {
                     if to(2) == 0 {
-                        What::DiskFull(proxy)
+                        FaultKind::DiskFull(proxy)
                     } else {
-                        What::TornFile(proxy)
+                        FaultKind::TornFile(proxy)
                     }
                 }
-                _ => What::Rude(proxy, 1 + to(6)),
+                _ => FaultKind::Rude(proxy, 1 + to(6)),
             };
-            faults.push(Fault { at_ms, for_ms, what });
+            faults.push(Fault { at_ms, for_ms, kind });
         }
         // Drawn last, so that the others are what they were before there was talk.
-        let talk = seed.is_multiple_of(3) && proxies > 1;
+        let peer_messages = seed.is_multiple_of(3) && proxies > 1;
         // Where hosts serve what is too old, answers tell it.
-        let blind = talk && family != Family::Silent;
-        if talk && to(2) == 0 {
+        let positions_from_probes_only = peer_messages && family != Family::Unchecked;
+        if peer_messages && to(2) == 0 {
             let (proxy, at_ms, for_ms) = (to(proxies as u64) as usize, 1_000 + to(20_000), 500 + to(8_000));
-            faults.push(Fault { at_ms, for_ms, what: What::ForgedPeer(proxy) });
+            faults.push(Fault { at_ms, for_ms, kind: FaultKind::ForgedPeer(proxy) });
         }
         // Silent watches, and news behind them; connections that come up late.
         if to(3) == 0 {
             let (host, at_ms) = (to(hosts) as usize, 1_000 + to(18_000));
-            faults.push(Fault { at_ms, for_ms: 0, what: What::WatchesSilent });
+            faults.push(Fault { at_ms, for_ms: 0, kind: FaultKind::WatchesSilent });
             let at_ms = at_ms + to(3_000);
-            faults.push(Fault { at_ms, for_ms: 4_000 + to(8_000), what: What::Drain(host) });
+            faults.push(Fault { at_ms, for_ms: 4_000 + to(8_000), kind: FaultKind::Drain(host) });
         }
         if to(3) == 0 {
             let (host, at_ms, for_ms) = (to(hosts) as usize, 1_000 + to(20_000), 500 + to(5_000));
-            faults.push(Fault { at_ms, for_ms, what: What::LateSessions(host, 20 + to(1_500)) });
+            faults.push(Fault { at_ms, for_ms, kind: FaultKind::LateSessions(host, 20 + to(1_500)) });
         }
         // Answers that are cut, lost or late, mostly those of a group's first primary: writes have them too.
         for _ in 0..to(4) {
             let host = to(hosts) as usize;
             let host = if to(2) == 0 { host / members * members } else { host };
             let percent = 10 + to(91);
-            let what = match to(4) {
-                0 => What::CutAnswers(host, percent),
-                1 => What::LostAnswers(host, percent),
-                2 => What::DelayedAnswers(host, percent, 50 + to(1_000)),
-                _ => What::RoleOnlyAnswers(host, percent),
+            let kind = match to(4) {
+                0 => FaultKind::CutAnswers(host, percent),
+                1 => FaultKind::LostAnswers(host, percent),
+                2 => FaultKind::DelayedAnswers(host, percent, 50 + to(1_000)),
+                _ => FaultKind::RoleOnlyAnswers(host, percent),
             };
-            faults.push(Fault { at_ms: 1_000 + to(22_000), for_ms: 500 + to(5_000), what });
+            faults.push(Fault { at_ms: 1_000 + to(22_000), for_ms: 500 + to(5_000), kind });
         }
         faults.sort_by_key(|f| f.at_ms);
         let (mut for_ms, mut proxies, mut clients, mut rest_ms) = (27_000, proxies, clients, rest_ms);
@@ -282,7 +291,7 @@
         }
         faults.extend(system_faults(&mut to, proxies as u64, hosts));
         faults.sort_by_key(|f| f.at_ms);
-        let deployment = Some(Deployment::of(seed, proxies));
+        let deployment = Some(Deployment::from_seed(seed, proxies));
         Plan {
             seed,
             family,
@@ -292,9 +301,9 @@
             clients,
             rest_ms,
             for_ms,
-            choppy,
-            talk,
-            blind,
+            partial_io,
+            peer_messages,
+            positions_from_probes_only,
             deployment,
             faults,
         }
@@ -302,7 +311,9 @@
 
     /// What the settings of its day say.
     pub fn deployment(&self) -> Deployment {
-        self.deployment.clone().unwrap_or_else(|| Deployment::standard(self.family, self.blind))
+        self.deployment
+            .clone()
+            .unwrap_or_else(|| Deployment::standard(self.family, self.positions_from_probes_only))
     }
 
     /// Reads a plan from a JSON5 file.
@@ -330,8 +341,8 @@
             faults.remove(i);
             add(Plan { faults, ..self.clone() });
         }
-        add(Plan { choppy: false, ..self.clone() });
-        add(Plan { talk: false, ..self.clone() });
+        add(Plan { partial_io: false, ..self.clone() });
+        add(Plan { peer_messages: false, ..self.clone() });
         add(Plan { clients: self.clients.saturating_sub(1), ..self.clone() });
         out
     }
--- a/crates/lab/src/sim/world.rs
+++ b/crates/lab/src/sim/world.rs
@@ -16,7 +16,7 @@
 use std::time::{Duration, Instant};
 
 /// Microseconds since the day began.
-pub type Us = u64;
+pub type Micros = u64;
 /// A machine's number.
 pub type Machine = usize;
 
@@ -28,14 +28,14 @@
 const DOUBLED: u64 = 30;
 const DAMAGED: u64 = 20;
 /// How long one takes at least and at most, in microseconds.
-const MAIL_WAY: (Us, Us) = (3_500, 35_000);
+const MAIL_WAY: (Micros, Micros) = (3_500, 35_000);
 /// Connections that may wait to be accepted.
 const BACKLOG: usize = 128;
 /// One read or write in so many is interrupted, where any are; one accept in so many is of a connection that was given up.
 const INTERRUPTED_ONE_IN: u64 = 12;
 const ABORTED_ONE_IN: u64 = 6;
 /// The longest hold-up between a look at the clock and a write.
-pub const HELD_UP: Us = 150_000;
+pub const MAX_WRITE_DELAY_US: Micros = 150_000;
 /// Numbers of the machine's errors: EIO, ENFILE, ENOBUFS, EADDRNOTAVAIL, ENETUNREACH.
 const EIO: i32 = 5;
 const SHORTAGES: [i32; 4] = [23, 105, 99, 101];
@@ -51,10 +51,10 @@
     came: VecDeque<u8>,
     under_way: usize,
     /// Nothing overtakes what was sent before.
-    last_due: Us,
+    last_due: Micros,
     /// When what came last was sent, and when its sender set out to send it.
-    sent: Us,
-    issued: Us,
+    sent: Micros,
+    issued: Micros,
     ending: bool,
     ended: bool,
     reset: bool,
@@ -70,7 +70,7 @@
 enum Due {
     Wake(u64),
     /// On which connection, what, when it was sent, and when its sender set out to.
-    Arrive(u64, Vec<u8>, Us, Us),
+    Arrive(u64, Vec<u8>, Micros, Micros),
     End(u64, bool),
     Broken(u64),
     Dial(Machine, SocketAddr, Rc<RefCell<Dialling>>),
@@ -111,7 +111,7 @@
     /// Its disk: processes that follow one another share one, and a wall clock.
     disk: usize,
     /// Until when its process is held up.
-    held_until: Us,
+    held_until: Micros,
 }
 
 /// System calls that fail, for all processes that share a disk.
@@ -138,10 +138,10 @@
 
 struct Inner {
     start: Instant,
-    now: Us,
+    now: Micros,
     lots: Rand64,
     number: u64,
-    due: BTreeMap<(Us, u64, u64), Due>,
+    due: BTreeMap<(Micros, u64, u64), Due>,
     timers: BTreeMap<u64, Waker>,
     pipes: BTreeMap<u64, Pipe>,
     doors: BTreeMap<SocketAddr, Vec<(u64, Listening)>>,
@@ -157,7 +157,7 @@
     /// Machines without power.
     dark: BTreeSet<Machine>,
     /// When directions were cut, or machines lost power.
-    cuts: Vec<Us>,
+    cuts: Vec<Micros>,
     accepted: (Machine, u64),
     /// Connections that a machine closed over bytes it had not read, or that were on their way: who sent them, who closed.
     closed_over: Vec<(Machine, Machine)>,
@@ -206,24 +206,24 @@
     }
 
     /// One more machine, with so many descriptors.
-    pub fn machine(&self, most: usize) -> Machine {
-        self.machine_at(most, usize::MAX)
+    pub fn add_machine(&self, most: usize) -> Machine {
+        self.add_machine_with_disk(most, usize::MAX)
     }
 
     /// One more process's machine, with this disk.
-    pub fn machine_at(&self, most: usize, disk: usize) -> Machine {
+    pub fn add_machine_with_disk(&self, most: usize, disk: usize) -> Machine {
         let mut w = self.0.borrow_mut();
         w.places.push(Place { most, disk, ..Place::default() });
         w.places.len() - 1
     }
 
     /// A disk takes nothing more from now on, or does again.
-    pub fn fill(&self, disk: usize, full: bool) {
+    pub fn set_disk_full(&self, disk: usize, full: bool) {
         self.0.borrow_mut().disks.entry(disk).or_default().full = full;
     }
 
     /// One of a disk's files, by lot, ends in its middle from now on; its name, if there is one.
-    pub fn tear(&self, disk: usize) -> Option<String> {
+    pub fn truncate_random_file(&self, disk: usize) -> Option<String> {
         let mut w = self.0.borrow_mut();
         let lot = w.lots.rand_u64();
         let files = &mut w.disks.get_mut(&disk)?.files;
@@ -234,7 +234,7 @@
     }
 
     /// The present moment.
-    pub fn now(&self) -> Us {
+    pub fn now(&self) -> Micros {
         self.0.borrow().now
     }
 
@@ -244,45 +244,45 @@
     }
 
     /// A number from 0 to under `n`.
-    pub fn draw(&self, n: u64) -> u64 {
+    pub fn draw_below(&self, n: u64) -> u64 {
         self.0.borrow_mut().lots.rand_range(0..n.max(1))
     }
 
     /// A number from 0 to 1.
-    pub fn lot(&self) -> f64 {
+    pub fn draw_fraction(&self) -> f64 {
         self.0.borrow_mut().lots.rand_float()
     }
 
     /// Writes a line of the trace.
-    pub fn note(&self, line: impl FnOnce() -> String) {
+    pub fn trace(&self, line: impl FnOnce() -> String) {
         self.0.borrow_mut().note(line());
     }
 
     /// The trace's hash and length so far.
-    pub fn hash(&self) -> (u64, u64) {
+    pub fn trace_hash(&self) -> (u64, u64) {
         let w = self.0.borrow();
         (w.hash, w.lines)
     }
 
     /// The last lines of the trace that hold any of these, or all of the last where none is given.
-    pub fn tail(&self, with: &[String]) -> Vec<String> {
+    pub fn trace_tail(&self, with: &[String]) -> Vec<String> {
         let w = self.0.borrow();
         let held = |l: &&String| with.is_empty() || with.iter().any(|t| l.contains(t.as_str()));
         w.last.iter().filter(held).cloned().collect()
     }
 
     /// The whole trace, where it is kept.
-    pub fn whole(&self) -> Vec<String> {
+    pub fn take_trace(&self) -> Vec<String> {
         self.0.borrow_mut().out.take().unwrap_or_default()
     }
 
     /// Descriptors of connections that a machine has open.
-    pub fn open(&self, machine: Machine) -> usize {
+    pub fn open_descriptors(&self, machine: Machine) -> usize {
         self.0.borrow().places[machine].open
     }
 
     /// Nothing arrives in this direction from now on, or all that was held back does.
-    pub fn cut(&self, from: Machine, to: Machine, cut: bool) {
+    pub fn set_blocked(&self, from: Machine, to: Machine, cut: bool) {
         let mut w = self.0.borrow_mut();
         if cut {
             w.cut.insert((from, to));
@@ -300,12 +300,12 @@
     }
 
     /// Whether nothing arrives in this direction.
-    pub fn is_cut(&self, from: Machine, to: Machine) -> bool {
+    pub fn is_blocked(&self, from: Machine, to: Machine) -> bool {
         self.0.borrow().cut.contains(&(from, to))
     }
 
     /// Without power a machine neither sends nor hears; its connections stand at the others until they give up.
-    pub fn power(&self, machine: Machine, on: bool) {
+    pub fn set_powered(&self, machine: Machine, on: bool) {
         let mut w = self.0.borrow_mut();
         if on {
             w.dark.remove(&machine);
@@ -322,33 +322,33 @@
     }
 
     /// From now on calls of all processes with this disk fail so, also of those to come.
-    pub fn fail_calls(&self, disk: usize, change: impl FnOnce(&mut CallFaults)) {
+    pub fn change_call_faults(&self, disk: usize, change: impl FnOnce(&mut CallFaults)) {
         change(self.0.borrow_mut().call_faults.entry(disk).or_default());
     }
 
     /// Whether a machine's process is held up.
-    pub fn is_held_up(&self, machine: Machine) -> bool {
+    pub fn is_delayed(&self, machine: Machine) -> bool {
         let w = self.0.borrow();
         w.places[machine].held_until > w.now
     }
 
     /// Who dialled the connection that was accepted last, and its number.
-    pub fn accepted(&self) -> (Machine, u64) {
+    pub fn last_accepted(&self) -> (Machine, u64) {
         self.0.borrow().accepted
     }
 
     /// Connections closed since over bytes that were not read, or had not come: who sent them, and who closed.
-    pub fn closed_over(&self) -> Vec<(Machine, Machine)> {
+    pub fn take_closed_with_unread_data(&self) -> Vec<(Machine, Machine)> {
         std::mem::take(&mut self.0.borrow_mut().closed_over)
     }
 
     /// Whether the other end of an accepted connection is still held open.
-    pub fn held_open(&self, number: u64) -> bool {
+    pub fn is_peer_end_open(&self, number: u64) -> bool {
         self.0.borrow().pipes.get(&number).is_some_and(|p| !p.writer_gone)
     }
 
     /// Whether what is written on an accepted connection now gets to the other end.
-    pub fn is_heard(&self, number: u64) -> bool {
+    pub fn is_peer_reachable(&self, number: u64) -> bool {
         let w = self.0.borrow();
         let Some(p) = w.pipes.get(&number) else { return false };
         let is_dark = w.dark.contains(&p.from) || w.dark.contains(&p.to);
@@ -356,18 +356,18 @@
     }
 
     /// Whether anything was cut, or lost its power, since this moment and by the other.
-    pub fn was_cut(&self, since: Us, by: Us) -> bool {
+    pub fn was_disrupted(&self, since: Micros, by: Micros) -> bool {
         self.0.borrow().cuts.iter().any(|at| (since..=by).contains(at))
     }
 
     /// When what came last on an accepted connection was sent, and when its sender set out to.
-    pub fn sent(&self, number: u64) -> (Us, Us) {
+    pub fn last_arrival_times(&self, number: u64) -> (Micros, Micros) {
         let w = self.0.borrow();
         w.pipes.get(&number).map_or((w.now, w.now), |p| (p.sent, p.issued))
     }
 
     /// Moves on to what is due next, and lets it happen; false if nothing is due until then.
-    pub fn step(&self, until: Us) -> bool {
+    pub fn step(&self, until: Micros) -> bool {
         let woken = {
             let mut w = self.0.borrow_mut();
             match w.due.first_key_value() {
@@ -386,15 +386,15 @@
     }
 
     /// Somebody sends a datagram under another's address.
-    pub fn forge(&self, from: SocketAddr, to: SocketAddr, bytes: &[u8]) {
+    pub fn send_forged_datagram(&self, from: SocketAddr, to: SocketAddr, bytes: &[u8]) {
         let mut w = self.0.borrow_mut();
         let machine = w.mailboxes.get(&from).map_or(0, |m| m.machine);
         w.mail(machine, from, to, bytes);
     }
 
     /// The same, seen from a machine.
-    pub fn seen_by(self: &Rc<World>, machine: Machine) -> Rc<Seat> {
-        Rc::new(Seat { world: self.clone(), machine })
+    pub fn view_from(self: &Rc<World>, machine: Machine) -> Rc<MachineView> {
+        Rc::new(MachineView { world: self.clone(), machine })
     }
 }
 
@@ -419,14 +419,14 @@
         self.number
     }
 
-    fn put(&mut self, at: Us, due: Due) -> (Us, u64, u64) {
+    fn put(&mut self, at: Micros, due: Due) -> (Micros, u64, u64) {
         let key = (at.max(self.now), self.lots.rand_u64(), self.number());
         self.due.insert(key, due);
         key
     }
 
     /// How long something takes on its way.
-    fn way(&mut self) -> Us {
+    fn way(&mut self) -> Micros {
         let slow = self.lots.rand_range(0..50) == 0;
         200 + self.lots.rand_range(0..300) + if slow { self.lots.rand_range(0..3_000) } else { 0 }
     }
@@ -452,13 +452,13 @@
     }
 
     /// When a write of a machine gets to the network: its process may be held up until then, or be held up by this.
-    fn writes_at(&mut self, machine: Machine) -> Us {
+    fn writes_at(&mut self, machine: Machine) -> Micros {
         let one_in = self.faults_of(machine).held_up_one_in;
         let held_until = self.places[machine].held_until;
         if held_until > self.now || one_in == 0 || self.lots.rand_range(0..one_in) > 0 {
             return held_until.max(self.now);
         }
-        let held_until = self.now + self.lots.rand_range(1..HELD_UP);
+        let held_until = self.now + self.lots.rand_range(1..MAX_WRITE_DELAY_US);
         self.places[machine].held_until = held_until;
         // Something is due then, so that the process is looked at.
         let number = self.number();
@@ -470,7 +470,7 @@
         self.send_at(self.now, pipe, bytes, due);
     }
 
-    fn send_at(&mut self, from: Us, pipe: u64, bytes: usize, due: Due) {
+    fn send_at(&mut self, from: Micros, pipe: u64, bytes: usize, due: Due) {
         let way = self.way() + bytes as u64 / 100;
         let Some(p) = self.pipes.get_mut(&pipe) else { return };
         p.last_due = p.last_due.max(from + way);
@@ -654,15 +654,15 @@
 }
 
 /// The world as one machine sees it.
-pub struct Seat {
+pub struct MachineView {
     world: Rc<World>,
     machine: Machine,
 }
 
 struct Sleep {
     world: Rc<World>,
-    when: Us,
-    timer: Option<(u64, (Us, u64, u64))>,
+    when: Micros,
+    timer: Option<(u64, (Micros, u64, u64))>,
 }
 
 impl Future for Sleep {
@@ -711,7 +711,7 @@
     }
 }
 
-impl Outside for Seat {
+impl Outside for MachineView {
     fn now(&self) -> Instant {
         let w = self.world.0.borrow();
         w.start + Duration::from_micros(w.now)
@@ -726,7 +726,7 @@
 
     fn at(&self, when: Instant) -> Soon<()> {
         let w = self.world.0.borrow();
-        let when = when.saturating_duration_since(w.start).as_micros() as Us;
+        let when = when.saturating_duration_since(w.start).as_micros() as Micros;
         Box::pin(Sleep { world: self.world.clone(), when, timer: None })
     }
 
@@ -868,7 +868,7 @@
     }
 }
 
-impl Seat {
+impl MachineView {
     /// The machine's disk, while it takes anything.
     fn disk<'w>(&self, w: &'w mut Inner) -> io::Result<&'w mut Disk> {
         let disk = w.places[self.machine].disk;
--- a/crates/lab/tests/invariants.rs
+++ b/crates/lab/tests/invariants.rs
@@ -4,19 +4,19 @@
 
 use sillfold::invariants::Violation;
 use sillfold::mutants;
-use sillfold_lab::sim::deployment::{Class, DedupScope, Deployment, Effect, LagCheck, Need};
-use sillfold_lab::sim::plan::{Family, Fault, Plan, What};
+use sillfold_lab::sim::deployment::{Access, Class, DedupScope, Deployment, Idempotency, LagCheck};
+use sillfold_lab::sim::plan::{Family, Fault, FaultKind, Plan};
 use sillfold_lab::sim::run;
 
-fn fault(at_ms: u64, for_ms: u64, what: What) -> Fault {
-    Fault { at_ms, for_ms, what }
+fn fault(at_ms: u64, for_ms: u64, kind: FaultKind) -> Fault {
+    Fault { at_ms, for_ms, kind }
 }
 
-fn class(name: &str, need: Need, effect: Effect, deadline_ms: u64, share: f64) -> Class {
+fn class(name: &str, access: Access, idempotency: Idempotency, deadline_ms: u64, share: f64) -> Class {
     Class {
         name: name.into(),
-        need,
-        effect,
+        access,
+        idempotency,
         deadline_ms,
         aim_ms: deadline_ms / 2,
         worth: 3.0,
@@ -29,31 +29,31 @@
 
 /// A small fleet in which connections may take long to come up, with writes that must not run twice.
 fn day(seed: u64, faults: Vec<Fault>) -> Plan {
-    let keyed = Effect::Keyed(DedupScope::Group, 300);
+    let keyed = Idempotency::Keyed(DedupScope::Group, 300);
     let classes = vec![
-        class("read", Need::Any, Effect::Safe, 2_500, 0.5),
-        class("keyed", Need::Write, keyed, 2_500, 0.3),
-        class("once", Need::Write, Effect::Once, 1_500, 0.2),
+        class("read", Access::AnyRead, Idempotency::Idempotent, 2_500, 0.5),
+        class("keyed", Access::Write, keyed, 2_500, 0.3),
+        class("once", Access::Write, Idempotency::NotIdempotent, 1_500, 0.2),
     ];
     let deployment = Deployment {
         dial_timeout_ms: 1_600,
-        lag_check: LagCheck::Refuse,
+        lag_check: LagCheck::Reject,
         max_attempts: 8,
         classes,
-        ..Deployment::standard(Family::Await, false)
+        ..Deployment::standard(Family::Wait, false)
     };
     Plan {
         seed,
-        family: Family::Await,
+        family: Family::Wait,
         proxies: 2,
         groups: 1,
         members: 3,
         clients: 20,
         rest_ms: 60,
         for_ms: 8_000,
-        choppy: false,
-        talk: false,
-        blind: false,
+        partial_io: false,
+        peer_messages: false,
+        positions_from_probes_only: false,
         deployment: Some(deployment),
         faults,
     }
@@ -80,8 +80,8 @@
 /// Connections come up late, at proxies that are held up while their clients leave.
 #[test]
 fn an_attempt_that_starts_for_a_client_that_left() {
-    let late = (0..3).map(|host| fault(0, 8_000, What::LateSessions(host, 400)));
-    let held_up = (0..2).map(|proxy| fault(0, 8_000, What::HoldUps(proxy, 8)));
+    let late = (0..3).map(|host| fault(0, 8_000, FaultKind::LateSessions(host, 400)));
+    let held_up = (0..2).map(|proxy| fault(0, 8_000, FaultKind::HoldUps(proxy, 8)));
     let plan = Plan { rest_ms: 20, clients: 40, ..day(101, late.chain(held_up).collect()) };
     counted("departures are not asked for", Violation::StartedForDeparted, &plan);
 }
@@ -89,8 +89,8 @@
 /// Connections come up so late that their host has drained for long.
 #[test]
 fn an_attempt_that_starts_at_a_host_that_drains() {
-    let late = (0..3).map(|host| fault(0, 8_000, What::LateSessions(host, 1_500)));
-    let drains = (0..3u64).map(|n| fault(1_500 + 1_500 * n, 1_300, What::Drain(1 + n as usize % 2)));
+    let late = (0..3).map(|host| fault(0, 8_000, FaultKind::LateSessions(host, 1_500)));
+    let drains = (0..3u64).map(|n| fault(1_500 + 1_500 * n, 1_300, FaultKind::Drain(1 + n as usize % 2)));
     let plan = day(102, late.chain(drains).collect());
     counted("drains are not asked for", Violation::StartedAtDraining, &plan);
 }
@@ -98,8 +98,8 @@
 /// The primary says nonsense now and then, and connections for repeats come up when keys are forgotten.
 #[test]
 fn a_repeat_that_starts_when_its_key_is_forgotten() {
-    let late = fault(0, 8_000, What::LateSessions(0, 1_200));
-    let nonsense = (0..12u64).map(|n| fault(500 + 600 * n, 100, What::Garbage(0)));
+    let late = fault(0, 8_000, FaultKind::LateSessions(0, 1_200));
+    let nonsense = (0..12u64).map(|n| fault(500 + 600 * n, 100, FaultKind::Garbage(0)));
     let plan = Plan { clients: 40, ..day(103, nonsense.chain([late]).collect()) };
     counted("attempts begin unchecked", Violation::RepeatedTooLate, &plan);
 }
@@ -117,7 +117,7 @@
 /// Writes that must not run twice fail, and are refused.
 #[test]
 fn a_refusal_of_what_may_have_run() {
-    let faults = vec![fault(1_000, 6_000, What::Errors(0))];
+    let faults = vec![fault(1_000, 6_000, FaultKind::Errors(0))];
     counted("refusals promise anything", Violation::RefusedAfterRun, &day(106, faults));
 }
 
--- a/crates/lab/tests/sim.rs
+++ b/crates/lab/tests/sim.rs
@@ -1,9 +1,9 @@
 //! The simulation itself: the same day twice to the byte, days that hold the rules, and plans that shrink.
 
 use sillfold_lab::sim::deployment::{
-    DedupScope, Deployment, Effect, LagCheck, ListRole, MAX_CLASSES, MAX_ZONES, Need, Tokens,
+    Access, DedupScope, Deployment, Idempotency, LagCheck, ListRole, MAX_CLASSES, MAX_ZONES, SessionTokens,
 };
-use sillfold_lab::sim::plan::{Family, Fault, Plan, What};
+use sillfold_lab::sim::plan::{Family, Fault, FaultKind, Plan};
 use sillfold_lab::sim::run;
 use std::collections::BTreeSet;
 use std::fmt::Debug;
@@ -27,17 +27,17 @@
 #[test]
 fn rules_hold_while_a_room_returns_cold_beside_a_hung_primary_and_a_killed_proxy() {
     for seed in 1..=6 {
-        let fault = |at_ms, for_ms, what| Fault { at_ms, for_ms, what };
+        let fault = |at_ms, for_ms, kind| Fault { at_ms, for_ms, kind };
         let faults = vec![
-            fault(1_000, 2_000, What::Room(1)),
-            fault(1_500, 1_500, What::Hung(0)),
-            fault(1_800, 2_500, What::Drain(0)),
-            fault(2_000 + seed * 130, 300, What::ProxyKilled(0, seed * 3)),
-            fault(2_500, 1_000, What::ProxyReplaced(1)),
-            fault(2_000, 3_000, What::Rude(1, 4)),
-            fault(3_000, 1_500, What::Handover(0)),
+            fault(1_000, 2_000, FaultKind::Room(1)),
+            fault(1_500, 1_500, FaultKind::Hung(0)),
+            fault(1_800, 2_500, FaultKind::Drain(0)),
+            fault(2_000 + seed * 130, 300, FaultKind::ProxyKilled(0, seed * 3)),
+            fault(2_500, 1_000, FaultKind::ProxyReplaced(1)),
+            fault(2_000, 3_000, FaultKind::Rude(1, 4)),
+            fault(3_000, 1_500, FaultKind::Handover(0)),
         ];
-        let family = [Family::Silent, Family::Bounce, Family::Await][seed as usize % 3];
+        let family = [Family::Unchecked, Family::Reject, Family::Wait][seed as usize % 3];
         let (proxies, groups, members, clients, rest_ms) = (2, 2, 4, 12, 80);
         let plan = Plan {
             seed,
@@ -48,9 +48,9 @@
             clients,
             rest_ms,
             for_ms: 7_000,
-            choppy: true,
-            talk: false,
-            blind: false,
+            partial_io: true,
+            peer_messages: false,
+            positions_from_probes_only: false,
             deployment: None,
             faults,
         };
@@ -64,12 +64,13 @@
 #[test]
 fn a_plan_is_read_back_as_it_was_written_and_shrinks() {
     for seed in 1..50 {
-        let plan = Plan::of(seed);
+        let plan = Plan::from_seed(seed);
         let text = serde_json::to_string(&plan).expect("it is written");
         assert_eq!(sillfold_conf::parse::<Plan>("plan", &text), Ok(plan.clone()));
-        let size = |p: &Plan| p.faults.len() + p.clients + usize::from(p.choppy) + usize::from(p.talk);
+        let size =
+            |p: &Plan| p.faults.len() + p.clients + usize::from(p.partial_io) + usize::from(p.peer_messages);
         assert!(plan.smaller().iter().all(|s| size(s) < size(&plan)));
-        assert_eq!(Plan::of(seed), plan);
+        assert_eq!(Plan::from_seed(seed), plan);
     }
     let wrong = sillfold_conf::parse::<Plan>("plan", r#"{"seed": 1, "proxies": 0}"#);
     assert!(wrong.is_err_and(|e| e[0].starts_with("plan:")));
@@ -81,7 +82,7 @@
 /// How many values, or pairs of values, of the deployments' settings occur.
 fn count<T: Debug>(of: impl Fn(&Deployment) -> T) -> usize {
     let values: BTreeSet<String> =
-        SEEDS.filter_map(|seed| Plan::of(seed).deployment).map(|d| format!("{:?}", of(&d))).collect();
+        SEEDS.filter_map(|seed| Plan::from_seed(seed).deployment).map(|d| format!("{:?}", of(&d))).collect();
     eprintln!("{values:?}");
     values.len()
 }
@@ -114,7 +115,7 @@
 /// Each kind of class and of repeat, under each way in which sessions' writes are known; and tiers of any size.
 #[test]
 fn every_kind_of_class_and_every_size_of_tier_is_drawn() {
-    let plans: Vec<Plan> = SEEDS.map(Plan::of).collect();
+    let plans: Vec<Plan> = SEEDS.map(Plan::from_seed).collect();
     let named = plans.iter().filter_map(|p| Some(p.deployment.as_ref()?.named_proxies));
     assert!(named.clone().any(|n| n == 1) && named.clone().any(|n| n > 300));
     assert!(plans.iter().any(|p| p.proxies > 100) && plans.iter().all(|p| p.proxies < 4 || p.clients == 1));
@@ -123,23 +124,23 @@
         let d = plan.deployment();
         assert!(d.named_proxies >= plan.proxies, "seed {}", plan.seed);
         for class in &d.classes {
-            let need = match class.need {
-                Need::Any => "any",
-                Need::Bounded(_) => "bounded",
-                Need::Session => "session",
-                Need::Write => "write",
+            let access = match class.access {
+                Access::AnyRead => "any",
+                Access::BoundedRead(_) => "bounded",
+                Access::SessionRead => "session",
+                Access::Write => "write",
             };
-            let effect = match class.effect {
-                Effect::Safe => "safe",
-                Effect::Once => "once",
-                Effect::Keyed(DedupScope::All, _) => "all",
-                Effect::Keyed(DedupScope::Zone, _) => "zone",
-                Effect::Keyed(DedupScope::Group, _) => "group",
+            let idempotency = match class.idempotency {
+                Idempotency::Idempotent => "safe",
+                Idempotency::NotIdempotent => "once",
+                Idempotency::Keyed(DedupScope::All, _) => "all",
+                Idempotency::Keyed(DedupScope::Zone, _) => "zone",
+                Idempotency::Keyed(DedupScope::Group, _) => "group",
             };
-            kinds.insert((d.tokens, need, effect));
+            kinds.insert((d.tokens, access, idempotency));
         }
-        let has = |need| d.classes.iter().any(|c| c.need == need);
-        assert!(!has(Need::Session) || has(Need::Write), "seed {}", plan.seed);
+        let has = |access| d.classes.iter().any(|c| c.access == access);
+        assert!(!has(Access::SessionRead) || has(Access::Write), "seed {}", plan.seed);
     }
     assert_eq!(kinds.len(), 2 * 4 * 5, "{kinds:?}");
 }
@@ -151,12 +152,15 @@
         "rest_ms": 60, "for_ms": 3000, "choppy": false, "blind": true,
         "faults": [{"at_ms": 500, "what": "watches_hushed"}, {"at_ms": 600, "for_ms": 9, "what": {"liar": 1}}]}"#;
     let plan = sillfold_conf::parse::<Plan>("plan", text).expect("it is read");
-    assert_eq!(plan.faults[0].what, What::WatchesSilent);
-    assert_eq!(plan.faults[1].what, What::ForgedPeer(1));
+    assert_eq!(plan.faults[0].kind, FaultKind::WatchesSilent);
+    assert_eq!(plan.faults[1].kind, FaultKind::ForgedPeer(1));
     let d = plan.deployment();
-    assert_eq!((d.tokens, d.lag_check, d.list_role), (Tokens::Carried, LagCheck::Refuse, ListRole::Late(0)));
+    assert_eq!(
+        (d.tokens, d.lag_check, d.list_role),
+        (SessionTokens::FromClient, LagCheck::Reject, ListRole::Delayed(0))
+    );
     assert_eq!((d.answer_positions, d.classes.len()), (false, 6));
-    let settings = d.settings(1, plan.proxies, plan.talk);
+    let settings = d.settings(1, plan.proxies, plan.peer_messages);
     assert!(sillfold::settings::parse(settings.to_string().as_bytes()).is_ok());
 }
 
@@ -164,14 +168,16 @@
 /// must not run twice, is not sent again.
 #[test]
 fn a_read_whose_answer_is_too_old_does_not_run_twice() {
-    let handovers = (0..10u64).map(|n| (700 + 700 * n, 500, What::Handover(0)));
-    let lags = (0..3).map(|host| (600, 7_000, What::Lag(host, 2_000)));
+    let handovers = (0..10u64).map(|n| (700 + 700 * n, 500, FaultKind::Handover(0)));
+    let lags = (0..3).map(|host| (600, 7_000, FaultKind::Lag(host, 2_000)));
     let faults: Vec<Fault> =
-        handovers.chain(lags).map(|(at_ms, for_ms, what)| Fault { at_ms, for_ms, what }).collect();
-    let mut deployment =
-        Deployment { tokens: Tokens::Remembered, ..Deployment::standard(Family::Silent, false) };
-    deployment.classes.iter_mut().for_each(|class| class.effect = Effect::Once);
-    let drawn = Plan::of(1);
+        handovers.chain(lags).map(|(at_ms, for_ms, kind)| Fault { at_ms, for_ms, kind }).collect();
+    let mut deployment = Deployment {
+        tokens: SessionTokens::TrackedByProxy,
+        ..Deployment::standard(Family::Unchecked, false)
+    };
+    deployment.classes.iter_mut().for_each(|class| class.idempotency = Idempotency::NotIdempotent);
+    let drawn = Plan::from_seed(1);
     for seed in 1..=24 {
         let plan = Plan {
             seed,
@@ -181,8 +187,8 @@
             clients: 12,
             rest_ms: 40,
             for_ms: 8_000,
-            choppy: false,
-            talk: false,
+            partial_io: false,
+            peer_messages: false,
             deployment: Some(deployment.clone()),
             faults: faults.clone(),
             ..drawn.clone()
@@ -194,11 +200,11 @@
 /// The folder cannot be read for longer than the grace of a drain while a new version starts beside one that has the order.
 #[test]
 fn an_order_by_hand_binds_a_version_that_starts_while_the_folder_cannot_be_read() {
-    let fault = |at_ms, for_ms, what| Fault { at_ms, for_ms, what };
+    let fault = |at_ms, for_ms, kind| Fault { at_ms, for_ms, kind };
     let faults = vec![
-        fault(1_000, 6_000, What::ByHand(0, 1)),
-        fault(2_000, 2_500, What::DiskUnreadable(0)),
-        fault(2_200, 3_000, What::ProxyReplaced(0)),
+        fault(1_000, 6_000, FaultKind::ByHand(0, 1)),
+        fault(2_000, 2_500, FaultKind::DiskUnreadable(0)),
+        fault(2_200, 3_000, FaultKind::ProxyReplaced(0)),
     ];
     let plan = Plan {
         proxies: 1,
@@ -208,7 +214,7 @@
         rest_ms: 40,
         for_ms: 8_000,
         faults,
-        ..Plan::of(1)
+        ..Plan::from_seed(1)
     };
     assert_eq!(run(&plan, false).broken, None);
 }
