--- a/crates/lab/src/sim/mod.rs
+++ b/crates/lab/src/sim/mod.rs
@@ -679,7 +679,7 @@
         if !run.core.knows_host(&name) {
             return;
         }
-        let told = seam::with(self.world.view_from(run.machine), || run.upgrade.by_hand(&name, out));
+        let told = seam::with(self.world.view_from(run.machine), || run.upgrade.set_override(&name, out));
         self.world.trace(|| format!("proxy {p}: host {host} by hand, out {out}: {told:?}"));
         if told.is_err() {
             return;
@@ -688,7 +688,7 @@
         book.by_hand(run.machine, host, out, now);
         for other in &self.beside[p] {
             // It looks for what the other was told every 50 ms, where the two have met.
-            if !out || other.upgrade.accompanied() {
+            if !out || other.upgrade.has_other_process() {
                 book.by_hand(other.machine, host, out, now + 60_000);
             }
         }
@@ -756,7 +756,7 @@
         let figures = serde_json::to_value(run.core.figures()).unwrap_or_default();
         let out = figures["inflight"].as_u64().unwrap_or(u64::MAX);
         let machine = self.processes[run.process].machine;
-        let (open, hosts) = (self.world.open_descriptors(machine), run.hosts.held());
+        let (open, hosts) = (self.world.open_descriptors(machine), run.hosts.open_connections());
         let all = clients + hosts;
         match () {
             () if out > 0 => Err(format!("{out} requests are still open")),
@@ -764,7 +764,7 @@
             // A dial has its descriptor counted before it is open.
             () if all > open + 2 => Err(format!("{all} descriptors are counted, {open} are open")),
             // Beside them, a watch of discovery, what versions say to each other, and the talk.
-            () if open > all + 1 + run.upgrade.meetings().max(2) + usize::from(self.plan.peer_messages) => {
+            () if open > all + 1 + run.upgrade.connections().max(2) + usize::from(self.plan.peer_messages) => {
                 Err(format!("{open} descriptors are open, {all} of them accounted for"))
             }
             () => Ok(()),
--- a/src/net/client_connection.rs
+++ b/src/net/client_connection.rs
@@ -8,7 +8,7 @@
     Admission, IDLE_TIMEOUT, IDLE_TIMEOUT_CROWDED, IDLE_TIMEOUT_OVERCROWDED, MemoryShare,
 };
 use super::world::{self, Stream};
-use super::{by, read};
+use super::{read_into, timeout_at};
 use crate::invariants::CloseReason;
 use crate::mutants;
 use crate::pg::{self, ErrorFields, ReadBuffer, code};
@@ -52,7 +52,7 @@
 
 /// How a wait for more bytes ended.
 pub enum ReadResult {
-    /// There are bytes in the inbox.
+    /// There are bytes in the read buffer.
     Bytes,
     /// The connection has ended, or has to end: it was idle for too long, or its slot is wanted for another client.
     End,
@@ -115,13 +115,13 @@
     pub received_message: bool,
     /// The session has received a request.
     pub received_request: bool,
-    /// Since when the inbox has held only a part of a message.
+    /// Since when the read buffer has held only a part of a message.
     pub partial_since: Option<Instant>,
     /// The connection was asked to end, because another client needs its slot.
     pub evicted: bool,
     /// The client has sent more than the read-ahead limits allow.
     pub overrun: bool,
-    /// When bytes of the client were last received.
+    /// When bytes of the client were last received, or a wait for them ended.
     last_received: Instant,
     /// Notified when the connection has to end because another client needs its slot.
     eviction: (Sender<()>, Receiver<()>),
@@ -157,7 +157,7 @@
 
     /// Whether the client has sent bytes that are not decoded yet.
     pub fn has_unread_input(&self) -> bool {
-        !self.read_buffer.is_empty() || !self.stream.quiet()
+        !self.read_buffer.is_empty() || !self.stream.is_idle()
     }
 
     /// Why the connection ends: the client has ended it, if nothing else is known.
@@ -165,12 +165,14 @@
         self.close_reason.unwrap_or(CloseReason::ClientEnded)
     }
 
-    /// Waits for more bytes of a message that has begun, unless there are some in the inbox.
+    /// Waits for more bytes of a message that has begun, unless the read buffer holds some.
     pub async fn read_more(&mut self) -> io::Result<ReadResult> {
         if !self.read_buffer.is_empty() {
             return Ok(ReadResult::Bytes);
         }
-        match by(world::now() + CONTINUE_TIMEOUT, read(&self.stream, &mut self.read_buffer)).await {
+        match timeout_at(world::now() + CONTINUE_TIMEOUT, read_into(&self.stream, &mut self.read_buffer))
+            .await
+        {
             Some(Ok(n @ 1..)) => {
                 self.received_bytes += n as u64;
                 self.last_received = world::now();
@@ -253,7 +255,7 @@
 
     /// Writes some of the bytes that are due, beginning at `from`. Returns how many.
     async fn write_part(&self, from: usize) -> io::Result<usize> {
-        let written = by(world::now() + WRITE_TIMEOUT, self.stream.write(&self.out[from..])).await;
+        let written = timeout_at(world::now() + WRITE_TIMEOUT, self.stream.write(&self.out[from..])).await;
         match written.unwrap_or_else(|| Err(io::ErrorKind::TimedOut.into()))? {
             0 => Err(io::ErrorKind::WriteZero.into()),
             n => Ok(n),
@@ -311,7 +313,7 @@
         let _idle_entry = (idle || !self.received_request)
             .then(|| admission.register_idle(self.received_request, self.eviction.0.clone()));
         // Reading takes precedence: a request that has been received already is still served.
-        let read = async { Some(read(&self.stream, &mut self.read_buffer).await) };
+        let read = async { Some(read_into(&self.stream, &mut self.read_buffer).await) };
         // A connection that was opened after the idle ones were closed stays open for its refusal, with the usual timeouts.
         let opened_late = self.admission.opened_after_idle_close(self.opened_at);
         let mut stopping = false;
@@ -356,7 +358,7 @@
 
     /// Whether the stream has no unread bytes. Guards against a close while a request waits to be read.
     fn is_quiet(&self) -> bool {
-        self.stream.quiet()
+        self.stream.is_idle()
     }
 
     /// Updates this client's share of the memory limit. Returns whether there is memory for what it has sent.
@@ -430,7 +432,7 @@
         let read = match self.overrun {
             true => self.stream.read_with(|_| ()).await,
             false => {
-                let read = read(&self.stream, &mut self.read_buffer).await;
+                let read = read_into(&self.stream, &mut self.read_buffer).await;
                 if let Ok(count) = read {
                     self.note_received(count);
                 }
@@ -481,13 +483,14 @@
         self.read_buffer.clear();
         self.memory_share.set(0);
         let drained = async {
-            while let Some(Ok(n)) = by(world::now() + LINGER_QUIET, self.stream.read_with(|_| ())).await
+            while let Some(Ok(n)) =
+                timeout_at(world::now() + LINGER_QUIET, self.stream.read_with(|_| ())).await
                 && n > 0
             {
                 // Lets other tasks run while a client sends 60 MB.
                 future::yield_now().await;
             }
         };
-        by(world::now() + MAX_LINGER, drained).await;
+        timeout_at(world::now() + MAX_LINGER, drained).await;
     }
 }
