--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -1,4 +1,5 @@
-//! Decisions of the module, seen through its public interface.
+//! Tests the decisions of `Router` through its public interface: scripted events go in, and the tests check the
+//! actions that come out. `rig::settings` lists the classes, `rig::three_hosts` the hosts.
 
 mod rig;
 
@@ -15,14 +16,14 @@
 }
 
 #[test]
-fn clamp_takes_p90_p95_or_latest() {
-    // Ten values: p90 is the 9th, p99 the 10th; 20 >= 2 x 9, so p90 stands.
+fn tail_adjusted_takes_p90_p95_or_the_latest_value() {
+    // Ten values: p90 is the 9th, p99 the 10th; 20 >= 2 x 9, so the result is p90.
     let long: Vec<f64> = (1..=9).map(f64::from).chain([20.0]).collect();
     assert_eq!(tail_adjusted(&long, 5.0, TAIL_RATIO), 9.0);
-    // 17 < 2 x 9 and p99.9 = p95 = 17: the latest value stands.
+    // 17 < 2 x 9 and p99.9 = p95 = 17: the result is the latest value.
     let short: Vec<f64> = (1..=9).map(f64::from).chain([17.0]).collect();
     assert_eq!(tail_adjusted(&short, 5.0, TAIL_RATIO), 5.0);
-    // 200 values: p90 = p95 = p99 = 1, p99.9 = the 200th = 3: p95 stands.
+    // 200 values: p90 = p95 = p99 = 1, p99.9 = the 200th = 3: the result is p95.
     let mut far = vec![1.0; 199];
     far.push(3.0);
     assert_eq!(tail_adjusted(&far, 7.0, TAIL_RATIO), 1.0);
@@ -45,23 +46,23 @@
     assert!(counts.get(&3) > counts.get(&2), "{counts:?}");
 }
 
-/// Who sends a server nothing learns nothing new of it: one slow answer must not keep it unused for good, and one
-/// that stays slow must not cost much.
+/// A proxy learns nothing new about a host that it sends nothing to. Guards against a host that stays unused for good
+/// after one slow answer, and against many slow reads at a host that stays slow.
 #[test]
-fn a_replica_that_was_slow_once_is_tried_again_and_one_that_stays_slow_costs_little() {
-    for stays in [false, true] {
+fn a_slow_replica_is_tried_again_but_rarely_while_it_stays_slow() {
+    for stays_slow in [false, true] {
         let mut rig = Rig::new(settings());
         let mut reads = 0;
         for id in 0..6_000 {
             let out = rig.send_request(id, 0);
             let host = sent_to(&out, id).expect("sent");
-            let latency = if host == 2 && (stays || reads == 0) { 50 * MS } else { 2 * MS };
+            let latency = if host == 2 && (stays_slow || reads == 0) { 50 * MS } else { 2 * MS };
             reads += u32::from(host == 2);
             rig.end_attempt(id, host, Outcome::Ok, latency, role_of(host), 0);
             rig.advance(8 * MS, &[]);
         }
-        // A minute of a hundred reads a second.
-        if stays {
+        // The run is a minute with a hundred reads per second.
+        if stays_slow {
             assert!((2..=8).contains(&reads), "{reads} reads");
         } else {
             assert!(reads > 1_000, "{reads} reads");
@@ -70,29 +71,29 @@
 }
 
 #[test]
-fn unchecked_replicas_get_bounded_reads_only_inside_the_bound() {
+fn replicas_that_do_not_check_get_bounded_reads_only_inside_the_bound() {
     for (behind, expected) in [(200 * MS, true), (301 * MS, false)] {
         let mut rig = Rig::new(settings());
         rig.receive_probe(2, Role::Replica, behind);
         rig.receive_probe(3, Role::Replica, behind);
-        let mut replicas = false;
+        let mut replicas_used = false;
         for id in 0..20 {
             let out = rig.send_request(id, 1);
-            replicas |= sent_to(&out, id).is_some_and(|s| s != 1);
+            replicas_used |= sent_to(&out, id).is_some_and(|host| host != 1);
         }
-        assert_eq!(replicas, expected, "behind by {behind}");
+        assert_eq!(replicas_used, expected, "{behind} us behind");
     }
 }
 
 #[test]
-fn an_unheard_replica_gets_no_bounded_read_where_replicas_do_not_check() {
+fn a_replica_that_never_reported_gets_no_bounded_read_where_replicas_do_not_check() {
     let mut rig = Rig::new(settings());
     let out = rig.send_request(1, 1);
     assert_eq!(sent_to(&out, 1), Some(1));
 }
 
-/// Replicas that turn stale reads away themselves; no primary known.
-fn checked() -> Settings {
+/// Settings where replicas reject stale reads themselves and the list names no primary.
+fn settings_with_lag_check() -> Settings {
     let mut set = settings();
     set.lag_check = LagCheck::Reject;
     set.list_role = ListRole::Absent;
@@ -100,8 +101,8 @@
 }
 
 #[test]
-fn where_replicas_check_the_most_advanced_is_tried() {
-    let mut rig = Rig::new(checked());
+fn a_bounded_read_goes_to_the_most_recent_replica_where_replicas_check() {
+    let mut rig = Rig::new(settings_with_lag_check());
     rig.receive_probe(1, Role::Replica, 2_000 * MS);
     rig.receive_probe(2, Role::Replica, 1_600 * MS);
     rig.receive_probe(3, Role::Replica, 1_200 * MS);
@@ -109,76 +110,77 @@
     assert_eq!(sent_to(&out, 1), Some(3));
 }
 
-/// One of hundreds of routers hears a replica once in many seconds: bounded reads must not crowd the primary.
+/// One of hundreds of proxies receives a report of a replica once in many seconds. Guards against bounded reads that all
+/// go to the primary meanwhile.
 #[test]
-fn a_replica_heard_seconds_ago_is_held_to_keep_up_where_replicas_check() {
-    let mut rig = Rig::new(checked());
+fn a_replica_that_kept_up_at_its_last_report_gets_bounded_reads_where_replicas_check() {
+    let mut rig = Rig::new(settings_with_lag_check());
     rig.receive_probe(1, Role::Primary, 0);
     rig.receive_probe(2, Role::Replica, 10 * MS);
     rig.receive_probe(3, Role::Replica, 1_500 * MS);
     rig.advance(3_000 * MS, &[]);
     let out = rig.send_request(1, 1);
-    assert_eq!(sent_to(&out, 1), Some(2), "server 2 kept up when last heard, server 3 did not");
-    // Turned away after all: what the answer says counts at once.
+    assert_eq!(sent_to(&out, 1), Some(2), "host 2 kept up at its last report, host 3 did not");
+    // The host rejects the read after all: the position in its answer counts at once.
     let out = rig.end_attempt(1, 2, Outcome::Unsuitable, MS, Role::Replica, 3_000 * MS);
     assert_eq!(sent_to(&out, 1), Some(1));
 }
 
 #[test]
-fn where_answers_tell_no_position_a_read_turned_away_and_a_new_start_do() {
-    let mut rig = Rig::new(Settings { answers_carry_positions: false, ..checked() });
+fn without_positions_in_answers_a_rejected_read_or_a_recent_start_marks_a_host_as_behind() {
+    let mut rig = Rig::new(Settings { answers_carry_positions: false, ..settings_with_lag_check() });
     for host in 1..=3 {
         rig.receive_probe(host, role_of(host), 0);
     }
     let mut next = 0;
-    // How many of 40 bounded reads go to a server, each served with no word of the position.
-    let mut share = |rig: &mut Rig, of: HostId| {
+    // How many of 40 bounded reads go to a host. No answer reports a position.
+    let mut reads_at = |rig: &mut Rig, counted_host: HostId| {
         let mut count = 0;
         for _ in 0..40 {
             next += 1;
             let host = sent_to(&rig.send_request(next, 1), next).expect("sent");
-            count += usize::from(host == of);
+            count += usize::from(host == counted_host);
             rig.end_attempt_without_report(next, host, Outcome::Ok, MS);
         }
         count
     };
     rig.advance(1_000 * MS, &[]);
-    // Turned away after its wait, it is behind, and is left alone until a probe says otherwise.
+    // A host that rejects a read after its wait is behind, and gets no bounded read until a probe reports otherwise.
     let behind = sent_to(&rig.send_request(1_000, 1), 1_000).expect("sent");
     rig.end_attempt_without_report(1_000, behind, Outcome::Unsuitable, 100 * MS);
-    assert_eq!(share(&mut rig, behind), 0);
+    assert_eq!(reads_at(&mut rig, behind), 0);
     rig.receive_probe(behind, Role::Replica, 0);
-    assert!(share(&mut rig, behind) > 0);
-    // One that started lately goes on from an old copy: it is asked before it is read from.
+    assert!(reads_at(&mut rig, behind) > 0);
+    // A host that started recently continues from an old copy of the data: it is probed before it gets reads.
     let started = rig.now - 4_000 * MS;
     rig.advance(0, &[list(ListUpdate::Delta, vec![entry(4, HostStatus::Ready, false, started)])]);
-    assert_eq!(share(&mut rig, 4), 0);
+    assert_eq!(reads_at(&mut rig, 4), 0);
     rig.advance(100 * MS, &[]);
     assert!(rig.probed.contains(&4), "{:?}", rig.probed);
     rig.receive_probe(4, Role::Replica, 0);
-    assert!(share(&mut rig, 4) > 0);
+    assert!(reads_at(&mut rig, 4) > 0);
 }
 
 #[test]
-fn a_member_that_turns_writes_away_is_not_primary_whatever_it_calls_itself() {
+fn a_member_that_rejects_writes_is_not_the_primary_whatever_role_it_reports() {
     let mut rig = Rig::new(settings());
     assert_eq!(sent_to(&rig.send_request(1, 5), 1), Some(1));
-    let mut asked = Vec::new();
+    let mut tried = Vec::new();
     let mut out = rig.end_attempt(1, 1, Outcome::Unsuitable, 2 * MS, Role::Primary, 0);
     for _ in 0..10 {
         if let Some(host) = sent_to(&out, 1) {
-            asked.push(host);
+            tried.push(host);
             out = rig.end_attempt(1, host, Outcome::Unsuitable, 2 * MS, Role::Primary, 0);
         } else {
             out = rig.advance(10 * MS, &[]);
         }
     }
-    // Once more the list's hint, then the others in turn.
-    assert_eq!(asked.get(..3), Some(&[1, 2, 3][..]), "{asked:?}");
+    // First the primary that the list names once more, then the others in turn.
+    assert_eq!(tried.get(..3), Some(&[1, 2, 3][..]), "{tried:?}");
 }
 
 #[test]
-fn without_a_check_only_a_known_position_counts() {
+fn a_bounded_read_goes_to_the_primary_once_reports_are_old_where_replicas_do_not_check() {
     let mut set = settings();
     set.list_role = ListRole::Absent;
     let mut rig = Rig::new(set);
@@ -190,14 +192,14 @@
 }
 
 #[test]
-fn a_session_read_waits_for_its_token() {
+fn a_session_read_goes_to_no_replica_behind_its_token() {
     let mut rig = Rig::new(settings());
     rig.receive_probe(2, Role::Replica, 100 * MS);
     rig.receive_probe(3, Role::Replica, 400 * MS);
     let now = rig.now;
     let mut reached = [0; 4];
     for id in 0..6 {
-        // The last write is 200 ms old: server 2 holds it, server 3 does not.
+        // The last write is 200 ms old: host 2 has it, host 3 does not.
         let read = Event::Request(RequestInfo {
             id,
             class: 2,
@@ -215,7 +217,7 @@
 }
 
 #[test]
-fn remembered_tokens_bind_later_session_reads() {
+fn tokens_that_the_proxy_tracks_bind_later_session_reads() {
     let mut set = settings();
     set.session_tokens = SessionTokens::TrackedByProxy;
     let mut rig = Rig::new(set);
@@ -224,11 +226,11 @@
     rig.receive_probe(2, Role::Replica, 50 * MS);
     rig.receive_probe(3, Role::Replica, 50 * MS);
     let out = rig.send_request(2, 2);
-    assert_eq!(sent_to(&out, 2), Some(1), "no replica holds the session's write yet");
+    assert_eq!(sent_to(&out, 2), Some(1), "no replica has the session's write yet");
 }
 
 #[test]
-fn a_nonsense_token_asks_for_the_present() {
+fn an_invalid_token_requires_the_present_position() {
     for token_ms in [f32::NAN, -5.0] {
         let mut rig = Rig::new(settings());
         rig.receive_probe(2, Role::Replica, 10 * MS);
@@ -248,9 +250,9 @@
 }
 
 #[test]
-fn outcomes_against_effects() {
+fn each_outcome_allows_a_retry_or_a_refusal_by_the_idempotency_of_the_class() {
     use Outcome::*;
-    // (outcome, another attempt for the unsafe write, refusal allowed at its give-up)
+    // The outcome, and whether the attempt never ran, so that a write may be retried or refused.
     for (outcome, never_ran) in [
         (Error, false),
         (Reset, false),
@@ -266,9 +268,13 @@
         let out = rig.send_request(1, 4);
         assert_eq!(sent_to(&out, 1), Some(1));
         let out = rig.end_attempt(1, 1, outcome, 5 * MS, Role::Replica, 0);
-        assert_eq!(failed(&out, 1), !never_ran, "{outcome:?}: an unsafe write that may have run fails");
+        assert_eq!(
+            failed(&out, 1),
+            !never_ran,
+            "{outcome:?}: a write that is not idempotent and may have run fails"
+        );
         assert!(!refused(&out, 1));
-        // A keyed write may go again inside its group while its window lasts, but never be refused.
+        // A keyed write that may have run may be retried in its group inside its window, but is never refused.
         let mut rig = Rig::new(settings());
         rig.send_request(1, 5);
         let mut out = rig.end_attempt(1, 1, outcome, 5 * MS, Role::Primary, 0);
@@ -281,7 +287,7 @@
 }
 
 #[test]
-fn a_keyed_write_is_not_sent_again_after_its_window() {
+fn a_keyed_write_is_not_retried_after_its_window() {
     let mut rig = Rig::new(settings());
     rig.send_request(1, 5);
     let out = rig.end_attempt(1, 1, Outcome::Timeout, 980 * MS, Role::Primary, 0);
@@ -289,33 +295,34 @@
     assert!(failed(&out, 1));
 }
 
-/// The first attempt is not bound; a repeat has to begin before the key may be forgotten, and a read never has to.
+/// A first attempt may start at any time. A retry of a keyed write has to start before hosts may forget the key; a retry
+/// of a read may start at any time.
 #[test]
-fn a_repeat_of_a_keyed_write_may_begin_inside_its_window_only() {
+fn a_retry_of_a_keyed_write_may_start_inside_its_window_only() {
     for (class, window) in [(5, Some(1_000 * MS)), (0, None)] {
         let mut rig = Rig::new(settings());
-        let first = rig.now;
+        let first_sent = rig.now;
         let out = rig.send_request(1, class);
-        let host = sent_to(&out, 1).expect("it is sent");
-        let mut unbound = Rig::new(settings());
-        unbound.send_request(1, class);
+        let host = sent_to(&out, 1).expect("the request is sent");
+        let mut first_attempt_only = Rig::new(settings());
+        first_attempt_only.send_request(1, class);
         assert!(
-            unbound.router.may_start_attempt(first + 3_600_000 * MS, 1),
+            first_attempt_only.router.may_start_attempt(first_sent + 3_600_000 * MS, 1),
             "class {class}: the first attempt"
         );
         let mut out = rig.end_attempt(1, host, Outcome::Reset, 5 * MS, Role::Primary, 0);
         for _ in 0..20 {
             out.extend(rig.advance(10 * MS, &[Event::Timer(0)]));
         }
-        assert!(sent_to(&out, 1).is_some(), "class {class} is not sent again: {out:?}");
+        assert!(sent_to(&out, 1).is_some(), "class {class} is not retried: {out:?}");
         assert!(rig.router.may_start_attempt(rig.now, 1));
         let late = window.map_or(3_600_000 * MS, |window| window - 50 * MS);
-        assert_eq!(rig.router.may_start_attempt(first + late, 1), window.is_none(), "class {class}");
+        assert_eq!(rig.router.may_start_attempt(first_sent + late, 1), window.is_none(), "class {class}");
     }
 }
 
 #[test]
-fn draining_ends_reads_at_once_and_writes_inside_the_grace() {
+fn a_draining_primary_gets_no_reads_and_writes_only_inside_the_grace() {
     let mut rig = Rig::new(settings());
     rig.advance(0, &[list(ListUpdate::Delta, vec![entry(1, HostStatus::Draining, true, 0)])]);
     let out = rig.send_request(1, 4);
@@ -330,7 +337,7 @@
 }
 
 #[test]
-fn a_server_missing_from_a_full_list_is_gone() {
+fn a_host_that_a_full_list_does_not_name_gets_no_requests() {
     let mut rig = Rig::new(settings());
     rig.advance(0, &[list(ListUpdate::Full, vec![entry(2, HostStatus::Ready, false, 0)])]);
     for id in 0..4 {
@@ -339,9 +346,9 @@
     }
 }
 
-/// Four hundred routers with one read each: together they send a cold server no more than its present share.
+/// 400 proxies with one read each send a cold host together no more than its present share.
 #[test]
-fn a_cold_server_gets_its_share_from_all_routers_together() {
+fn a_cold_host_gets_its_share_from_all_proxies_together() {
     let mut counts = [0u32; 4];
     for seed in 0..400 {
         let mut router = Router::new(settings(), seed);
@@ -351,68 +358,71 @@
         router.handle(START + MS, &[start, request(1, 0, START)], &mut out);
         counts[sent_to(&out, 1).unwrap() as usize] += 1;
     }
-    // A fair third is 133; the server starts at a fifth of its capacity.
+    // An equal share is a third, 133 reads; the host starts at a fifth of its capacity.
     assert!(counts[3] > 0 && counts[3] <= 133 / 4, "{counts:?}");
 }
 
-/// How many of so many first reads go to the two new ones where a release replaces two of five.
-fn to_replacements(proxy_count: u32, reads: u64) -> u64 {
-    let mut cold = 0;
+/// Replaces two of five members by two new ones, and returns how many of `reads` first reads go to the new ones. Each
+/// read is sent by a proxy of its own.
+fn reads_at_replacements(proxy_count: u32, reads: u64) -> u64 {
+    let mut cold_reads = 0;
     for seed in 0..reads {
         let mut router = Router::new(Settings { proxy_count, ..settings() }, seed);
         let mut out = Vec::new();
         let ready = |id| entry(id, HostStatus::Ready, id == 1, 0);
         router.handle(START, &[list(ListUpdate::Cached, (1..=5).map(ready).collect())], &mut out);
-        let left = (4..=5).map(|id| entry(id, HostStatus::Draining, false, 0));
+        let draining = (4..=5).map(|id| entry(id, HostStatus::Draining, false, 0));
         let new = (6..=7).map(|id| entry(id, HostStatus::Ready, false, START + 1));
-        let news = list(ListUpdate::Delta, left.chain(new).collect());
-        router.handle(START + MS, &[news, request(1, 0, START)], &mut out);
-        cold += u64::from(sent_to(&out, 1) > Some(5));
+        let update = list(ListUpdate::Delta, draining.chain(new).collect());
+        router.handle(START + MS, &[update, request(1, 0, START)], &mut out);
+        cold_reads += u64::from(sent_to(&out, 1) > Some(5));
     }
-    cold
+    cold_reads
 }
 
-/// The places of those that left are the new ones', not held free beside them.
+/// New hosts take over the share of the hosts that they replace.
 #[test]
-fn replacements_take_the_places_of_those_that_left() {
-    let cold = to_replacements(100, 2_000);
-    // A fifth of two fifths is 160, 1.6 times as much 259; three times is where they fall over. As two of seven they
-    // would get 150, and 40 if warm ones took most of those.
-    assert!((220..=300).contains(&cold), "{cold}");
+fn replacements_take_the_share_of_the_draining_hosts() {
+    let cold_reads = reads_at_replacements(100, 2_000);
+    // The new hosts have a fifth of the capacity of two fifths, which is 160 reads. 1.6 times that is 259; three times
+    // that overloads them. As two of seven hosts they would get 150, and 40 if warm hosts took most of those.
+    assert!((220..=300).contains(&cold_reads), "{cold_reads}");
 }
 
-/// A fleet that grows by one proxy must not behave otherwise over night: what many routers do beside grows from
-/// none at eight. The figures are those of each size, per thousand, and each differs little from its neighbour's.
+/// The methods for many proxies set in gradually from eight proxies on. Guards against a fleet that behaves differently
+/// after it grows by one proxy: the figures of each size, per thousand, differ little from those of the next.
 #[test]
-fn one_more_router_changes_little_whatever_the_size_of_the_fleet() {
+fn one_more_proxy_changes_little_whatever_the_size_of_the_fleet() {
     let sizes = [1, 3, 8, 9, 12, 16, 32, 100, 300, 1_000];
-    let cold = sizes.map(|n| to_replacements(n, 4_000) as f64 / 4.0);
-    let lost = sizes.map(|n| {
-        let to_lost = |seed| {
-            let mut rig = two_rooms(seed, n);
-            ask_often(&mut rig, 0..40, |_| false);
-            ask_often(&mut rig, 40..100, |host| host.is_multiple_of(2))
+    let cold_reads = sizes.map(|n| reads_at_replacements(n, 4_000) as f64 / 4.0);
+    let lost_reads = sizes.map(|n| {
+        let reads_at_lost_zone = |seed| {
+            let mut rig = rig_with_two_zones(seed, n);
+            send_reads(&mut rig, 0..40, |_| false);
+            send_reads(&mut rig, 40..100, |host| host.is_multiple_of(2))
         };
-        (0..50).map(to_lost).sum::<usize>() as f64 / 3.0
+        (0..50).map(reads_at_lost_zone).sum::<usize>() as f64 / 3.0
     });
-    eprintln!("routers {sizes:?}\nto cold ones {cold:?}\nto a lost room {lost:?}");
-    for (n, pair) in sizes[1..].iter().zip(cold.windows(2).zip(lost.windows(2))) {
-        let (cold, lost) = ((pair.0[1] - pair.0[0]).abs(), (pair.1[1] - pair.1[0]).abs());
-        // Eight of a thousand is what chance makes of as many reads.
-        assert!(cold < 12.0, "{n} routers: {cold} more or less to cold ones");
-        assert!(*n != 9 || lost < 40.0, "{n} routers: {lost} more or less to a lost room");
+    eprintln!("proxies {sizes:?}\nreads at cold hosts {cold_reads:?}\nreads at a lost zone {lost_reads:?}");
+    for (n, pair) in sizes[1..].iter().zip(cold_reads.windows(2).zip(lost_reads.windows(2))) {
+        let cold_change = (pair.0[1] - pair.0[0]).abs();
+        let lost_change = (pair.1[1] - pair.1[0]).abs();
+        // Chance alone makes a difference of eight in a thousand with this number of reads.
+        assert!(cold_change < 12.0, "{n} proxies: reads at cold hosts change by {cold_change}");
+        assert!(*n != 9 || lost_change < 40.0, "{n} proxies: reads at a lost zone change by {lost_change}");
     }
 }
 
-/// Where a router may probe about once a second, a new server of 60 waits for most of a minute to be asked.
+/// A proxy that may probe about once per second would take most of a minute to reach a new host among 60. The new host
+/// is probed first instead.
 #[test]
-fn a_new_server_is_probed_first_and_read_from_after_a_while_even_if_never_probed() {
-    let set = Settings { answers_carry_positions: false, proxy_count: 100, ..checked() };
+fn a_new_host_is_probed_first_and_gets_reads_after_a_while_without_a_report() {
+    let set = Settings { answers_carry_positions: false, proxy_count: 100, ..settings_with_lag_check() };
     let mut rig = Rig::new(set.clone());
     rig.router = Router::new(set, 11);
     let ready = |id| entry(id, HostStatus::Ready, false, 0);
     rig.advance(0, &[list(ListUpdate::Cached, (1..=60).map(ready).collect())]);
-    // Its first probes are for the servers of its start.
+    // The first probes go to the hosts of the first list.
     rig.advance(100 * MS, &[]);
     rig.probed.clear();
     let started = rig.now;
@@ -426,7 +436,7 @@
         rig.advance(9 * MS, &[]);
     }
     assert_eq!(rig.probed.first(), Some(&61), "{:?}", rig.probed);
-    assert_eq!(reads, 0, "it goes on from an old copy");
+    assert_eq!(reads, 0, "the host continues from an old copy of the data");
     rig.advance(2_000 * MS, &[]);
     for n in 400..2_400 {
         let out = rig.send_request(n, 1);
@@ -434,12 +444,13 @@
         reads += usize::from(host == 61);
         rig.end_attempt_without_report(n, host, Outcome::Ok, MS);
     }
-    assert!(reads > 0, "unheard for long, it may try");
+    assert!(reads > 0, "the host may get reads after a while without a report");
 }
 
-/// Twenty servers in each of two rooms; answers tell no position. The room of the even ones is room 1.
-fn two_rooms(seed: u64, proxy_count: u32) -> Rig {
-    let set = Settings { answers_carry_positions: false, proxy_count, ..checked() };
+/// A proxy with twenty hosts in each of two zones, whose answers report no position. Hosts with an even id are in
+/// zone 1.
+fn rig_with_two_zones(seed: u64, proxy_count: u32) -> Rig {
+    let set = Settings { answers_carry_positions: false, proxy_count, ..settings_with_lag_check() };
     let mut rig = Rig::new(set.clone());
     rig.router = Router::new(set, seed);
     let ready = |id: HostId| HostEntry {
@@ -447,20 +458,22 @@
         ..entry(id, HostStatus::Ready, id == 1, 0)
     };
     rig.advance(0, &[list(ListUpdate::Cached, (1..=40).map(ready).collect())]);
-    // All have answered before: one that has not is tried last.
-    let heard = |host| Event::Probed { host, ok: true, report: HostReport::default() };
-    rig.advance(0, &(1..=40).map(heard).collect::<Vec<_>>());
+    // Every host has answered a probe, because one that has not is tried last.
+    let probed = |host| Event::Probed { host, ok: true, report: HostReport::default() };
+    rig.advance(0, &(1..=40).map(probed).collect::<Vec<_>>());
     rig
 }
 
-/// Asks so many times, about 15 times a second; what is sent to a server for which `dead` holds times out.
-/// Returns how many attempts that were.
-fn ask_often(rig: &mut Rig, ids: std::ops::Range<RequestId>, dead: impl Fn(HostId) -> bool) -> usize {
-    let (mut lost, mut refusals, asked) = (0, 0, ids.len());
+/// Sends a read for each id, about 15 per second. Attempts at hosts for which `dead` holds time out; returns their
+/// number.
+fn send_reads(rig: &mut Rig, ids: std::ops::Range<RequestId>, dead: impl Fn(HostId) -> bool) -> usize {
+    let mut lost = 0;
+    let mut refusals = 0;
+    let reads = ids.len();
     for n in ids {
         let out = rig.send_request(n, 0);
         let Some(host) = sent_to(&out, n) else {
-            assert!(refused(&out, n), "{n} neither sent nor answered");
+            assert!(refused(&out, n), "read {n} is neither sent nor refused");
             refusals += 1;
             rig.advance(60 * MS, &[]);
             continue;
@@ -474,17 +487,19 @@
         }
         rig.advance(40 * MS, &[]);
     }
-    // Time-outs at lost servers count as a jam, so some are refused at once: 24 of 60 on the worst seed.
-    assert!(refusals * 2 <= asked, "{refusals} of {asked} refused");
+    // Timeouts at lost hosts count as overload, so some reads are refused at once: 24 of 60 on the worst seed.
+    assert!(refusals * 2 <= reads, "{refusals} of {reads} refused");
     lost
 }
 
-/// So many routers ask one server four times a second each, for so long. What is sent while `jammed` holds times
-/// out after 200 ms, the rest is served in 20 ms. Returns the attempts of each second.
-fn crowd(proxy_count: u32, seconds: usize, jammed: impl Fn(usize) -> bool) -> Vec<usize> {
+/// Lets each of `proxy_count` proxies send four reads per second to the same host. A read times out after 200 ms if
+/// `overloaded` holds for the second in which it is sent; any other is served in 20 ms. Returns the number of attempts
+/// in each second.
+fn attempts_by_second(proxy_count: u32, seconds: usize, overloaded: impl Fn(usize) -> bool) -> Vec<usize> {
     let mut attempts = vec![0; seconds];
     for n in 0..proxy_count {
-        let set = Settings { answers_carry_positions: false, proxy_count, ordinal: n, ..checked() };
+        let set =
+            Settings { answers_carry_positions: false, proxy_count, ordinal: n, ..settings_with_lag_check() };
         let mut rig = Rig::new(set.clone());
         rig.router = Router::new(set, u64::from(n));
         rig.advance(0, &[list(ListUpdate::Cached, vec![entry(1, HostStatus::Ready, false, 0)])]);
@@ -493,7 +508,7 @@
             let sent = sent_to(&rig.send_request(id, 0), id).is_some();
             attempts[step / 4] += usize::from(sent);
             let (outcome, latency) =
-                if jammed(step / 4) { (Outcome::Timeout, 200 * MS) } else { (Outcome::Ok, 20 * MS) };
+                if overloaded(step / 4) { (Outcome::Timeout, 200 * MS) } else { (Outcome::Ok, 20 * MS) };
             if sent {
                 rig.end_attempt_without_report(id, 1, outcome, latency);
             }
@@ -503,24 +518,29 @@
     attempts
 }
 
-/// One attempt of each of a hundred routers jams a server for good; they must let it come to itself, and come back.
+/// One outstanding attempt of each of a hundred proxies is enough to keep a host overloaded. The proxies must let it
+/// recover, and use it again afterwards.
 #[test]
-fn a_hundred_routers_leave_a_jammed_server_alone_and_come_back() {
-    let attempts = crowd(100, 30, |second| second < 10);
-    // Asked for are 400 a second.
-    let (jam, after) = (attempts[5..10].iter().sum::<usize>() / 5, attempts[20..].iter().sum::<usize>() / 10);
-    assert!((1..=60).contains(&jam) && after > 300, "{jam} {after}: {attempts:?}");
-    // Three can't: their limits stay at one, and the pause at 100 ms.
-    let attempts = crowd(3, 10, |_| true);
+fn a_hundred_proxies_let_an_overloaded_host_recover_and_use_it_again() {
+    let attempts = attempts_by_second(100, 30, |second| second < 10);
+    // Clients send 400 reads per second.
+    let during_overload = attempts[5..10].iter().sum::<usize>() / 5;
+    let after_overload = attempts[20..].iter().sum::<usize>() / 10;
+    assert!(
+        (1..=60).contains(&during_overload) && after_overload > 300,
+        "{during_overload} {after_overload}: {attempts:?}"
+    );
+    // Three proxies cannot back off that far: their concurrency limits stay at one, and the pause at 100 ms.
+    let attempts = attempts_by_second(3, 10, |_| true);
     assert!(attempts[8] >= 2, "{attempts:?}");
 }
 
-/// A server that jams is no reason to refuse what another group could serve at once.
+/// An overloaded host is no reason to refuse requests that another group can serve at once.
 #[test]
-fn one_of_many_routers_refuses_nothing_for_a_jam_elsewhere() {
+fn one_of_many_proxies_refuses_nothing_for_an_overload_of_another_group() {
     for seed in 0..20 {
-        let mut rig = Rig::new(checked());
-        rig.router = Router::new(Settings { proxy_count: 100, ..checked() }, seed);
+        let mut rig = Rig::new(settings_with_lag_check());
+        rig.router = Router::new(Settings { proxy_count: 100, ..settings_with_lag_check() }, seed);
         let other = HostEntry { group: 1, ..entry(2, HostStatus::Ready, false, 0) };
         rig.advance(0, &[list(ListUpdate::Cached, vec![entry(1, HostStatus::Ready, false, 0), other])]);
         for n in 0..40 {
@@ -538,32 +558,32 @@
     }
 }
 
-/// A room of twenty servers is lost: of fifteen requests a second none can be spent to find out about each.
+/// A zone of twenty hosts is lost. At fifteen requests per second a proxy cannot spend one on each host to find out.
 #[test]
-fn a_lost_room_is_left_as_a_whole_by_routers_that_see_little() {
+fn a_proxy_with_little_traffic_avoids_a_lost_zone_as_a_whole() {
     for seed in 0..50 {
-        let mut rig = two_rooms(seed, 100);
-        assert_eq!(ask_often(&mut rig, 0..40, |_| false), 0);
-        let lost = ask_often(&mut rig, 40..100, |host| host.is_multiple_of(2));
-        assert!((1..=5).contains(&lost), "seed {seed}: {lost} of 60 went to the lost room");
-        // One that answers a probe brings its room back.
+        let mut rig = rig_with_two_zones(seed, 100);
+        assert_eq!(send_reads(&mut rig, 0..40, |_| false), 0);
+        let lost = send_reads(&mut rig, 40..100, |host| host.is_multiple_of(2));
+        assert!((1..=5).contains(&lost), "seed {seed}: {lost} of 60 went to the lost zone");
+        // As soon as one of its hosts answers a probe, the zone gets reads again.
         rig.advance(0, &[Event::Probed { host: 8, ok: true, report: HostReport::default() }]);
-        let back = (100..200).filter(|&n| {
+        let at_recovered_zone = (100..200).filter(|&n| {
             rig.advance(40 * MS, &[]);
             let host = sent_to(&rig.send_request(n, 0), n).expect("sent");
             rig.end_attempt_without_report(n, host, Outcome::Ok, 20 * MS);
             host.is_multiple_of(2)
         });
-        assert!(back.count() > 10, "seed {seed}");
+        assert!(at_recovered_zone.count() > 10, "seed {seed}");
     }
 }
 
-/// Some servers of a room are silent and others answer: the room is none the worse for it.
+/// Some hosts of a zone do not answer and others do: the proxy still uses the zone.
 #[test]
-fn silent_servers_do_not_take_the_others_of_their_room_with_them() {
+fn hosts_that_do_not_answer_do_not_rule_out_the_others_of_their_zone() {
     for seed in 0..50 {
-        let mut rig = two_rooms(seed, 100);
-        ask_often(&mut rig, 0..200, |host| matches!(host, 2 | 4 | 6 | 8));
+        let mut rig = rig_with_two_zones(seed, 100);
+        send_reads(&mut rig, 0..200, |host| matches!(host, 2 | 4 | 6 | 8));
         let mut used = std::collections::BTreeSet::new();
         for n in 200..400 {
             rig.advance(40 * MS, &[]);
@@ -571,13 +591,13 @@
             used.insert(host);
             rig.end_attempt_without_report(n, host, Outcome::Ok, (20 + u64::from(n % 7)) * MS);
         }
-        assert!(used.iter().any(|s| s.is_multiple_of(2)), "seed {seed}: {used:?}");
+        assert!(used.iter().any(|host| host.is_multiple_of(2)), "seed {seed}: {used:?}");
     }
 }
 
-/// Work turned away elsewhere must not add up at a cold server.
+/// Guards against a cold host that is overloaded by attempts that other hosts rejected.
 #[test]
-fn further_attempts_do_not_go_to_a_cold_server() {
+fn retries_do_not_go_to_a_cold_host() {
     for seed in 0..100 {
         let mut rig = Rig::new(settings());
         rig.router = Router::new(settings(), seed);
@@ -593,10 +613,11 @@
     }
 }
 
-/// With hundreds of routers, probes and messages follow a router's own requests; an idle one sleeps.
+/// With hundreds of proxies, a proxy sends probes and peer messages in proportion to its own requests; an idle one sets no
+/// timers.
 #[test]
-fn chatter_follows_own_requests() {
-    let mut set = checked();
+fn probes_and_peer_messages_follow_own_requests() {
+    let mut set = settings_with_lag_check();
     set.proxy_count = 500;
     set.limits.peers = true;
     let mut rig = Rig::new(set);
@@ -616,19 +637,23 @@
         busy.extend(rig.end_attempt(id, host, Outcome::Ok, 100 * MS, role, 2_000 * MS));
     }
     assert!(probes(&busy) <= 6, "{}", probes(&busy));
-    // A piece takes 13 bytes, what heads a message 20.
-    let bytes = |a: &Action| if let Action::Broadcast(news) = a { news.len() * 13 + 20 } else { 0 };
-    let told: usize = busy.iter().map(bytes).sum();
-    assert!(told * 499 <= 100 * 26, "a tenth of a full message a request: {told} bytes to each");
+    // An update takes 13 bytes, the head of a message 20.
+    let bytes = |a: &Action| if let Action::Broadcast(updates) = a { updates.len() * 13 + 20 } else { 0 };
+    let sent_bytes: usize = busy.iter().map(bytes).sum();
+    assert!(
+        sent_bytes * 499 <= 100 * 26,
+        "more than a tenth of a full message per request: {sent_bytes} bytes to each peer"
+    );
 }
 
-/// A cold member is not overrun by hundreds of routers that look for the primary there, nor by the writes
-/// they all held once it is found.
+/// Guards against hundreds of proxies that overload a cold member: first as they look for the primary there, then, once
+/// it is found, with the writes that they all held.
 #[test]
-fn a_cold_member_is_neither_searched_nor_flooded_as_new_primary() {
+fn a_cold_member_is_not_overloaded_by_the_search_for_the_primary_or_by_held_writes() {
+    // The numbers of proxies whose write is sent as a search, at once, or by the end of the run.
     let (mut searched, mut early, mut later) = (0, 0, 0);
     for seed in 0..300 {
-        let mut router = Router::new(checked(), seed);
+        let mut router = Router::new(settings_with_lag_check(), seed);
         let mut out = Vec::new();
         let mut entries = Vec::from([
             entry(1, HostStatus::Removed, false, 0),
@@ -652,15 +677,16 @@
         }
         later += u32::from(sent_to(&out, 1).is_some());
     }
-    assert!(searched <= 30, "a fifth of a third of 300, with room for chance: {searched}");
+    assert!(searched <= 30, "a fifth of a third of 300 is 20, the rest allows for chance: {searched}");
     assert!(early <= 6 && (20..=150).contains(&later), "{early} {later}");
 }
 
-/// The list empties while everything runs: a primary proven by answers keeps its writes.
+/// A full list without hosts arrives while everything runs. Where only draining binds, a primary that its own reports
+/// confirm keeps its writes.
 #[test]
-fn an_emptied_list_takes_no_primary_where_only_draining_binds() {
+fn an_empty_list_keeps_the_primary_where_only_draining_binds() {
     for (only_draining, kept) in [(true, Some(2)), (false, None)] {
-        let mut set = checked();
+        let mut set = settings_with_lag_check();
         set.safety.only_draining_binds = only_draining;
         let mut rig = Rig::new(set);
         rig.receive_probe(2, Role::Primary, 0);
@@ -670,14 +696,15 @@
     }
 }
 
-/// Connects refused at once on many attempts: idle connections are given back. Slow handshakes are no reason.
+/// Where many attempts fail at once because the host refuses the connection, idle connections are closed. Slow handshakes
+/// are no reason to close them.
 #[test]
-fn scarce_connections_are_given_back() {
+fn idle_connections_are_closed_where_hosts_refuse_connections() {
     for (latency, closes) in [(MS, true), (240 * MS, false)] {
         let mut rig = Rig::new(settings());
         for id in 0..12 {
             let mut out = rig.send_request(id, 4);
-            // The first refusal ejects nobody, so that the request goes there once more.
+            // The first refused connection does not eject the host, so the request goes there once more.
             while let Some(host) = sent_to(&out, id) {
                 out = rig.end_attempt(id, host, Outcome::ConnectFailed, latency, role_of(host), 0);
             }
@@ -691,9 +718,9 @@
     }
 }
 
-/// Withdrawn or doubled work goes on at many servers: an attempt that is out is waited for.
+/// Many hosts continue work that the proxy cancels or sends elsewhere too. So the proxy waits for an outstanding attempt.
 #[test]
-fn an_attempt_that_is_out_is_neither_doubled_nor_moved() {
+fn an_outstanding_attempt_is_neither_hedged_nor_cancelled() {
     for hedging in [true, false] {
         let mut set = settings();
         set.limits.hedging = hedging;
@@ -707,11 +734,11 @@
     }
 }
 
-/// Among hundreds of routers, a share of the reads of a group that jams is refused at once, and none of another's.
-/// Few routers hold back by their limits, and refuse nothing on arrival.
+/// One of hundreds of proxies refuses a share of the reads of an overloaded group on arrival, and none of another
+/// group's. One of a few proxies holds requests back by concurrency limits, and refuses nothing on arrival.
 #[test]
-fn a_share_is_refused_where_a_group_jams_and_none_elsewhere() {
-    for (proxy_count, timeouts, least) in [(300, 1, 0), (300, 30, 30), (3, 30, 0)] {
+fn a_share_of_reads_is_refused_in_an_overloaded_group_and_none_elsewhere() {
+    for (proxy_count, timeouts, min_refusals) in [(300, 1, 0), (300, 30, 30), (3, 30, 0)] {
         let set = Settings { proxy_count, ..settings() };
         let mut rig = Rig::new(set.clone());
         rig.router = Router::new(set, 5);
@@ -736,24 +763,30 @@
             rig.advance(0, &[Event::ClientGone(id)]);
         }
         assert_eq!(refusals[1], 0);
-        assert!(if least == 0 { refusals[0] == 0 } else { refusals[0] >= least }, "{timeouts}: {refusals:?}");
+        assert!(
+            if min_refusals == 0 { refusals[0] == 0 } else { refusals[0] >= min_refusals },
+            "{timeouts} timeouts: {refusals:?}"
+        );
     }
 }
 
-/// One of 300 routers before so many groups of two replicas each, whose reads have ended so, each after so long, but
-/// for those that it refused at once for the ones before.
-fn among_groups(groups: u32, ends: &[(GroupId, Outcome)], latency: Micros) -> Rig {
-    let set = Settings { proxy_count: 300, ..checked() };
+/// One of 300 proxies, with `groups` groups of two replicas each. For each element of `ends` it has received a bounded
+/// read of that group, which ended with that outcome after `latency`, unless the proxy refused it because of earlier
+/// outcomes.
+fn rig_with_groups(groups: u32, ends: &[(GroupId, Outcome)], latency: Micros) -> Rig {
+    let set = Settings { proxy_count: 300, ..settings_with_lag_check() };
     let mut rig = Rig::new(set.clone());
     rig.router = Router::new(set, 5);
-    let of = |id| HostEntry { group: id / 2, ..entry(id, HostStatus::Ready, false, 0) };
-    rig.advance(0, &[list(ListUpdate::Cached, (0..groups * 2).map(of).collect())]);
+    let ready = |id| HostEntry { group: id / 2, ..entry(id, HostStatus::Ready, false, 0) };
+    rig.advance(0, &[list(ListUpdate::Cached, (0..groups * 2).map(ready).collect())]);
     for (id, &(group, outcome)) in (0..).zip(ends) {
         let give_up_at = rig.now + 2_000 * MS;
-        let ask = RequestInfo { id, group, class: 1, give_up_at, ..RequestInfo::default() };
-        let out = rig.advance(0, &[Event::Request(ask)]);
-        if let Some(host) = [group * 2, group * 2 + 1].into_iter().find(|&s| sent_to(&out, id) == Some(s)) {
-            // Reads overlap: the clock moves on less than each takes.
+        let read = RequestInfo { id, group, class: 1, give_up_at, ..RequestInfo::default() };
+        let out = rig.advance(0, &[Event::Request(read)]);
+        if let Some(host) =
+            [group * 2, group * 2 + 1].into_iter().find(|&host| sent_to(&out, id) == Some(host))
+        {
+            // Reads overlap: the clock advances by less than the latency of each.
             let (attempt, finished) = (rig.attempts_sent[&id] - 1, outcome == Outcome::Ok);
             let (note, report) = Default::default();
             let event = AttemptResult { id, attempt, host, outcome, latency, finished, note, report };
@@ -764,10 +797,10 @@
     rig
 }
 
-/// How many of 200 first asks, or of asks again, of a class are refused at once in a group.
+/// How many of 200 requests of a class, or of 200 client retries, are refused on arrival in a group.
 fn refusals(rig: &mut Rig, group: GroupId, class: u8, client_retry: bool) -> usize {
     let refused = (1_000..1_200).filter(|&id| {
-        let ask = RequestInfo {
+        let info = RequestInfo {
             id,
             class,
             group,
@@ -775,64 +808,69 @@
             give_up_at: rig.now + 2_000 * MS,
             ..RequestInfo::default()
         };
-        let out = rig.advance(0, &[Event::Request(ask)]);
+        let out = rig.advance(0, &[Event::Request(info)]);
         rig.advance(0, &[Event::ClientGone(id)]);
         refused(&out, id)
     });
     refused.count()
 }
 
-/// A burst over all groups shows each of hundreds of routers one time-out a group in some seconds. Guards against
-/// waiting for a second one in each while the servers go under.
+/// In a burst over all groups, each of hundreds of proxies sees one timeout per group in several seconds. Guards against
+/// proxies that wait for a second timeout in each group while the hosts are overloaded.
 #[test]
-fn groups_that_jam_alike_are_held_back_together_before_each_has_shown_it() {
-    let one_each: Vec<_> = (0..12).map(|g| (g, Outcome::Timeout)).collect();
-    let alike = refusals(&mut among_groups(12, &one_each, MS), 3, 0, false);
-    assert!(alike >= 40, "{alike} of 200");
-    // The same number in one group is that one's own.
-    let one = refusals(&mut among_groups(12, &[(0, Outcome::Timeout); 12], MS), 3, 0, false);
-    assert_eq!(one, 0);
+fn timeouts_across_groups_count_as_overload_of_all_of_them() {
+    let one_per_group: Vec<_> = (0..12).map(|group| (group, Outcome::Timeout)).collect();
+    let refused_after_all = refusals(&mut rig_with_groups(12, &one_per_group, MS), 3, 0, false);
+    assert!(refused_after_all >= 40, "{refused_after_all} of 200");
+    // The same number of timeouts in one group counts for that group only.
+    let all_in_one_group = [(0, Outcome::Timeout); 12];
+    let refused_after_one = refusals(&mut rig_with_groups(12, &all_in_one_group, MS), 3, 0, false);
+    assert_eq!(refused_after_one, 0);
 }
 
-/// A room is cut off: one read in four is silent, and the others are served as quickly as ever. To refuse reads
-/// would free nothing. In a jam what is served is slow too.
+/// A zone is cut off: one read in four gets no answer, and the others are served as quickly as before. Refusing reads
+/// would free no capacity. In an overload, reads that are served are slow too.
 #[test]
-fn time_outs_are_no_jam_where_what_is_served_is_quick() {
+fn timeouts_are_no_overload_where_other_reads_are_quick() {
     let ends: Vec<_> = (0..48)
         .map(|n| (n % 12, [Outcome::Timeout, Outcome::Ok][usize::from((n + n / 12) % 4 > 0)]))
         .collect();
     let [quick, slow] =
-        [20 * MS, 300 * MS].map(|took| refusals(&mut among_groups(12, &ends, took), 5, 0, false));
+        [20 * MS, 300 * MS].map(|latency| refusals(&mut rig_with_groups(12, &ends, latency), 5, 0, false));
     assert!(
         quick == 0 && slow >= 40,
         "{quick} refused beside quick answers, {slow} beside slow ones, of 200 each"
     );
 }
 
-/// Replicas whose log is applied too slowly turn bounded reads away, and have all the room for others.
+/// Replicas that apply the replication log too slowly reject bounded reads, and have free capacity for other reads.
 #[test]
 fn reads_of_any_data_are_not_refused_where_replicas_only_fall_behind() {
     let ends: Vec<_> = (0..36).map(|n| (n % 12, Outcome::Unsuitable)).collect();
-    let mut rig = among_groups(12, &ends, MS);
+    let mut rig = rig_with_groups(12, &ends, MS);
     let (any, bounded) = (refusals(&mut rig, 3, 0, false), refusals(&mut rig, 3, 1, false));
     assert!(any == 0 && bounded >= 40, "{any} of any data, {bounded} bounded, of 200 each");
 }
 
-/// What a client asks for again comes too late to be worth what a first ask is.
+/// The answer to a client retry comes late, so that it is worth less than the answer to a first request.
 #[test]
-fn where_groups_jam_what_clients_ask_again_makes_way_first() {
+fn client_retries_are_refused_first_in_an_overload() {
     let ends: Vec<_> =
         (0..48).map(|n| (n % 12, [Outcome::Timeout, Outcome::Ok][usize::from(n % 7 > 0)])).collect();
-    let mut rig = among_groups(12, &ends, 300 * MS);
-    let (first, again) = (refusals(&mut rig, 5, 0, false), refusals(&mut rig, 5, 0, true));
-    assert!(first == 0 && again >= 15, "{first} first asks, {again} again, of 200 each");
+    let mut rig = rig_with_groups(12, &ends, 300 * MS);
+    let first = refusals(&mut rig, 5, 0, false);
+    let retries = refusals(&mut rig, 5, 0, true);
+    assert!(
+        first == 0 && retries >= 15,
+        "{first} first requests, {retries} client retries refused, of 200 each"
+    );
 }
 
-/// What jammed is forgotten with time, and not only with the next attempts: a router that has rested for half a minute
-/// refuses nothing for what it saw before.
+/// An overload is forgotten with time, not only with the next attempts: a proxy that has been idle for half a minute
+/// refuses nothing because of it.
 #[test]
-fn a_router_that_rested_refuses_nothing_for_an_old_jam() {
-    let after = |rest: Micros| {
+fn an_idle_proxy_refuses_nothing_for_an_old_overload() {
+    let refusals_after = |idle_time: Micros| {
         let set = Settings { proxy_count: 300, ..settings() };
         let mut rig = Rig::new(set.clone());
         rig.router = Router::new(set, 5);
@@ -843,7 +881,7 @@
             }
             rig.advance(10 * MS, &[Event::Timer(0)]);
         }
-        rig.advance(rest, &[]);
+        rig.advance(idle_time, &[]);
         let refusals = (1_000..1_200).filter(|&id| {
             let out = rig.send_request(id, 0);
             rig.advance(0, &[Event::ClientGone(id)]);
@@ -851,14 +889,14 @@
         });
         refusals.count()
     };
-    let (soon, late) = (after(100 * MS), after(30_000 * MS));
-    assert!(soon >= 30 && late == 0, "{soon} refused soon, {late} late");
+    let (soon, late) = (refusals_after(100 * MS), refusals_after(30_000 * MS));
+    assert!(soon >= 30 && late == 0, "{soon} refused after 100 ms, {late} after 30 s");
 }
 
-/// A write turned away is its host's word of that moment, however old the position that comes with it. Guards against an
-/// older report that makes it primary again.
+/// A host that rejects a write is no primary at that moment, however old the position in its answer is. Guards against an
+/// older report that makes the host primary again.
 #[test]
-fn a_report_from_before_a_write_was_turned_away_makes_nobody_primary() {
+fn a_report_older_than_a_rejected_write_makes_no_host_primary() {
     let mut rig = Rig::new(settings());
     rig.send_request(1, 4);
     rig.end_attempt(1, 1, Outcome::Unsuitable, 2 * MS, Role::Primary, 500 * MS);
@@ -869,14 +907,14 @@
 }
 
 #[test]
-fn writes_are_held_in_a_handover_and_let_go_in_portions() {
+fn writes_are_held_in_a_handover_and_released_in_portions() {
     let mut rig = Rig::new(settings());
     rig.send_request(1, 4);
     let mut out = rig.end_attempt(1, 1, Outcome::Unsuitable, 2 * MS, Role::Replica, 0);
     for id in 2..30 {
         out.extend(rig.send_request(id, 4));
     }
-    // One looks for the primary, the others wait.
+    // One write is sent to find the primary, the others wait.
     assert!(rig.attempts_sent.len() <= 2, "{:?}", rig.attempts_sent);
     assert!((1..30).all(|id| !refused(&out, id) && !failed(&out, id)));
     rig.receive_probe(2, Role::Primary, 0);
@@ -901,46 +939,47 @@
     }
     assert!(
         answered.is_some_and(|t| t < START + 1_100 * MS),
-        "waited in vain for most of its time: {answered:?}"
+        "the write waits in vain for most of its time: {answered:?}"
     );
 }
 
-/// Where more comes than can be served, the oldest would be sent only to run out of time.
+/// When more requests arrive than the hosts can serve, the oldest held request would run out of time at its host.
 #[test]
-fn of_held_requests_the_newest_goes_out_and_one_with_little_time_left_does_not() {
+fn the_newest_held_request_is_sent_first_and_one_with_little_time_left_is_refused() {
     let mut rig = Rig::new(settings());
     rig.advance(0, &[list(ListUpdate::Full, vec![entry(1, HostStatus::Ready, true, 0)])]);
-    let mut ask = |id| {
+    let mut send = |id| {
         rig.advance(MS, &[]);
         sent_to(&rig.send_request(id, 0), id)
     };
-    // As many as a server gets that nothing is known of, and three more.
-    assert_eq!((1..=7).filter(|&id| ask(id).is_some()).collect::<Vec<_>>(), [1, 2, 3, 4]);
-    // An answer makes room for itself and one more.
+    // Four requests are the initial concurrency limit of a host; three more are held.
+    assert_eq!((1..=7).filter(|&id| send(id).is_some()).collect::<Vec<_>>(), [1, 2, 3, 4]);
+    // An answer frees a slot and raises the limit by one.
     let out = rig.end_attempt(1, 1, Outcome::Ok, 20 * MS, Role::Primary, 0);
     assert_eq!([7, 6, 5].map(|id| sent_to(&out, id)), [Some(1), Some(1), None]);
-    // An answer is expected within a quarter of the aim of 400 ms.
-    let soon = short_request(8, 0, 0, rig.now);
-    assert!(refused(&rig.advance(0, &[soon]), 8));
+    // An answer is expected within a quarter of the latency target of 400 ms, and the client gives up after 100 ms.
+    let with_short_deadline = short_request(8, 0, 0, rig.now);
+    assert!(refused(&rig.advance(0, &[with_short_deadline]), 8));
 }
 
-/// Where more comes than can be served, what a tenant sends beyond its quota is worth little: it waits behind what the
-/// others may send, however new it is. Both routers serve one quota, and each has half of it where they do not talk.
+/// When more requests arrive than the hosts can serve, a tenant's requests beyond its quota are worth little. They wait
+/// behind the requests that are within their quota, however new they are. Both proxies share one quota, and each has half
+/// of it where they exchange no messages.
 #[test]
-fn of_held_requests_one_beyond_its_tenants_quota_goes_out_last() {
+fn a_held_request_beyond_its_tenants_quota_is_sent_last() {
     let set = Settings { proxy_count: 2, quotas: vec![40.0, 200.0], over_quota_worth: 0.2, ..settings() };
     let mut rig = Rig::new(set);
     rig.advance(0, &[list(ListUpdate::Full, vec![entry(1, HostStatus::Ready, true, 0)])]);
-    let mut ask = |id, tenant| {
+    let mut send = |id, tenant| {
         let give_up_at = rig.now + 2_000 * MS;
         let event = Event::Request(RequestInfo { id, tenant, give_up_at, ..RequestInfo::default() });
         sent_to(&rig.advance(MS, &[event]), id)
     };
-    // What may come at once of half the quota, as many as the server gets.
-    assert_eq!((1..=4).filter(|&id| ask(id, Some(0)).is_some()).collect::<Vec<_>>(), [1, 2, 3, 4]);
-    // Beyond the quota; then within another's, of no tenant, of one that nobody knows; then beyond again.
-    let asked = [(5, Some(0)), (6, Some(1)), (7, None), (8, Some(9)), (9, Some(0))];
-    assert!(asked.into_iter().all(|(id, tenant)| ask(id, tenant).is_none()), "all are held");
+    // The burst that half the quota allows, which is also the host's concurrency limit.
+    assert_eq!((1..=4).filter(|&id| send(id, Some(0)).is_some()).collect::<Vec<_>>(), [1, 2, 3, 4]);
+    // Beyond the quota; then within another tenant's quota, without a tenant, of an unknown tenant; then beyond again.
+    let held = [(5, Some(0)), (6, Some(1)), (7, None), (8, Some(9)), (9, Some(0))];
+    assert!(held.into_iter().all(|(id, tenant)| send(id, tenant).is_none()), "all are held");
     let mut order = Vec::new();
     for id in 1..=4 {
         let out = rig.end_attempt(id, 1, Outcome::Ok, 20 * MS, Role::Primary, 0);
@@ -950,47 +989,48 @@
     assert!(order[..3].iter().all(|id| (6..=8).contains(id)), "{order:?}");
 }
 
-/// With the log applied late, one member is inside the bound. What any member serves fills it up while it can; once a
-/// bounded read has to wait, that goes elsewhere.
+/// Replicas fall behind, and few members are inside the bound. Reads of any data use those members too while they have
+/// free slots; once a bounded read has to wait, reads of any data go elsewhere.
 #[test]
-fn what_any_member_serves_leaves_the_current_ones_to_bounded_reads_that_wait() {
-    for short in [false, true] {
-        let mut rig = Rig::new(checked());
+fn reads_of_any_data_leave_current_members_to_waiting_bounded_reads() {
+    for bounded_read_waits in [false, true] {
+        let mut rig = Rig::new(settings_with_lag_check());
         rig.receive_probe(1, Role::Primary, 0);
         rig.receive_probe(2, Role::Replica, 60_000 * MS);
         rig.receive_probe(3, Role::Replica, 5 * MS);
-        // As many as both current members get, and one more.
-        let last = if short { 9 } else { 8 };
-        let to: Vec<_> =
+        // Eight reads are the concurrency limits of both current members; a ninth has to wait.
+        let last = if bounded_read_waits { 9 } else { 8 };
+        let sent: Vec<_> =
             (1..=last).filter_map(|id| Some((id, sent_to(&rig.send_request(id, 1), id)?))).collect();
-        assert_eq!(to.len(), 8, "{to:?}");
-        for (id, host) in to {
+        assert_eq!(sent.len(), 8, "{sent:?}");
+        for (id, host) in sent {
             let out = rig.end_attempt(id, host, Outcome::Ok, 5 * MS, role_of(host), 5 * MS);
             if let Some(host) = sent_to(&out, 9) {
                 rig.end_attempt(9, host, Outcome::Ok, 5 * MS, role_of(host), 5 * MS);
             }
         }
-        let at = |rig: &mut Rig, id| sent_to(&rig.send_request(id, 0), id);
-        let to: Vec<_> = (100..104).map(|id| at(&mut rig, id)).collect();
-        assert_eq!(short, to == [Some(2); 4], "{to:?}");
-        // Its limit is reached: one more is held while the others are spared, and goes to them a while later.
-        if short {
-            assert_eq!(at(&mut rig, 104), None);
+        let send_any_read = |rig: &mut Rig, id| sent_to(&rig.send_request(id, 0), id);
+        let hosts: Vec<_> = (100..104).map(|id| send_any_read(&mut rig, id)).collect();
+        assert_eq!(bounded_read_waits, hosts == [Some(2); 4], "{hosts:?}");
+        // Host 2 is at its concurrency limit. One more read is held while the current members are kept free, and goes
+        // to one of them later.
+        if bounded_read_waits {
+            assert_eq!(send_any_read(&mut rig, 104), None);
             let out = rig.advance(400 * MS, &[Event::Timer(0)]);
             assert!(matches!(sent_to(&out, 104), Some(1 | 3)), "{out:?}");
         }
     }
 }
 
-/// An answer that tells of itself that it is too old goes to no client, where nothing else would have kept it back.
+/// An answer whose own report shows that it is too old goes to no client, where no host checks positions.
 #[test]
-fn an_answer_that_says_it_is_too_old_counts_as_turned_away() {
+fn an_answer_that_reports_a_stale_position_counts_as_unsuitable() {
     let mut set = settings();
     set.classes[1].access = Access::BoundedRead(800 * MS);
     let note =
         |behind, role| HostReport { position: Some(START - behind), role: Some(role), in_flight: None };
     let (replica, primary) = (note(900 * MS, Role::Replica), note(900 * MS, Role::Primary));
-    let asked = |set: &Settings, class, token_ms| {
+    let rig_with_read = |set: &Settings, class, token_ms| {
         let mut rig = Rig::new(set.clone());
         let read = RequestInfo {
             id: 1,
@@ -1004,35 +1044,41 @@
         rig
     };
     let stale = |rig: &Rig, note: &HostReport, sent| rig.router.stale_outcome(1, 1, note, sent).is_some();
-    let bounded = asked(&set, 1, 0.0);
+    let bounded = rig_with_read(&set, 1, 0.0);
     assert!(stale(&bounded, &replica, START) && !stale(&bounded, &replica, START - 100 * MS));
-    assert!(!stale(&bounded, &primary, START), "a primary stands at the present");
-    assert!(!stale(&bounded, &HostReport::default(), START), "it says nothing of its role");
-    assert!(stale(&asked(&set, 2, 800.0), &replica, START));
-    assert!(!stale(&asked(&set, 2, 901.5), &replica, START) && !stale(&asked(&set, 2, 0.0), &replica, START));
-    assert!(!stale(&asked(&set, 0, 800.0), &replica, START), "any data will do");
+    assert!(!stale(&bounded, &primary, START), "a primary is at the present position");
+    assert!(!stale(&bounded, &HostReport::default(), START), "the answer reports no role");
+    assert!(stale(&rig_with_read(&set, 2, 800.0), &replica, START));
+    assert!(
+        !stale(&rig_with_read(&set, 2, 901.5), &replica, START)
+            && !stale(&rig_with_read(&set, 2, 0.0), &replica, START)
+    );
+    assert!(!stale(&rig_with_read(&set, 0, 800.0), &replica, START), "the class reads any data");
     assert_eq!(bounded.router.stale_outcome(99, 1, &replica, START), None, "no such request");
-    // It has run: only where that does no harm does it count as turned away.
+    // The attempt has run. It counts as unsuitable only where another run does no harm.
     assert_eq!(bounded.router.stale_outcome(1, 1, &replica, START), Some(Outcome::Unsuitable));
     for idempotency in [Idempotency::NotIdempotent, Idempotency::Keyed(DedupScope::Group, 1_000 * MS)] {
         let mut once = set.clone();
         once.classes[1].idempotency = idempotency;
-        assert_eq!(asked(&once, 1, 0.0).router.stale_outcome(1, 1, &replica, START), Some(Outcome::Error));
+        assert_eq!(
+            rig_with_read(&once, 1, 0.0).router.stale_outcome(1, 1, &replica, START),
+            Some(Outcome::Error)
+        );
     }
-    // Where answers tell no position, what is known of the server has to do.
-    let silent = HostReport { position: None, ..replica };
-    assert!(stale(&bounded, &silent, START));
-    let mut known = asked(&set, 1, 0.0);
-    known.receive_probe(1, Role::Replica, 700 * MS);
-    assert!(!stale(&known, &silent, START));
+    // Where answers report no position, the last known position of the host counts.
+    let without_position = HostReport { position: None, ..replica };
+    assert!(stale(&bounded, &without_position, START));
+    let mut with_known_position = rig_with_read(&set, 1, 0.0);
+    with_known_position.receive_probe(1, Role::Replica, 700 * MS);
+    assert!(!stale(&with_known_position, &without_position, START));
     set.lag_check = LagCheck::Reject;
-    assert!(!stale(&asked(&set, 1, 0.0), &replica, START), "members that check have done so");
+    assert!(!stale(&rig_with_read(&set, 1, 0.0), &replica, START), "hosts that check positions have done so");
 }
 
-/// Connections fall silent now and then: what was sent later is answered in a moment, so there is room. Two such losses
-/// must not leave a primary whose work takes 5 ms with one attempt at a time, and a pause.
+/// Now and then a connection delivers no answer, while the host answers later attempts in 5 ms and thus has free
+/// capacity. Guards against two such losses that leave a primary with a concurrency limit of one and a pause.
 #[test]
-fn attempts_lost_on_their_way_take_no_room_from_a_host_that_answers() {
+fn lost_attempts_do_not_lower_the_limit_of_a_host_that_answers() {
     for answered in [true, false] {
         let mut rig = Rig::new(settings());
         rig.advance(0, &[list(ListUpdate::Full, vec![entry(1, HostStatus::Ready, true, 0)])]);
@@ -1040,7 +1086,7 @@
             rig.send_request(id, 0);
             rig.end_attempt(id, 1, Outcome::Ok, 5 * MS, Role::Primary, 0);
         }
-        // Two that get no answer, and others after them that get theirs, or do not.
+        // Two attempts get no answer; all attempts after them get one, or none does.
         let lost = [100, 101].map(|id| sent_to(&rig.send_request(id, 0), id));
         assert_eq!(lost, [Some(1); 2]);
         for id in 110..130 {
@@ -1065,47 +1111,48 @@
     }
 }
 
-/// A planned release and a call by hand leave few warm members: their work goes to the cold ones too.
+/// A planned release together with a manual override leaves few warm members: cold members take a part of their work.
 #[test]
-fn a_cold_server_takes_more_where_others_have_left_but_no_more_than_it_bears() {
-    let mut cold = 0;
+fn a_cold_host_gets_more_where_others_drain_but_is_not_overloaded() {
+    let mut cold_reads = 0;
     for seed in 0..4_000 {
         let mut router = Router::new(settings(), seed);
         let mut out = Vec::new();
-        let news =
+        let entries =
             vec![entry(2, HostStatus::Draining, false, 0), entry(3, HostStatus::Ready, false, START + 1)];
         router.handle(START, &[three_hosts()], &mut out);
-        router.handle(START + MS, &[list(ListUpdate::Delta, news), request(1, 0, START)], &mut out);
-        cold += u32::from(sent_to(&out, 1) == Some(3));
+        router.handle(START + MS, &[list(ListUpdate::Delta, entries), request(1, 0, START)], &mut out);
+        cold_reads += u32::from(sent_to(&out, 1) == Some(3));
     }
-    // A fifth of a third is 267, half as much again is 400; three times is where it falls over.
-    assert!((300..=440).contains(&cold), "{cold}");
+    // A fifth of a third of 4000 is 267, and half as much again is 400; three times that overloads the host.
+    assert!((300..=440).contains(&cold_reads), "{cold_reads}");
 }
 
-/// What a client still writes is no work yet, and its pace says nothing of the server's.
+/// A request that its client is still writing is no work for the host yet, and the client's pace says nothing about the
+/// host's latency.
 #[test]
-fn requests_that_are_still_coming_take_no_place_until_they_are_whole() {
+fn incomplete_requests_take_no_slot_until_they_are_complete() {
     let mut rig = Rig::new(settings());
     for id in 1..20 {
-        let Event::Request(arrival) = request(id, 4, rig.now) else { unreachable!() };
-        assert_eq!(sent_to(&rig.advance(0, &[Event::RequestHead(arrival)]), id), Some(1));
+        let Event::Request(info) = request(id, 4, rig.now) else { unreachable!() };
+        assert_eq!(sent_to(&rig.advance(0, &[Event::RequestHead(info)]), id), Some(1));
     }
     let out = rig.advance(1_000 * MS, &[]);
     assert!(out.iter().all(|a| !matches!(a, Action::Refuse { .. } | Action::Fail(_))));
     assert_eq!(sent_to(&rig.send_request(20, 4), 20), Some(1));
-    let until = rig.now + 2_000 * MS;
-    let whole: Vec<Event> = (1..20).map(|id| Event::RequestComplete(id, until)).collect();
-    rig.advance(0, &whole);
+    let give_up_at = rig.now + 2_000 * MS;
+    let complete: Vec<Event> = (1..20).map(|id| Event::RequestComplete(id, give_up_at)).collect();
+    rig.advance(0, &complete);
     assert_eq!(sent_to(&rig.send_request(21, 4), 21), None);
 }
 
 #[test]
 fn one_error_keeps_first_attempts_away_for_seconds() {
     let mut rig = Rig::new(settings());
-    let mut erred = false;
-    let mut at_two = [0; 3];
+    let mut failed_once = false;
+    let mut reads_at_two = [0; 3];
     for id in 0..80 {
-        // Thin traffic: a tenth of a second between requests; server 2 fails once, then serves.
+        // Host 2 fails once, then serves. 20 s pass after the 60th request.
         if id == 60 {
             rig.advance(20_000 * MS, &[Event::Timer(0)]);
         }
@@ -1113,23 +1160,23 @@
         let host = sent_to(&out, id).unwrap();
         let role = role_of(host);
         // Before the error, soon after it, long after it.
-        let phase = usize::from(erred) + usize::from(erred && id >= 60);
-        at_two[phase] += u32::from(host == 2);
-        if host == 2 && !erred {
-            erred = true;
+        let phase = usize::from(failed_once) + usize::from(failed_once && id >= 60);
+        reads_at_two[phase] += u32::from(host == 2);
+        if host == 2 && !failed_once {
+            failed_once = true;
             let out = rig.end_attempt(id, 2, Outcome::Error, 20 * MS, role, 0);
-            let next = sent_to(&out, id).expect("safe reads go elsewhere at once");
+            let next = sent_to(&out, id).expect("a read is retried elsewhere at once");
             assert_ne!(next, 2);
             rig.end_attempt(id, next, Outcome::Ok, 20 * MS, role, 0);
         } else {
             rig.end_attempt(id, host, Outcome::Ok, 20 * MS, role, 0);
         }
     }
-    assert!(erred && at_two[1] == 0 && at_two[2] > 0, "{at_two:?}");
+    assert!(failed_once && reads_at_two[1] == 0 && reads_at_two[2] > 0, "{reads_at_two:?}");
 }
 
 #[test]
-fn errors_that_come_at_once_hardly_touch_the_retry_budget() {
+fn immediate_errors_hardly_use_the_retry_budget() {
     let mut rig = Rig::new(settings());
     for id in 1..=5 {
         let mut out = rig.send_request(id, 0);
@@ -1143,11 +1190,11 @@
 }
 
 #[test]
-fn one_refused_connection_ejects_nobody_and_a_second_in_a_row_does() {
+fn a_host_is_ejected_after_two_refused_connections_in_a_row() {
     let mut rig = Rig::new(settings());
     let mut next = 0;
-    // Of 30 reads, how many go to server 2; each is served, or its connection is refused there.
-    let mut share = |rig: &mut Rig, refusals: usize| {
+    // How many of 30 reads go to host 2, which refuses the first `refusals` connections and serves the other reads.
+    let mut reads_at_two = |rig: &mut Rig, refusals: usize| {
         let mut count = 0;
         for _ in 0..30 {
             next += 1;
@@ -1161,28 +1208,29 @@
         }
         count
     };
-    assert!(share(&mut rig, 1) > 1);
-    assert_eq!(share(&mut rig, 2), 2);
+    assert!(reads_at_two(&mut rig, 1) > 1);
+    assert_eq!(reads_at_two(&mut rig, 2), 2);
 }
 
 #[test]
-fn a_router_that_knows_nothing_does_not_flood() {
+fn a_proxy_without_reports_sends_up_to_the_initial_concurrency_limits() {
     let mut rig = Rig::new(settings());
     let mut first = None;
     for id in 0..40 {
         let out = rig.send_request(id, 0);
         first = first.or(sent_to(&out, id));
     }
-    // Three servers with room for four each; the rest waits here and goes out as answers come.
+    // Three hosts have an initial concurrency limit of four each. The other requests are held until answers arrive.
     assert_eq!(rig.attempts_sent.len(), 12);
     let (id, host) = (0, first.unwrap());
     rig.advance(0, &[Event::ClientGone(99)]);
     let before = rig.attempts_sent.len();
-    let out = rig.advance(0, &[full(id, host)]);
-    assert_eq!(rig.attempts_sent.len(), before, "a server that is full is left alone: {out:?}");
+    let out = rig.advance(0, &[overloaded_outcome(id, host)]);
+    assert_eq!(rig.attempts_sent.len(), before, "an overloaded host gets no further attempt: {out:?}");
 }
 
-fn full(id: RequestId, host: HostId) -> Event {
+/// The first attempt of a request ends because the host is overloaded.
+fn overloaded_outcome(id: RequestId, host: HostId) -> Event {
     Event::Outcome(AttemptResult {
         id,
         attempt: 0,
@@ -1196,32 +1244,36 @@
 }
 
 #[test]
-fn a_server_that_timed_out_is_left_alone_for_a_moment() {
-    // Timed-out work may go on: with a limit near one the next attempt would only queue behind it.
+fn a_host_gets_no_attempt_for_a_moment_after_a_timeout() {
+    // Work that timed out may still run. With a concurrency limit near one the next attempt would queue behind it.
     let mut rig = Rig::new(settings());
     rig.send_request(1, 4);
     rig.end_attempt(1, 1, Outcome::Timeout, 400 * MS, Role::Primary, 0);
     let out = rig.send_request(2, 4);
-    assert_eq!(sent_to(&out, 2), None, "held for the pause");
+    assert_eq!(sent_to(&out, 2), None, "held during the pause");
     let out = rig.advance(100 * MS, &[Event::Timer(0)]);
     assert_eq!(sent_to(&out, 2), Some(1));
 }
 
 #[test]
-fn a_replica_at_home_is_preferred_where_crossings_cost() {
+fn a_replica_in_the_own_zone_is_preferred_where_other_zones_cost() {
     let mut set = settings();
     set.cross_zone_costs = true;
-    let mut abroad = entry(2, HostStatus::Ready, false, 0);
-    abroad.zone = 1;
+    let mut in_other_zone = entry(2, HostStatus::Ready, false, 0);
+    in_other_zone.zone = 1;
     let mut router = Router::new(set, 5);
     let mut out = Vec::new();
-    let home = entry(3, HostStatus::Ready, false, 0);
-    router.handle(START, &[list(ListUpdate::Cached, vec![abroad, home]), request(1, 0, START)], &mut out);
+    let in_own_zone = entry(3, HostStatus::Ready, false, 0);
+    router.handle(
+        START,
+        &[list(ListUpdate::Cached, vec![in_other_zone, in_own_zone]), request(1, 0, START)],
+        &mut out,
+    );
     assert_eq!(sent_to(&out, 1), Some(3));
 }
 
 #[test]
-fn long_reads_of_any_data_gather_on_the_replica_furthest_behind() {
+fn long_reads_of_any_data_go_to_the_replica_furthest_behind() {
     let mut set = settings();
     set.classes.push(class(Access::AnyRead, Idempotency::Idempotent));
     let mut rig = Rig::new(set);
@@ -1235,7 +1287,7 @@
     }
     rig.receive_probe(2, Role::Replica, 0);
     rig.receive_probe(1, Role::Primary, 0);
-    // Server 3 was last heard of before these; only reports can tell, so make the gap plain.
+    // The last report of host 3 is older than these. Repeated reports of the other hosts make the gap clear.
     for _ in 0..100 {
         rig.advance(10 * MS, &[Event::Timer(0)]);
         rig.receive_probe(2, Role::Replica, 0);
@@ -1250,7 +1302,7 @@
 }
 
 #[test]
-fn a_streaming_attempt_is_not_withdrawn() {
+fn a_streaming_attempt_is_neither_cancelled_nor_retried() {
     let mut set = settings();
     set.limits.hedging = true;
     let mut rig = Rig::new(set);
@@ -1263,9 +1315,9 @@
 }
 
 #[test]
-fn odd_events_leave_the_module_sound() {
+fn events_with_unknown_ids_and_extreme_values_are_handled() {
     let mut rig = Rig::new(settings());
-    let ghost = AttemptResult {
+    let unknown_attempt = AttemptResult {
         id: 77,
         attempt: 9,
         host: 12345,
@@ -1279,7 +1331,7 @@
     let out = rig.advance(
         0,
         &[
-            Event::Outcome(ghost),
+            Event::Outcome(unknown_attempt),
             Event::ClientGone(88),
             Event::Streaming(89, 3),
             Event::Timer(123),
@@ -1297,25 +1349,27 @@
         ],
     );
     assert!(refused(&out, 5));
-    let group_unknown = short_request(6, 0, 42, rig.now);
-    let mut out = rig.advance(0, &[group_unknown]);
+    let unknown_group = short_request(6, 0, 42, rig.now);
+    let mut out = rig.advance(0, &[unknown_group]);
     for _ in 0..12 {
         out.extend(rig.advance(10 * MS, &[Event::Timer(0)]));
     }
-    assert!(refused(&out, 6), "a group without members still gets its answer");
+    assert!(refused(&out, 6), "a request of a group without members is refused");
 }
 
-/// A seeded run of random legal events, in several settings: the rules' invariants hold.
+/// Random valid events in several settings keep the invariants, and equal events give equal actions.
 #[test]
-fn random_days_keep_the_rules() {
+fn random_events_keep_the_invariants() {
     for seed in 0..12u64 {
-        let first = random_day(seed);
-        assert_eq!(first, random_day(seed), "same events, same actions (seed {seed})");
+        let actions = run_random_events(seed);
+        assert_eq!(actions, run_random_events(seed), "same events, same actions (seed {seed})");
     }
 }
 
-fn random_day(seed: u64) -> Vec<Action> {
-    let mut dice = oorandom::Rand64::new(u128::from(seed) + 1);
+/// Runs a router on random events that the seed determines, checks each action against the invariants, and returns all
+/// actions.
+fn run_random_events(seed: u64) -> Vec<Action> {
+    let mut rng = oorandom::Rand64::new(u128::from(seed) + 1);
     let mut set = settings();
     set.lag_check = [LagCheck::Unchecked, LagCheck::Reject, LagCheck::Wait(50 * MS)][seed as usize % 3];
     set.limits.hedging = seed.is_multiple_of(2);
@@ -1326,85 +1380,96 @@
     set.list_mode = if seed.is_multiple_of(3) { ListMode::OnRequest } else { ListMode::Pushed };
     set.session_tokens =
         if seed.is_multiple_of(2) { SessionTokens::FromClient } else { SessionTokens::TrackedByProxy };
-    let copies = set.limits.hedging;
+    let hedging = set.limits.hedging;
     let classes = set.classes.clone();
-    let grace = set.safety.drain_grace;
+    let drain_grace = set.safety.drain_grace;
     let mut router = Router::new(set, seed);
     let mut now = START;
-    let mut all = Vec::new();
-    struct Open {
+    let mut all_actions = Vec::new();
+    struct SentRequest {
         class: usize,
         give_up_at: Micros,
-        out: Vec<(u8, HostId, Micros)>,
-        count: u8,
+        /// The outstanding attempts: number, host, and when the attempt was sent.
+        outstanding: Vec<(u8, HostId, Micros)>,
+        attempts: u8,
+        /// When the first attempt that may have run was sent.
         may_have_run: Option<Micros>,
         answered: bool,
     }
-    let mut open: BTreeMap<RequestId, Open> = BTreeMap::new();
-    let mut drained: BTreeMap<HostId, Micros> = BTreeMap::new();
+    let mut requests: BTreeMap<RequestId, SentRequest> = BTreeMap::new();
+    // Since when each draining host drains.
+    let mut draining: BTreeMap<HostId, Micros> = BTreeMap::new();
     let mut events = vec![three_hosts()];
     for step in 0..1500u32 {
         let mut actions = Vec::new();
         router.handle(now, &events, &mut actions);
         events.clear();
-        for a in &actions {
-            match a {
+        for action in &actions {
+            match action {
                 Action::Send { id, host, .. } => {
-                    let r = open.get_mut(id).expect("a known request");
-                    assert!(!r.answered, "no send after the final answer");
-                    assert!(r.out.len() < if copies { 2 } else { 1 }, "no overlap where forbidden");
-                    if let Some(t) = drained.get(host) {
-                        assert!(now <= t + grace, "no send past the grace");
+                    let request = requests.get_mut(id).expect("a known request");
+                    assert!(!request.answered, "no send after the final answer");
+                    assert!(
+                        request.outstanding.len() < if hedging { 2 } else { 1 },
+                        "no overlapping attempts where hedging is off"
+                    );
+                    if let Some(since) = draining.get(host) {
+                        assert!(now <= since + drain_grace, "no attempt at a draining host after the grace");
                     }
-                    match classes[r.class].idempotency {
-                        Idempotency::NotIdempotent => assert!(r.may_have_run.is_none() && r.out.is_empty()),
+                    match classes[request.class].idempotency {
+                        Idempotency::NotIdempotent => {
+                            assert!(request.may_have_run.is_none() && request.outstanding.is_empty())
+                        }
                         Idempotency::Keyed(_, window) => {
-                            assert!(r.may_have_run.is_none_or(|t| now < t + window));
+                            assert!(request.may_have_run.is_none_or(|t| now < t + window));
                         }
                         Idempotency::Idempotent => {}
                     }
-                    r.out.push((r.count, *host, now));
-                    r.count += 1;
-                    assert!(r.count <= 6);
+                    request.outstanding.push((request.attempts, *host, now));
+                    request.attempts += 1;
+                    assert!(request.attempts <= 6);
                 }
                 Action::Refuse { id, .. } => {
-                    let r = open.get_mut(id).expect("a known request");
-                    assert!(!r.answered, "one answer");
-                    let safe = classes[r.class].idempotency == Idempotency::Idempotent;
-                    assert!(safe || (r.may_have_run.is_none() && r.out.is_empty()));
-                    assert!(now <= r.give_up_at + 4 * MS);
-                    r.answered = true;
+                    let request = requests.get_mut(id).expect("a known request");
+                    assert!(!request.answered, "at most one answer");
+                    let harmless = classes[request.class].idempotency == Idempotency::Idempotent;
+                    assert!(harmless || (request.may_have_run.is_none() && request.outstanding.is_empty()));
+                    assert!(now <= request.give_up_at + 4 * MS);
+                    request.answered = true;
                 }
                 Action::Fail(id) => {
-                    let r = open.get_mut(id).expect("a known request");
-                    assert!(!r.answered, "one answer");
-                    assert!(now <= r.give_up_at + 4 * MS);
-                    r.answered = true;
+                    let request = requests.get_mut(id).expect("a known request");
+                    assert!(!request.answered, "at most one answer");
+                    assert!(now <= request.give_up_at + 4 * MS);
+                    request.answered = true;
                 }
-                Action::Cancel(id, n) => {
-                    assert!(open.get(id).is_none_or(|r| *n < r.count), "only attempts made");
+                Action::Cancel(id, attempt) => {
+                    assert!(
+                        requests.get(id).is_none_or(|request| *attempt < request.attempts),
+                        "only an attempt that was sent is cancelled"
+                    );
                 }
                 _ => {}
             }
         }
-        all.extend(actions);
+        all_actions.extend(actions);
         now += 2 * MS;
-        if dice.rand_range(0..3) == 0 {
-            let class = dice.rand_range(0..6) as u8;
-            let give_up_at = now + dice.rand_range(100..1500) * MS;
-            let token_ms = dice.rand_range(0..300) as f32;
-            open.insert(
+        if rng.rand_range(0..3) == 0 {
+            let class = rng.rand_range(0..6) as u8;
+            let give_up_at = now + rng.rand_range(100..1500) * MS;
+            let token_ms = rng.rand_range(0..300) as f32;
+            requests.insert(
                 step,
-                Open {
+                SentRequest {
                     class: usize::from(class),
                     give_up_at,
-                    out: Vec::new(),
-                    count: 0,
+                    outstanding: Vec::new(),
+                    attempts: 0,
                     may_have_run: None,
                     answered: false,
                 },
             );
-            let session = dice.rand_range(1..5);
+            let session = rng.rand_range(1..5);
             events.push(Event::Request(RequestInfo {
                 id: step,
                 class,
@@ -1415,60 +1480,64 @@
                 ..RequestInfo::default()
             }));
         }
-        for (id, r) in &mut open {
-            let mut i = 0;
-            while i < r.out.len() {
-                let (n, host, sent) = r.out[i];
-                let overdue = now >= r.give_up_at;
-                if !overdue && dice.rand_range(0..12) != 0 {
-                    i += 1;
+        for (id, request) in &mut requests {
+            let mut next = 0;
+            while next < request.outstanding.len() {
+                let (attempt, host, sent) = request.outstanding[next];
+                let overdue = now >= request.give_up_at;
+                if !overdue && rng.rand_range(0..12) != 0 {
+                    next += 1;
                     continue;
                 }
-                r.out.remove(i);
+                request.outstanding.remove(next);
                 use Outcome::*;
                 let outcome = if overdue {
                     Timeout
                 } else {
                     [Ok, Ok, Ok, Error, Overloaded, Unsuitable, ConnectFailed, Reset]
-                        [dice.rand_range(0..8) as usize]
+                        [rng.rand_range(0..8) as usize]
                 };
                 if !outcome.never_ran() {
-                    r.may_have_run = Some(r.may_have_run.map_or(sent, |t| t.min(sent)));
+                    request.may_have_run = Some(request.may_have_run.map_or(sent, |t| t.min(sent)));
                 }
-                r.answered |= outcome == Ok;
+                request.answered |= outcome == Ok;
                 let role = role_of(host);
-                let behind = dice.rand_range(0..500) * MS;
+                let behind = rng.rand_range(0..500) * MS;
                 events.push(Event::Outcome(AttemptResult {
                     id: *id,
-                    attempt: n,
+                    attempt,
                     host,
                     outcome,
                     latency: now - sent,
-                    finished: r.answered,
+                    finished: request.answered,
                     note: HostReport { position: Some(now - behind), role: Some(role), in_flight: None },
                     report: HostReport::default(),
                 }));
             }
         }
-        for r in open.values() {
-            assert!(r.answered || !r.out.is_empty() || now <= r.give_up_at + 4 * MS, "answered in time");
+        for request in requests.values() {
+            assert!(
+                request.answered || !request.outstanding.is_empty() || now <= request.give_up_at + 4 * MS,
+                "answered in time"
+            );
         }
         if step % 400 == 399 {
-            let id = 1 + dice.rand_range(0..3) as u32;
-            let state = if drained.remove(&id).is_some() { HostStatus::Ready } else { HostStatus::Draining };
-            if state == HostStatus::Draining {
-                drained.insert(id, now);
+            let id = 1 + rng.rand_range(0..3) as u32;
+            let status =
+                if draining.remove(&id).is_some() { HostStatus::Ready } else { HostStatus::Draining };
+            if status == HostStatus::Draining {
+                draining.insert(id, now);
             }
-            events.push(list(ListUpdate::Delta, vec![entry(id, state, false, 0)]));
+            events.push(list(ListUpdate::Delta, vec![entry(id, status, false, 0)]));
         }
         events.push(Event::Timer(0));
     }
-    all
+    all_actions
 }
 
-/// Deployments nobody has named: extreme figures, no permissions, one member a group.
+/// Settings with extreme values, without any permission and with one member in the group.
 #[test]
-fn unknown_deployments_get_sound_answers() {
+fn requests_are_sent_or_refused_under_extreme_settings() {
     for lag_check in [LagCheck::Unchecked, LagCheck::Reject, LagCheck::Wait(Micros::MAX)] {
         for tokens in [SessionTokens::FromClient, SessionTokens::TrackedByProxy] {
             let mut set = settings();
@@ -1489,15 +1558,18 @@
             set.safety.cold_duration = Micros::MAX;
             set.safety.drain_grace = Micros::MAX;
             set.safety.start_capacity = f64::NAN;
-            for c in &mut set.classes {
-                c.latency_target = Micros::MAX;
-                c.access =
-                    if c.access == Access::AnyRead { Access::BoundedRead(Micros::MAX) } else { c.access };
+            for class in &mut set.classes {
+                class.latency_target = Micros::MAX;
+                class.access = if class.access == Access::AnyRead {
+                    Access::BoundedRead(Micros::MAX)
+                } else {
+                    class.access
+                };
             }
             let mut router = Router::new(set, 3);
             let mut out = Vec::new();
-            let alone = list(ListUpdate::Cached, vec![entry(1, HostStatus::Ready, false, 0)]);
-            router.handle(START, &[alone], &mut out);
+            let one_host = list(ListUpdate::Cached, vec![entry(1, HostStatus::Ready, false, 0)]);
+            router.handle(START, &[one_host], &mut out);
             for class in 0..6u8 {
                 router.handle(START, &[request(u32::from(class), class, START)], &mut out);
             }
@@ -1506,7 +1578,7 @@
             }
             for id in 0..6 {
                 let sent = sent_to(&out, id).is_some();
-                assert!(sent || refused(&out, id), "class {id} is sent or answered");
+                assert!(sent || refused(&out, id), "class {id} is sent or refused");
             }
             assert!(
                 out.iter()
@@ -1516,10 +1588,10 @@
     }
 }
 
-/// Lists that empty, go back in time, name ghosts and contradict themselves, and settings of zeros: every
-/// request gets one answer in time.
+/// Lists are empty, go back in time, name unknown hosts or contradict themselves, and settings are zero. Every request
+/// gets exactly one answer.
 #[test]
-fn contradictory_lists_and_zero_figures_leave_every_request_answered() {
+fn every_request_gets_one_answer_under_contradictory_lists_and_zero_settings() {
     for (proxy_count, seed) in [(1, 1), (1_000, 2), (0, 3)] {
         let mut set = settings();
         set.proxy_count = proxy_count;
@@ -1530,15 +1602,18 @@
             &mut set.safety;
         (*cold_duration, *overload_multiple, *overload_duration, *max_list_age, *drain_grace) =
             (0, 0.0, 0, 0, 0);
-        for c in &mut set.classes {
-            c.latency_target = 0;
-            c.worth = 0.0;
-            c.access =
-                if c.access == Access::BoundedRead(300 * MS) { Access::BoundedRead(0) } else { c.access };
+        for class in &mut set.classes {
+            class.latency_target = 0;
+            class.worth = 0.0;
+            class.access = if class.access == Access::BoundedRead(300 * MS) {
+                Access::BoundedRead(0)
+            } else {
+                class.access
+            };
         }
         let mut router = Router::new(set, seed);
         let mut answers: BTreeMap<RequestId, u32> = BTreeMap::new();
-        let mut sent: BTreeMap<RequestId, u8> = BTreeMap::new();
+        let mut attempts: BTreeMap<RequestId, u8> = BTreeMap::new();
         let lists = [
             list(ListUpdate::Cached, vec![]),
             list(
@@ -1558,9 +1633,9 @@
         for step in 0..400u32 {
             let now = START + u64::from(step) * 10 * MS;
             let mut events = vec![Event::Timer(0), lists[step as usize % lists.len()].clone()];
-            let said =
+            let update =
                 PeerUpdate::HostPosition { host: step % 5, position: now - 90 * MS, primary: step % 3 == 0 };
-            events.push(Event::Peer { from: 9, updates: vec![said; step as usize % 30] });
+            events.push(Event::Peer { from: 9, updates: vec![update; step as usize % 30] });
             if step < 300 {
                 events.push(short_request(step, (step % 6) as u8, step % 3, now));
             }
@@ -1571,10 +1646,10 @@
                 next += 1;
                 match action {
                     Action::Refuse { id, .. } | Action::Fail(id) => *answers.entry(id).or_insert(0) += 1,
-                    // Nothing serves here: what is sent times out at once.
+                    // No host serves: each attempt times out at once.
                     Action::Send { id, host, .. } => {
-                        let attempt = sent.entry(id).or_insert(0);
-                        let back = Event::Outcome(AttemptResult {
+                        let attempt = attempts.entry(id).or_insert(0);
+                        let timed_out = Event::Outcome(AttemptResult {
                             id,
                             attempt: *attempt,
                             host,
@@ -1585,7 +1660,7 @@
                             report: HostReport { position: Some(u64::MAX), ..HostReport::default() },
                         });
                         *attempt += 1;
-                        router.handle(now, &[back], &mut out);
+                        router.handle(now, &[timed_out], &mut out);
                     }
                     _ => {}
                 }
@@ -1596,7 +1671,7 @@
     }
 }
 
-/// A request whose terms only the proxy knows.
+/// A plain request: only the proxy knows its key and bound, hosts do not.
 fn plain(id: RequestId, class: u8, now: Micros, token_ms: f32, expected_duration: Micros) -> Event {
     let give_up_at = now + 2_000 * MS;
     Event::Request(RequestInfo {
@@ -1611,18 +1686,18 @@
 }
 
 #[test]
-fn a_plain_write_of_a_keyed_class_is_never_sent_again_once_it_may_have_run() {
+fn a_plain_write_of_a_keyed_class_is_not_retried_once_it_may_have_run() {
     use Outcome::*;
     for outcome in [Reset, Error, Timeout, ConnectFailed, Overloaded, Unsuitable] {
-        for keyless in [false, true] {
+        for is_plain in [false, true] {
             let mut rig = Rig::new(settings());
-            let event = if keyless { plain(1, 5, START, 0.0, 0) } else { request(1, 5, START) };
-            assert_eq!(sent_to(&rig.advance(0, &[event]), 1), Some(1), "the list's primary");
+            let event = if is_plain { plain(1, 5, START, 0.0, 0) } else { request(1, 5, START) };
+            assert_eq!(sent_to(&rig.advance(0, &[event]), 1), Some(1), "the primary that the list names");
             rig.end_attempt(1, 1, outcome, 20 * MS, Role::Primary, 0);
             rig.advance(300 * MS, &[]);
             rig.advance(300 * MS, &[Event::Timer(0)]);
-            let again = rig.attempts_sent[&1] > 1;
-            assert_eq!(again, !keyless || outcome.never_ran(), "{outcome:?}, without a key: {keyless}");
+            let retried = rig.attempts_sent[&1] > 1;
+            assert_eq!(retried, !is_plain || outcome.never_ran(), "{outcome:?}, without a key: {is_plain}");
         }
     }
 }
@@ -1641,10 +1716,11 @@
 }
 
 #[test]
-fn a_plain_bounded_read_goes_only_where_the_position_is_known_and_past_its_sessions_write() {
-    // With servers that check a bound themselves, commented reads may try; plain ones may not.
+fn a_plain_bounded_read_goes_only_to_a_replica_inside_its_bound_and_token() {
+    // Where hosts check the bound themselves, other reads may go to any replica. Plain reads may not, because hosts do
+    // not know their bound.
     for check in [LagCheck::Unchecked, LagCheck::Wait(100 * MS)] {
-        for (behind, token_ms, replica) in
+        for (behind, token_ms, replica_allowed) in
             [(10, 0.0, true), (200, 0.0, true), (310, 0.0, false), (200, 100.0, false), (50, 100.0, true)]
         {
             let mut set = settings();
@@ -1656,46 +1732,53 @@
             let mut reached = [0; 4];
             for id in 10..60 {
                 let event = plain(id, 1, rig.now, token_ms, 0);
-                let to = sent_to(&rig.advance(0, &[event]), id).unwrap_or(0);
-                reached[to as usize] += 1;
+                let host = sent_to(&rig.advance(0, &[event]), id).unwrap_or(0);
+                reached[host as usize] += 1;
                 rig.advance(0, &[Event::ClientGone(id)]);
-                rig.end_attempt(id, to, Outcome::Cancelled, 0, Role::Replica, behind * MS);
+                rig.end_attempt(id, host, Outcome::Cancelled, 0, Role::Replica, behind * MS);
             }
-            // Nor where the primary can't be had: a replica outside the bound would answer.
+            // The same holds while the primary drains: a replica outside the bound gets no read either.
             rig.advance(0, &[list(ListUpdate::Delta, vec![entry(1, HostStatus::Draining, true, 0)])]);
             let event = plain(99, 1, rig.now, token_ms, 0);
-            let alone = sent_to(&rig.advance(0, &[event]), 99);
-            assert_eq!(alone.is_some(), replica, "{behind} ms behind, token {token_ms}, {check:?}");
-            let went = reached[2] + reached[3] > 0;
-            assert_eq!(went, replica, "{behind} ms behind, token {token_ms}: {reached:?}, {check:?}");
+            let host_without_primary = sent_to(&rig.advance(0, &[event]), 99);
+            assert_eq!(
+                host_without_primary.is_some(),
+                replica_allowed,
+                "{behind} ms behind, token {token_ms}, {check:?}"
+            );
+            let replica_used = reached[2] + reached[3] > 0;
+            assert_eq!(
+                replica_used, replica_allowed,
+                "{behind} ms behind, token {token_ms}: {reached:?}, {check:?}"
+            );
         }
     }
 }
 
 #[test]
-fn an_expectation_counts_in_place_of_what_its_class_shows() {
+fn the_expected_duration_of_a_request_replaces_the_latency_of_its_class() {
     let mut rig = Rig::new(settings());
     for host in [2, 3] {
         rig.receive_probe(host, Role::Replica, 0);
     }
-    // Too little is left for what takes 1.8 s; plenty for what its class takes.
+    // The remaining 2 s are too short for a request that takes 1.8 s, and long enough for the usual one of its class.
     let out = rig.advance(0, &[plain(70, 0, rig.now, 0.0, 1_800 * MS), plain(71, 0, rig.now, 0.0, 0)]);
     assert!(out.iter().any(|a| matches!(a, Action::Refuse { id: 70, .. })), "{out:?}");
     assert!(sent_to(&out, 71).is_some());
-    // A server that served long statements as slowly as expected is not held for slow.
-    let share = |known: bool| {
+    // A host that served long statements in the expected time does not count as slow.
+    let reads_at_three = |expectation_known: bool| {
         let mut rig = Rig::new(settings());
         for host in [2, 3] {
             rig.receive_probe(host, Role::Replica, 0);
         }
         let mut id = 100;
-        // Each serves alone for a while: 3 statements that take 200 ms, 2 such as take 20 ms.
+        // The hosts serve alone in turn: host 3 statements that take 200 ms, host 2 statements that take 20 ms.
         for (host, other, latency) in [(3, 2, 200), (2, 3, 20)].repeat(60) {
-            let expected = if known { latency } else { 0 };
-            let only =
+            let expected = if expectation_known { latency } else { 0 };
+            let one_ready =
                 [entry(host, HostStatus::Ready, false, 0), entry(other, HostStatus::Draining, false, 0)]
                     .to_vec();
-            rig.advance(0, &[list(ListUpdate::Delta, only)]);
+            rig.advance(0, &[list(ListUpdate::Delta, one_ready)]);
             id += 1;
             let event = plain(id, 0, rig.now, 0.0, expected * MS);
             if sent_to(&rig.advance(MS, &[event]), id) == Some(host) {
@@ -1703,27 +1786,28 @@
             }
         }
         let ready = |id| entry(id, HostStatus::Ready, false, 0);
-        let both = vec![entry(1, HostStatus::Draining, true, 0), ready(2), ready(3)];
-        rig.advance(0, &[list(ListUpdate::Delta, both)]);
-        let mut to_three = 0;
+        let both_ready = vec![entry(1, HostStatus::Draining, true, 0), ready(2), ready(3)];
+        rig.advance(0, &[list(ListUpdate::Delta, both_ready)]);
+        let mut count = 0;
         for _ in 0..200 {
             id += 1;
             let event = plain(id, 0, rig.now, 0.0, 0);
-            if let Some(to) = sent_to(&rig.advance(MS, &[event]), id) {
-                to_three += u32::from(to == 3);
+            if let Some(host) = sent_to(&rig.advance(MS, &[event]), id) {
+                count += u32::from(host == 3);
                 rig.advance(0, &[Event::ClientGone(id)]);
-                rig.end_attempt(id, to, Outcome::Cancelled, 0, Role::Replica, 0);
+                rig.end_attempt(id, host, Outcome::Cancelled, 0, Role::Replica, 0);
             }
         }
-        to_three
+        count
     };
-    let (known, unknown) = (share(true), share(false));
-    assert!(known > 3 * unknown.max(1), "{known} with the expectation, {unknown} without");
+    let (known, unknown) = (reads_at_three(true), reads_at_three(false));
+    assert!(known > 3 * unknown.max(1), "{known} with the expected duration, {unknown} without");
 }
 
-/// An order of a process whose clock was an hour ahead: its time counts from when it is heard, at the latest.
+/// The proxy that set the override has a clock that is an hour ahead. The override counts from when it is received, at
+/// the latest.
 #[test]
-fn an_order_from_a_clock_ahead_binds_and_fades_as_any_other() {
+fn a_host_override_from_a_clock_ahead_starts_its_drain_grace_when_received() {
     let mut rig = Rig::new(settings());
     let primary = 1;
     rig.receive_probe(primary, Role::Primary, 0);
@@ -1734,5 +1818,5 @@
     rig.advance(MS, &[Event::HostOverride { host: primary, left_out: true, since }]);
     let grace = settings().safety.drain_grace;
     rig.advance(grace, &[]);
-    assert_eq!(sent_to(&rig.send_request(3, 4), 3), None, "a write goes to it after the grace");
+    assert_eq!(sent_to(&rig.send_request(3, 4), 3), None, "no write goes to the host after the grace");
 }
