--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,6 +1,7 @@
-//! Simulates 300 proxies that share nothing and 120 hosts in one thread, and tests what the proxies' decisions add up
-//! to. The hosts are a rough model: running attempts share the cores, and one thread applies the replication log beside
-//! them. The model ranks variants of the decision module; it does not predict a deployment's figures. Seeds are fixed.
+//! Simulates 300 proxies that share nothing and 120 hosts in one thread, and tests what the proxies'
+//! decisions add up to. The hosts are a rough model: running attempts share the cores, and one thread applies
+//! the replication log beside them. The model ranks variants of the decision module; it does not predict a
+//! deployment's figures. Seeds are fixed.
 
 use oorandom::Rand64;
 use sillfold::*;
@@ -280,8 +281,8 @@
         host.jobs.push(Job { proxy, id, attempt, class, work_left, arrived: self.now });
     }
 
-    /// Ends an attempt. Its connection becomes idle, except after a timeout. An outstanding attempt is reported to its
-    /// proxy.
+    /// Ends an attempt. Its connection becomes idle, except after a timeout. An outstanding attempt is
+    /// reported to its proxy.
     fn end_attempt(&mut self, proxy: usize, id: RequestId, attempt: u8, host_id: HostId, outcome: Outcome) {
         if outcome != Outcome::Timeout {
             *self.idle.entry((proxy, host_id)).or_insert(0) += 1;
@@ -309,8 +310,8 @@
         self.handle_event(proxy, Event::Outcome(end));
     }
 
-    /// Advances all hosts by one step. `load` is the requests' share of the hosts' capacity; applying the log grows
-    /// with it.
+    /// Advances all hosts by one step. `load` is the requests' share of the hosts' capacity; applying the log
+    /// grows with it.
     fn run_hosts(&mut self, load: f64) {
         let mut ended = Vec::new();
         for (i, host) in self.hosts.iter_mut().enumerate() {
@@ -346,8 +347,8 @@
         }
     }
 
-    /// Runs the fleet until `load` is zero and every request is answered. `load` is the share of the hosts' capacity
-    /// that the requests take, as a function of the seconds since the start of the run.
+    /// Runs the fleet until `load` is zero and every request is answered. `load` is the share of the hosts'
+    /// capacity that the requests take, as a function of the seconds since the start of the run.
     fn run(&mut self, load: impl Fn(f64) -> f64) {
         let begun = self.now;
         let (cumulative_group_shares, cumulative_proxy_shares): (Vec<f64>, Vec<f64>) = {
@@ -417,7 +418,8 @@
     }
 }
 
-/// Runs a fleet without faults under a load of 0.5 that rises to 0.78 for four seconds, and returns the totals.
+/// Runs a fleet without faults under a load of 0.5 that rises to 0.78 for four seconds, and returns the
+/// totals.
 fn run_burst(proxy_count: usize, seed: u64) -> Totals {
     let mut fleet = Fleet::new(proxy_count, seed);
     fleet.run(|s| match s {
@@ -429,9 +431,9 @@
     fleet.totals
 }
 
-/// Guards against an overload that outlasts the burst: reads time out, replicas fall behind with their log, and each
-/// proxy opens connections to each host. This happened while a proxy knew nothing but its own few samples: 0.84 of the
-/// requests were in time on seed 1 and 0.81 on seed 2, with 0.42 handshakes per request.
+/// Guards against an overload that outlasts the burst: reads time out, replicas fall behind with their log,
+/// and each proxy opens connections to each host. This happened while a proxy knew nothing but its own few
+/// samples: 0.84 of the requests were in time on seed 1 and 0.81 on seed 2, with 0.42 handshakes per request.
 #[test]
 fn three_hundred_proxies_recover_from_a_burst() {
     for (seed, min_in_time) in [(1, 0.86), (2, 0.83)] {
@@ -447,7 +449,8 @@
         );
         assert!(totals.in_time_share() > min_in_time, "seed {seed}: {:.4}", totals.in_time_share());
         assert!(totals.handshakes_per_request() < 0.3, "seed {seed}: {:.4}", totals.handshakes_per_request());
-        // Every host gets more than a fifth of the mean number of attempts and less than three times the mean.
+        // Every host gets more than a fifth of the mean number of attempts and less than three times the
+        // mean.
         let mean = totals.sent.iter().sum::<u32>() / HOSTS as u32;
         assert!(
             totals.sent.iter().all(|&n| n > mean / 5 && n < mean * 3),
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -1,5 +1,5 @@
-//! Tests the rules of `sillfold::invariants` at the edges of their limits: whether an attempt may start, a request
-//! may be refused and a connection may be closed.
+//! Tests the rules of `sillfold::invariants` at the edges of their limits: whether an attempt may start, a
+//! request may be refused and a connection may be closed.
 
 use sillfold::invariants::*;
 use sillfold::{DedupScope, Idempotency};
@@ -25,8 +25,8 @@
     }
 }
 
-/// An attempt that may start is written inside the grace, even if the process stalls for `MAX_STALL_US` (150 ms) between
-/// reading the clock and writing.
+/// An attempt that may start is written inside the grace, even if the process stalls for `MAX_STALL_US` (150
+/// ms) between reading the clock and writing.
 #[test]
 fn drain_grace_covers_a_stall_of_the_process() {
     for unavailable_ms in 0..=600 {
@@ -52,7 +52,8 @@
     assert!(!accepts_new_attempts(Some(0), 100 * MS), "the grace is shorter than a stall");
 }
 
-/// A retry that may start is written inside the deduplication window, even if the process stalls for `MAX_STALL_US`.
+/// A retry that may start is written inside the deduplication window, even if the process stalls for
+/// `MAX_STALL_US`.
 #[test]
 fn dedup_window_covers_a_stall_of_the_process() {
     for window_ms in [100, 300, 1_200, 5_000] {
@@ -108,8 +109,8 @@
     assert_eq!(check_started(&start(None), &announcing(551), NOW), Some(Violation::PatienceExceeded));
 }
 
-/// A stall as the signal arrives and another as the last answers are written end before SIGKILL, which follows 0.7 s
-/// after the longest wait of 3 s.
+/// A stall as the signal arrives and another as the last answers are written end before SIGKILL, which
+/// follows 0.7 s after the longest wait of 3 s.
 #[test]
 fn a_stopping_proxy_cuts_requests_off_before_sigkill() {
     for linger_ms in [0, 1, 300, 500, 700] {
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -1,5 +1,5 @@
-//! Tests the decisions of `Router` through its public interface: scripted events go in, and the tests check the
-//! actions that come out. `rig::settings` lists the classes, `rig::three_hosts` the hosts.
+//! Tests the decisions of `Router` through its public interface: scripted events go in, and the tests check
+//! the actions that come out. `rig::settings` lists the classes, `rig::three_hosts` the hosts.
 
 mod rig;
 
@@ -46,8 +46,8 @@
     assert!(counts.get(&3) > counts.get(&2), "{counts:?}");
 }
 
-/// A proxy learns nothing new about a host that it sends nothing to. Guards against a host that stays unused for good
-/// after one slow answer, and against many slow reads at a host that stays slow.
+/// A proxy learns nothing new about a host that it sends nothing to. Guards against a host that stays unused
+/// for good after one slow answer, and against many slow reads at a host that stays slow.
 #[test]
 fn a_slow_replica_is_tried_again_but_rarely_while_it_stays_slow() {
     for stays_slow in [false, true] {
@@ -110,8 +110,8 @@
     assert_eq!(sent_to(&out, 1), Some(3));
 }
 
-/// One of hundreds of proxies receives a report of a replica once in many seconds. Guards against bounded reads that all
-/// go to the primary meanwhile.
+/// One of hundreds of proxies receives a report of a replica once in many seconds. Guards against bounded
+/// reads that all go to the primary meanwhile.
 #[test]
 fn a_replica_that_kept_up_at_its_last_report_gets_bounded_reads_where_replicas_check() {
     let mut rig = Rig::new(settings_with_lag_check());
@@ -145,7 +145,8 @@
         count
     };
     rig.advance(1_000 * MS, &[]);
-    // A host that rejects a read after its wait is behind, and gets no bounded read until a probe reports otherwise.
+    // A host that rejects a read after its wait is behind, and gets no bounded read until a probe reports
+    // otherwise.
     let behind = sent_to(&rig.send_request(1_000, 1), 1_000).expect("sent");
     rig.end_attempt_without_report(1_000, behind, Outcome::Unsuitable, 100 * MS);
     assert_eq!(reads_at(&mut rig, behind), 0);
@@ -274,7 +275,8 @@
             "{outcome:?}: a write that is not idempotent and may have run fails"
         );
         assert!(!refused(&out, 1));
-        // A keyed write that may have run may be retried in its group inside its window, but is never refused.
+        // A keyed write that may have run may be retried in its group inside its window, but is never
+        // refused.
         let mut rig = Rig::new(settings());
         rig.send_request(1, 5);
         let mut out = rig.end_attempt(1, 1, outcome, 5 * MS, Role::Primary, 0);
@@ -295,8 +297,8 @@
     assert!(failed(&out, 1));
 }
 
-/// A first attempt may start at any time. A retry of a keyed write has to start before hosts may forget the key; a retry
-/// of a read may start at any time.
+/// A first attempt may start at any time. A retry of a keyed write has to start before hosts may forget the
+/// key; a retry of a read may start at any time.
 #[test]
 fn a_retry_of_a_keyed_write_may_start_inside_its_window_only() {
     for (class, window) in [(5, Some(1_000 * MS)), (0, None)] {
@@ -362,8 +364,8 @@
     assert!(counts[3] > 0 && counts[3] <= 133 / 4, "{counts:?}");
 }
 
-/// Replaces two of five members by two new ones, and returns how many of `reads` first reads go to the new ones. Each
-/// read is sent by a proxy of its own.
+/// Replaces two of five members by two new ones, and returns how many of `reads` first reads go to the new
+/// ones. Each read is sent by a proxy of its own.
 fn reads_at_replacements(proxy_count: u32, reads: u64) -> u64 {
     let mut cold_reads = 0;
     for seed in 0..reads {
@@ -384,13 +386,15 @@
 #[test]
 fn replacements_take_the_share_of_the_draining_hosts() {
     let cold_reads = reads_at_replacements(100, 2_000);
-    // The new hosts have a fifth of the capacity of two fifths, which is 160 reads. 1.6 times that is 259; three times
-    // that overloads them. As two of seven hosts they would get 150, and 40 if warm hosts took most of those.
+    // The new hosts have a fifth of the capacity of two fifths, which is 160 reads. 1.6 times that is 259;
+    // three times that overloads them. As two of seven hosts they would get 150, and 40 if warm hosts took
+    // most of those.
     assert!((220..=300).contains(&cold_reads), "{cold_reads}");
 }
 
-/// The methods for many proxies set in gradually from eight proxies on. Guards against a fleet that behaves differently
-/// after it grows by one proxy: the figures of each size, per thousand, differ little from those of the next.
+/// The methods for many proxies take effect gradually from eight proxies on. Guards against a fleet that
+/// behaves differently after it grows by one proxy: the figures of each size, per thousand, differ little
+/// from those of the next.
 #[test]
 fn one_more_proxy_changes_little_whatever_the_size_of_the_fleet() {
     let sizes = [1, 3, 8, 9, 12, 16, 32, 100, 300, 1_000];
@@ -413,8 +417,8 @@
     }
 }
 
-/// A proxy that may probe about once per second would take most of a minute to reach a new host among 60. The new host
-/// is probed first instead.
+/// A proxy that may probe about once per second would take most of a minute to reach a new host among 60. The
+/// new host is probed first instead.
 #[test]
 fn a_new_host_is_probed_first_and_gets_reads_after_a_while_without_a_report() {
     let set = Settings { answers_carry_positions: false, proxy_count: 100, ..settings_with_lag_check() };
@@ -447,8 +451,8 @@
     assert!(reads > 0, "the host may get reads after a while without a report");
 }
 
-/// A proxy with twenty hosts in each of two zones, whose answers report no position. Hosts with an even id are in
-/// zone 1.
+/// A proxy with twenty hosts in each of two zones, whose answers report no position. Hosts with an even id
+/// are in zone 1.
 fn rig_with_two_zones(seed: u64, proxy_count: u32) -> Rig {
     let set = Settings { answers_carry_positions: false, proxy_count, ..settings_with_lag_check() };
     let mut rig = Rig::new(set.clone());
@@ -464,8 +468,8 @@
     rig
 }
 
-/// Sends a read for each id, about 15 per second. Attempts at hosts for which `dead` holds time out; returns their
-/// number.
+/// Sends a read for each id, about 15 per second. Attempts at hosts for which `dead` holds time out; returns
+/// their number.
 fn send_reads(rig: &mut Rig, ids: std::ops::Range<RequestId>, dead: impl Fn(HostId) -> bool) -> usize {
     let mut lost = 0;
     let mut refusals = 0;
@@ -487,14 +491,15 @@
         }
         rig.advance(40 * MS, &[]);
     }
-    // Timeouts at lost hosts count as overload, so some reads are refused at once: 24 of 60 on the worst seed.
+    // Timeouts at lost hosts count as overload, so some reads are refused at once: 24 of 60 on the worst
+    // seed.
     assert!(refusals * 2 <= reads, "{refusals} of {reads} refused");
     lost
 }
 
-/// Lets each of `proxy_count` proxies send four reads per second to the same host. A read times out after 200 ms if
-/// `overloaded` holds for the second in which it is sent; any other is served in 20 ms. Returns the number of attempts
-/// in each second.
+/// Lets each of `proxy_count` proxies send four reads per second to the same host. A read times out after 200
+/// ms if `overloaded` holds for the second in which it is sent; any other is served in 20 ms. Returns the
+/// number of attempts in each second.
 fn attempts_by_second(proxy_count: u32, seconds: usize, overloaded: impl Fn(usize) -> bool) -> Vec<usize> {
     let mut attempts = vec![0; seconds];
     for n in 0..proxy_count {
@@ -518,8 +523,8 @@
     attempts
 }
 
-/// One outstanding attempt of each of a hundred proxies is enough to keep a host overloaded. The proxies must let it
-/// recover, and use it again afterwards.
+/// One outstanding attempt of each of a hundred proxies is enough to keep a host overloaded. The proxies must
+/// let it recover, and use it again afterwards.
 #[test]
 fn a_hundred_proxies_let_an_overloaded_host_recover_and_use_it_again() {
     let attempts = attempts_by_second(100, 30, |second| second < 10);
@@ -558,7 +563,8 @@
     }
 }
 
-/// A zone of twenty hosts is lost. At fifteen requests per second a proxy cannot spend one on each host to find out.
+/// A zone of twenty hosts is lost. At fifteen requests per second a proxy cannot spend one on each host to
+/// find out.
 #[test]
 fn a_proxy_with_little_traffic_avoids_a_lost_zone_as_a_whole() {
     for seed in 0..50 {
@@ -613,8 +619,8 @@
     }
 }
 
-/// With hundreds of proxies, a proxy sends probes and peer messages in proportion to its own requests; an idle one sets no
-/// timers.
+/// With hundreds of proxies, a proxy sends probes and peer messages in proportion to its own requests; an
+/// idle one sets no timers.
 #[test]
 fn probes_and_peer_messages_follow_own_requests() {
     let mut set = settings_with_lag_check();
@@ -646,8 +652,8 @@
     );
 }
 
-/// Guards against hundreds of proxies that overload a cold member: first as they look for the primary there, then, once
-/// it is found, with the writes that they all held.
+/// Guards against hundreds of proxies that overload a cold member: first as they look for the primary there,
+/// then, once it is found, with the writes that they all held.
 #[test]
 fn a_cold_member_is_not_overloaded_by_the_search_for_the_primary_or_by_held_writes() {
     // The numbers of proxies whose write is sent as a search, at once, or by the end of the run.
@@ -681,8 +687,8 @@
     assert!(early <= 6 && (20..=150).contains(&later), "{early} {later}");
 }
 
-/// A full list without hosts arrives while everything runs. Where only draining binds, a primary that its own reports
-/// confirm keeps its writes.
+/// A full list without hosts arrives while everything runs. Where only draining binds, a primary that its own
+/// reports confirm keeps its writes.
 #[test]
 fn an_empty_list_keeps_the_primary_where_only_draining_binds() {
     for (only_draining, kept) in [(true, Some(2)), (false, None)] {
@@ -696,8 +702,8 @@
     }
 }
 
-/// Where many attempts fail at once because the host refuses the connection, idle connections are closed. Slow handshakes
-/// are no reason to close them.
+/// Where many attempts fail at once because the host refuses the connection, idle connections are closed.
+/// Slow handshakes are no reason to close them.
 #[test]
 fn idle_connections_are_closed_where_hosts_refuse_connections() {
     for (latency, closes) in [(MS, true), (240 * MS, false)] {
@@ -718,7 +724,8 @@
     }
 }
 
-/// Many hosts continue work that the proxy cancels or sends elsewhere too. So the proxy waits for an outstanding attempt.
+/// Many hosts continue work that the proxy cancels or sends elsewhere too. So the proxy waits for an
+/// outstanding attempt.
 #[test]
 fn an_outstanding_attempt_is_neither_hedged_nor_cancelled() {
     for hedging in [true, false] {
@@ -734,8 +741,9 @@
     }
 }
 
-/// One of hundreds of proxies refuses a share of the reads of an overloaded group on arrival, and none of another
-/// group's. One of a few proxies holds requests back by concurrency limits, and refuses nothing on arrival.
+/// One of hundreds of proxies refuses a share of the reads of an overloaded group on arrival, and none of
+/// another group's. One of a few proxies holds requests back by concurrency limits, and refuses nothing on
+/// arrival.
 #[test]
 fn a_share_of_reads_is_refused_in_an_overloaded_group_and_none_elsewhere() {
     for (proxy_count, timeouts, min_refusals) in [(300, 1, 0), (300, 30, 30), (3, 30, 0)] {
@@ -770,9 +778,9 @@
     }
 }
 
-/// One of 300 proxies, with `groups` groups of two replicas each. For each element of `ends` it has received a bounded
-/// read of that group, which ended with that outcome after `latency`, unless the proxy refused it because of earlier
-/// outcomes.
+/// One of 300 proxies, with `groups` groups of two replicas each. For each element of `ends` it has received
+/// a bounded read of that group, which ended with that outcome after `latency`, unless the proxy refused it
+/// because of earlier outcomes.
 fn rig_with_groups(groups: u32, ends: &[(GroupId, Outcome)], latency: Micros) -> Rig {
     let set = Settings { proxy_count: 300, ..settings_with_lag_check() };
     let mut rig = Rig::new(set.clone());
@@ -815,8 +823,8 @@
     refused.count()
 }
 
-/// In a burst over all groups, each of hundreds of proxies sees one timeout per group in several seconds. Guards against
-/// proxies that wait for a second timeout in each group while the hosts are overloaded.
+/// In a burst over all groups, each of hundreds of proxies sees one timeout per group in several seconds.
+/// Guards against proxies that wait for a second timeout in each group while the hosts are overloaded.
 #[test]
 fn timeouts_across_groups_count_as_overload_of_all_of_them() {
     let one_per_group: Vec<_> = (0..12).map(|group| (group, Outcome::Timeout)).collect();
@@ -828,8 +836,8 @@
     assert_eq!(refused_after_one, 0);
 }
 
-/// A zone is cut off: one read in four gets no answer, and the others are served as quickly as before. Refusing reads
-/// would free no capacity. In an overload, reads that are served are slow too.
+/// A zone is cut off: one read in four gets no answer, and the others are served as quickly as before.
+/// Refusing reads would free no capacity. In an overload, reads that are served are slow too.
 #[test]
 fn timeouts_are_no_overload_where_other_reads_are_quick() {
     let ends: Vec<_> = (0..48)
@@ -843,7 +851,8 @@
     );
 }
 
-/// Replicas that apply the replication log too slowly reject bounded reads, and have free capacity for other reads.
+/// Replicas that apply the replication log too slowly reject bounded reads, and have free capacity for other
+/// reads.
 #[test]
 fn reads_of_any_data_are_not_refused_where_replicas_only_fall_behind() {
     let ends: Vec<_> = (0..36).map(|n| (n % 12, Outcome::Unsuitable)).collect();
@@ -866,8 +875,8 @@
     );
 }
 
-/// An overload is forgotten with time, not only with the next attempts: a proxy that has been idle for half a minute
-/// refuses nothing because of it.
+/// An overload is forgotten with time, not only with the next attempts: a proxy that has been idle for half a
+/// minute refuses nothing because of it.
 #[test]
 fn an_idle_proxy_refuses_nothing_for_an_old_overload() {
     let refusals_after = |idle_time: Micros| {
@@ -893,8 +902,8 @@
     assert!(soon >= 30 && late == 0, "{soon} refused after 100 ms, {late} after 30 s");
 }
 
-/// A host that rejects a write is no primary at that moment, however old the position in its answer is. Guards against an
-/// older report that makes the host primary again.
+/// A host that rejects a write is no primary at that moment, however old the position in its answer is.
+/// Guards against an older report that makes the host primary again.
 #[test]
 fn a_report_older_than_a_rejected_write_makes_no_host_primary() {
     let mut rig = Rig::new(settings());
@@ -943,7 +952,8 @@
     );
 }
 
-/// When more requests arrive than the hosts can serve, the oldest held request would run out of time at its host.
+/// When more requests arrive than the hosts can serve, the oldest held request would run out of time at its
+/// host.
 #[test]
 fn the_newest_held_request_is_sent_first_and_one_with_little_time_left_is_refused() {
     let mut rig = Rig::new(settings());
@@ -957,14 +967,15 @@
     // An answer frees a slot and raises the limit by one.
     let out = rig.end_attempt(1, 1, Outcome::Ok, 20 * MS, Role::Primary, 0);
     assert_eq!([7, 6, 5].map(|id| sent_to(&out, id)), [Some(1), Some(1), None]);
-    // An answer is expected within a quarter of the latency target of 400 ms, and the client gives up after 100 ms.
+    // An answer is expected within a quarter of the latency target of 400 ms, and the client gives up after
+    // 100 ms.
     let with_short_deadline = short_request(8, 0, 0, rig.now);
     assert!(refused(&rig.advance(0, &[with_short_deadline]), 8));
 }
 
-/// When more requests arrive than the hosts can serve, a tenant's requests beyond its quota are worth little. They wait
-/// behind the requests that are within their quota, however new they are. Both proxies share one quota, and each has half
-/// of it where they exchange no messages.
+/// When more requests arrive than the hosts can serve, a tenant's requests beyond its quota are worth little.
+/// They wait behind the requests that are within their quota, however new they are. Both proxies share one
+/// quota, and each has half of it where they exchange no messages.
 #[test]
 fn a_held_request_beyond_its_tenants_quota_is_sent_last() {
     let set = Settings { proxy_count: 2, quotas: vec![40.0, 200.0], over_quota_worth: 0.2, ..settings() };
@@ -977,7 +988,8 @@
     };
     // The burst that half the quota allows, which is also the host's concurrency limit.
     assert_eq!((1..=4).filter(|&id| send(id, Some(0)).is_some()).collect::<Vec<_>>(), [1, 2, 3, 4]);
-    // Beyond the quota; then within another tenant's quota, without a tenant, of an unknown tenant; then beyond again.
+    // Beyond the quota; then within another tenant's quota, without a tenant, of an unknown tenant; then
+    // beyond again.
     let held = [(5, Some(0)), (6, Some(1)), (7, None), (8, Some(9)), (9, Some(0))];
     assert!(held.into_iter().all(|(id, tenant)| send(id, tenant).is_none()), "all are held");
     let mut order = Vec::new();
@@ -989,8 +1001,8 @@
     assert!(order[..3].iter().all(|id| (6..=8).contains(id)), "{order:?}");
 }
 
-/// Replicas fall behind, and few members are inside the bound. Reads of any data use those members too while they have
-/// free slots; once a bounded read has to wait, reads of any data go elsewhere.
+/// Replicas fall behind, and few members are inside the bound. Reads of any data use those members too while
+/// they have free slots; once a bounded read has to wait, reads of any data go elsewhere.
 #[test]
 fn reads_of_any_data_leave_current_members_to_waiting_bounded_reads() {
     for bounded_read_waits in [false, true] {
@@ -1012,8 +1024,8 @@
         let send_any_read = |rig: &mut Rig, id| sent_to(&rig.send_request(id, 0), id);
         let hosts: Vec<_> = (100..104).map(|id| send_any_read(&mut rig, id)).collect();
         assert_eq!(bounded_read_waits, hosts == [Some(2); 4], "{hosts:?}");
-        // Host 2 is at its concurrency limit. One more read is held while the current members are kept free, and goes
-        // to one of them later.
+        // Host 2 is at its concurrency limit. One more read is held while the current members are kept free,
+        // and goes to one of them later.
         if bounded_read_waits {
             assert_eq!(send_any_read(&mut rig, 104), None);
             let out = rig.advance(400 * MS, &[Event::Timer(0)]);
@@ -1075,8 +1087,9 @@
     assert!(!stale(&rig_with_read(&set, 1, 0.0), &replica, START), "hosts that check positions have done so");
 }
 
-/// Now and then a connection delivers no answer, while the host answers later attempts in 5 ms and thus has free
-/// capacity. Guards against two such losses that leave a primary with a concurrency limit of one and a pause.
+/// Now and then a connection delivers no answer, while the host answers later attempts in 5 ms and thus has
+/// free capacity. Guards against two such losses that leave a primary with a concurrency limit of one and a
+/// pause.
 #[test]
 fn lost_attempts_do_not_lower_the_limit_of_a_host_that_answers() {
     for answered in [true, false] {
@@ -1111,7 +1124,8 @@
     }
 }
 
-/// A planned release together with a manual override leaves few warm members: cold members take a part of their work.
+/// A planned release together with a manual override leaves few warm members: cold members take a part of
+/// their work.
 #[test]
 fn a_cold_host_gets_more_where_others_drain_but_is_not_overloaded() {
     let mut cold_reads = 0;
@@ -1128,8 +1142,8 @@
     assert!((300..=440).contains(&cold_reads), "{cold_reads}");
 }
 
-/// A request that its client is still writing is no work for the host yet, and the client's pace says nothing about the
-/// host's latency.
+/// A request that its client is still writing is no work for the host yet, and the client's pace says nothing
+/// about the host's latency.
 #[test]
 fn incomplete_requests_take_no_slot_until_they_are_complete() {
     let mut rig = Rig::new(settings());
@@ -1193,7 +1207,8 @@
 fn a_host_is_ejected_after_two_refused_connections_in_a_row() {
     let mut rig = Rig::new(settings());
     let mut next = 0;
-    // How many of 30 reads go to host 2, which refuses the first `refusals` connections and serves the other reads.
+    // How many of 30 reads go to host 2, which refuses the first `refusals` connections and serves the other
+    // reads.
     let mut reads_at_two = |rig: &mut Rig, refusals: usize| {
         let mut count = 0;
         for _ in 0..30 {
@@ -1220,7 +1235,8 @@
         let out = rig.send_request(id, 0);
         first = first.or(sent_to(&out, id));
     }
-    // Three hosts have an initial concurrency limit of four each. The other requests are held until answers arrive.
+    // Three hosts have an initial concurrency limit of four each. The other requests are held until answers
+    // arrive.
     assert_eq!(rig.attempts_sent.len(), 12);
     let (id, host) = (0, first.unwrap());
     rig.advance(0, &[Event::ClientGone(99)]);
@@ -1245,7 +1261,8 @@
 
 #[test]
 fn a_host_gets_no_attempt_for_a_moment_after_a_timeout() {
-    // Work that timed out may still run. With a concurrency limit near one the next attempt would queue behind it.
+    // Work that timed out may still run. With a concurrency limit near one the next attempt would queue
+    // behind it.
     let mut rig = Rig::new(settings());
     rig.send_request(1, 4);
     rig.end_attempt(1, 1, Outcome::Timeout, 400 * MS, Role::Primary, 0);
@@ -1366,8 +1383,8 @@
     }
 }
 
-/// Runs a router on random events that the seed determines, checks each action against the invariants, and returns all
-/// actions.
+/// Runs a router on random events that the seed determines, checks each action against the invariants, and
+/// returns all actions.
 fn run_random_events(seed: u64) -> Vec<Action> {
     let mut rng = oorandom::Rand64::new(u128::from(seed) + 1);
     let mut set = settings();
@@ -1588,8 +1605,8 @@
     }
 }
 
-/// Lists are empty, go back in time, name unknown hosts or contradict themselves, and settings are zero. Every request
-/// gets exactly one answer.
+/// Lists are empty, go back in time, name unknown hosts or contradict themselves, and settings are zero.
+/// Every request gets exactly one answer.
 #[test]
 fn every_request_gets_one_answer_under_contradictory_lists_and_zero_settings() {
     for (proxy_count, seed) in [(1, 1), (1_000, 2), (0, 3)] {
@@ -1717,8 +1734,8 @@
 
 #[test]
 fn a_plain_bounded_read_goes_only_to_a_replica_inside_its_bound_and_token() {
-    // Where hosts check the bound themselves, other reads may go to any replica. Plain reads may not, because hosts do
-    // not know their bound.
+    // Where hosts check the bound themselves, other reads may go to any replica. Plain reads may not, because
+    // hosts do not know their bound.
     for check in [LagCheck::Unchecked, LagCheck::Wait(100 * MS)] {
         for (behind, token_ms, replica_allowed) in
             [(10, 0.0, true), (200, 0.0, true), (310, 0.0, false), (200, 100.0, false), (50, 100.0, true)]
@@ -1761,7 +1778,8 @@
     for host in [2, 3] {
         rig.receive_probe(host, Role::Replica, 0);
     }
-    // The remaining 2 s are too short for a request that takes 1.8 s, and long enough for the usual one of its class.
+    // The remaining 2 s are too short for a request that takes 1.8 s, and long enough for the usual one of
+    // its class.
     let out = rig.advance(0, &[plain(70, 0, rig.now, 0.0, 1_800 * MS), plain(71, 0, rig.now, 0.0, 0)]);
     assert!(out.iter().any(|a| matches!(a, Action::Refuse { id: 70, .. })), "{out:?}");
     assert!(sent_to(&out, 71).is_some());
@@ -1772,7 +1790,8 @@
             rig.receive_probe(host, Role::Replica, 0);
         }
         let mut id = 100;
-        // The hosts serve alone in turn: host 3 statements that take 200 ms, host 2 statements that take 20 ms.
+        // The hosts serve alone in turn: host 3 statements that take 200 ms, host 2 statements that take 20
+        // ms.
         for (host, other, latency) in [(3, 2, 200), (2, 3, 20)].repeat(60) {
             let expected = if expectation_known { latency } else { 0 };
             let one_ready =
@@ -1804,8 +1823,8 @@
     assert!(known > 3 * unknown.max(1), "{known} with the expected duration, {unknown} without");
 }
 
-/// The proxy that set the override has a clock that is an hour ahead. The override counts from when it is received, at
-/// the latest.
+/// The proxy that set the override has a clock that is an hour ahead. The override counts from when it is
+/// received, at the latest.
 #[test]
 fn a_host_override_from_a_clock_ahead_starts_its_drain_grace_when_received() {
     let mut rig = Rig::new(settings());
--- a/tests/session_reads.rs
+++ b/tests/session_reads.rs
@@ -1,6 +1,6 @@
-//! Tests which hosts a session's read may go to, where the proxy tracks the session's writes and hosts answer from
-//! the data they have. Host 1 is the primary, hosts 2 and 3 are replicas. Class 1 is a bounded read, class 2 a session
-//! read, class 3 a strong read, class 4 a write and class 5 a keyed write.
+//! Tests which hosts a session's read may go to, where the proxy tracks the session's writes and hosts answer
+//! from the data they have. Host 1 is the primary, hosts 2 and 3 are replicas. Class 1 is a bounded read,
+//! class 2 a session read, class 3 a strong read, class 4 a write and class 5 a keyed write.
 
 mod rig;
 
@@ -198,8 +198,8 @@
     assert_eq!(sent_to(&out, read), Some(PRIMARY), "{out:?}");
 }
 
-/// While the read is held for want of a primary, its session writes at the new primary. That write binds the read when
-/// it is sent.
+/// While the read is held for want of a primary, its session writes at the new primary. That write binds the
+/// read when it is sent.
 #[test]
 fn a_held_read_sees_a_write_that_ended_meanwhile() {
     let mut rig = rig_with_outstanding_write(WRITE);
@@ -259,8 +259,8 @@
     }
 }
 
-/// The proxy tracks a limited number of sessions. The writes of a session that it no longer tracks bind the reads of all
-/// sessions, through the floor: no read misses a write that it must see.
+/// The proxy tracks a limited number of sessions. The writes of a session that it no longer tracks bind the
+/// reads of all sessions, through the floor: no read misses a write that it must see.
 #[test]
 fn the_floor_binds_sessions_that_are_no_longer_tracked() {
     /// One session more than the proxy tracks.
@@ -298,15 +298,16 @@
         };
         (first_id..first_id + 6).map(send_read).collect()
     };
-    // The first session is no longer tracked, so the floor binds it. It also binds a session that never wrote.
+    // The first session is no longer tracked, so the floor binds it. It also binds a session that never
+    // wrote.
     let of_untracked_session = read_six_times(&mut rig, 100, 900_000);
     assert!(none_at_a_replica(&of_untracked_session), "{of_untracked_session:?}");
     let of_session_without_writes = read_six_times(&mut rig, 7, 900_100);
     assert!(none_at_a_replica(&of_session_without_writes), "{of_session_without_writes:?}");
 }
 
-/// A proxy that takes over does not know which writes its predecessor answered before its own start. While both run, the
-/// other one may answer a write at any moment.
+/// A proxy that takes over does not know which writes its predecessor answered before its own start. While
+/// both run, the other one may answer a write at any moment.
 #[test]
 fn writes_that_another_process_answered_bind_reads() {
     let mut rig = Rig::new(tracking_settings(LagCheck::Unchecked));
@@ -352,8 +353,9 @@
     }
 }
 
-/// The clocks of hosts may be ahead of the proxy's, so a commit position that is a little ahead counts as reported. An
-/// implausible one must not bind the session's reads for good: the write then binds them as of its end.
+/// The clocks of hosts may be ahead of the proxy's, so a commit position that is a little ahead counts as
+/// reported. An implausible one must not bind the session's reads for good: the write then binds them as of
+/// its end.
 #[test]
 fn a_commit_ahead_of_the_clock_binds_reads_unless_it_is_implausible() {
     for (ahead, binds) in [(300 * MS, true), (3_600_000 * MS, false)] {
--- a/tests/sessions.rs
+++ b/tests/sessions.rs
@@ -1,9 +1,11 @@
-//! Tests that the reads of a session see its writes, where replicas answer from the data they have and the proxy tracks
-//! the writes. Each test forces one interleaving of a write, a read and a connection on real sockets;
-//! `docs/crossings.md` lists them. The proxy draws its random numbers from the seed `1f` in its configuration.
+//! Tests that the reads of a session see its writes, where replicas answer from the data they have and the
+//! proxy tracks the writes. Each test forces one interleaving of a write, a read and a connection on real
+//! sockets; `docs/crossings.md` lists them. The proxy draws its random numbers from the seed `1f` in its
+//! configuration.
 //!
-//! In each group, one unanswered write of an unrelated session keeps the primary busy, so that reads prefer a replica
-//! wherever the rules allow one. The replicas keep the position that they had just after the start of the proxy.
+//! In each group, one unanswered write of an unrelated session keeps the primary busy, so that reads prefer a
+//! replica wherever the rules allow one. The replicas keep the position that they had just after the start of
+//! the proxy.
 
 mod support;
 
@@ -59,36 +61,43 @@
     tracking_config(config).replace("\"mostTries\":10", "\"mostTries\":1")
 }
 
+/// A statement with the leading comment that names its id, class and client deadline.
 fn statement(id: &str, class: &str, deadline_ms: u32, sql: &str) -> String {
     format!("/* id={id},c={class},d={deadline_ms},cluster=3 */ {sql}")
 }
 
+/// A read that must see the writes of `session`.
 fn session_read(id: &str, session: &str) -> String {
     let sql = format!("SELECT payload FROM entries WHERE ref = '{session}'");
     statement(id, "profile", LONG_DEADLINE_MS, &sql)
 }
 
+/// A read of any data.
 fn any_read(id: &str) -> String {
     let sql = format!("SELECT payload FROM entries WHERE ref = '{READ_ONLY_SESSION}'");
     statement(id, "history", LONG_DEADLINE_MS, &sql)
 }
 
+/// A read within `STALENESS_BOUND_MS`.
 fn bounded_read(id: &str, deadline_ms: u32) -> String {
     let sql = format!("SELECT payload FROM entries WHERE ref = '{READ_ONLY_SESSION}'");
     statement(id, "browse", deadline_ms, &sql)
 }
 
+/// A write of `session` with a deduplication key.
 fn write(id: &str, session: &str, deadline_ms: u32) -> String {
     let sql = format!("INSERT INTO entries VALUES ('{session}', '1') RETURNING payload");
     let comment = format!("/* id={id},c=ingest,d={deadline_ms},k=5c0f{id},cluster=3 */");
     format!("{comment} {sql}")
 }
 
+/// A host that reports the writer role and always the present position.
 fn primary() -> ScriptedHost {
     let position = HostPosition::Now;
     ScriptedHost::start(HostState { value: "primary", role: HostRole::Writer, position })
 }
 
+/// A host that reports the reader role and the position of its start, and answers reads with `value`.
 fn replica(value: &'static str) -> ScriptedHost {
     let position = HostPosition::UnixMs(unix_ms());
     ScriptedHost::start(HostState { value, role: HostRole::Reader, position })
@@ -117,13 +126,16 @@
 }
 
 impl Group {
-    /// Starts a proxy and its hosts. The proxy learns the role and position of each host, and the primary is busy.
+    /// Starts a proxy and its hosts. The proxy learns the role and position of each host, and the primary is
+    /// busy.
     fn start(replica_names: &[&'static str], change: impl Fn(String) -> String) -> Group {
         let (primary, replicas) = (primary(), replica_names.iter().map(|&name| replica(name)));
         let replicas: Vec<ScriptedHost> = replicas.collect();
-        let hosts: Vec<&Host> = [&primary].into_iter().chain(&replicas).map(|member| &member.host).collect();
+        let hosts: Vec<&Host> =
+            [&primary].into_iter().chain(&replicas).map(|scripted| &scripted.host).collect();
         let proxy = Proxy::start_with(&hosts, 1024, change);
-        // What was written before the proxy started binds every session. The replicas have that, and nothing later.
+        // What was written before the proxy started binds every session. The replicas have that, and nothing
+        // later.
         wait_until_after(unix_ms());
         let position = unix_ms();
         replicas.iter().for_each(|replica| replica.set_position(HostPosition::UnixMs(position)));
@@ -131,12 +143,13 @@
         let mut group =
             Group { proxy, primary, replicas, busy_writes: Vec::new(), report_reads: Cell::new(0) };
         assert_eq!(
-            group.ask(&write("teach", UNRELATED_SESSION, LONG_DEADLINE_MS)).value.as_deref(),
+            group.execute(&write("teach", UNRELATED_SESSION, LONG_DEADLINE_MS)).value.as_deref(),
             Some("primary")
         );
         group.occupy_primary();
         group.make_replicas_report();
-        // After this wait the busy primary looks slower than any replica, however long the first answers took.
+        // After this wait the busy primary looks slower than any replica, however long the first answers
+        // took.
         wait_until_after(unix_ms() + TWO_STEPS_MS);
         group
     }
@@ -147,7 +160,7 @@
     }
 
     /// Sends a statement on a new connection and waits for the answer.
-    fn ask(&self, statement: &str) -> Answer {
+    fn execute(&self, statement: &str) -> Answer {
         self.proxy.client().query(statement)
     }
 
@@ -174,40 +187,45 @@
         assert_eq!(freed_write.client.answer().value.as_deref(), Some("primary"));
     }
 
-    /// Sends reads of any data until every replica has one, and then answers them all, so that each replica reports its
-    /// role and position. While the answers wait, the concurrency limits make the reads reach every host.
+    /// Sends reads of any data until every replica has one, and then answers them all, so that each replica
+    /// reports its role and position. While the answers wait, the concurrency limits make the reads reach
+    /// every host.
     fn make_replicas_report(&self) {
-        let members: Vec<&ScriptedHost> = self.replicas.iter().chain([&self.primary]).collect();
+        let hosts: Vec<&ScriptedHost> = self.replicas.iter().chain([&self.primary]).collect();
         let mut without_read: BTreeSet<usize> = (0..self.replicas.len()).collect();
         let mut unanswered = Vec::new();
         while !without_read.is_empty() {
             self.report_reads.set(self.report_reads.get() + 1);
             let id = format!("report-{}", self.report_reads.get());
-            let replies: Vec<Sender<Reply>> = members.iter().map(|member| member.hold(&id)).collect();
+            let replies: Vec<Sender<Reply>> = hosts.iter().map(|host| host.hold(&id)).collect();
             let client = self.send(&any_read(&id));
-            let number = first_to_receive(&members, &id);
+            let number = first_to_receive(&hosts, &id);
             without_read.remove(&number);
             unanswered.push((number, Unanswered { client, reply: replies[number].clone() }));
         }
         for (number, mut read) in unanswered {
-            let answer = members[number].state().answer();
+            let answer = hosts[number].state().answer();
             read.reply.send(Reply::Bytes(answer.complete())).expect("the host waits");
             assert_eq!(read.client.answer().value.as_deref(), Some(answer.value));
         }
     }
 
-    /// Closes the proxy's connection to the replica. The replica gives the next connection no session until the test
-    /// calls `release_sessions`.
+    /// Closes the proxy's connection to the replica. The replica gives the next connection no session until
+    /// the test calls `release_sessions`.
     fn hold_sessions_at_replica(&self) {
         let replica = self.replica();
         let answer = replica.state().answer();
         replica.reply("last", Reply::Close(answer.complete()));
-        assert_eq!(self.ask(&session_read("last", READ_ONLY_SESSION)).value.as_deref(), Some(answer.value));
+        assert_eq!(
+            self.execute(&session_read("last", READ_ONLY_SESSION)).value.as_deref(),
+            Some(answer.value)
+        );
         while replica.host.next_event() != HostEvent::Closed {}
         replica.host.hold_sessions();
     }
 
-    /// Sends a read for which the proxy opens a connection to the replica; that connection gets no session yet.
+    /// Sends a read for which the proxy opens a connection to the replica; that connection gets no session
+    /// yet.
     fn send_and_dial_replica(&self, statement: &str) -> Client {
         let client = self.send(statement);
         assert_eq!(self.replica().host.next_event(), HostEvent::Opened);
@@ -231,14 +249,14 @@
 
     /// Asserts that the primary serves the session's next read.
     fn assert_next_read_sees_the_write(&self) {
-        let answer = self.ask(&session_read("after", SESSION));
+        let answer = self.execute(&session_read("after", SESSION));
         self.assert_served_by_primary("after", &answer);
     }
 
-    /// Asserts that the connection that was established late serves the next read that may go to the replica, that the
-    /// proxy opens no other one, and that the statement `never_written` never reached the replica.
+    /// Asserts that the connection that was established late serves the next read that may go to the replica,
+    /// that the proxy opens no other one, and that the statement `never_written` never reached the replica.
     fn assert_late_connection_serves(&self, never_written: &str) {
-        let answer = self.ask(&session_read("reuses", READ_ONLY_SESSION));
+        let answer = self.execute(&session_read("reuses", READ_ONLY_SESSION));
         assert_eq!(answer.value.as_deref(), Some(self.replica().state().value), "{answer:?}");
         let seen = self.replica().take_events();
         self.assert_not_received(never_written, &seen);
@@ -253,7 +271,7 @@
     let incomplete = group.primary.state().answer().up_to_completion();
     group.primary.reply("cut", Reply::Bytes(incomplete));
     let begun = Instant::now();
-    let answer = group.ask(&write("cut", SESSION, LONG_DEADLINE_MS));
+    let answer = group.execute(&write("cut", SESSION, LONG_DEADLINE_MS));
     assert_eq!((answer.value.as_deref(), answer.end), (Some("primary"), End::Ready), "{}", answer.message);
     assert!(begun.elapsed() < PROMPT_REACTION, "after {:?}", begun.elapsed());
     // The proxy closes the connection, so that late bytes cannot answer another request.
@@ -261,8 +279,8 @@
     group.assert_next_read_sees_the_write();
 }
 
-/// The write arrives first and is held until the primary has a free slot. It is sent and answered while the read waits
-/// for its connection.
+/// The write arrives first and is held until the primary has a free slot. It is sent and answered while the
+/// read waits for its connection.
 #[test]
 fn a_read_waiting_for_its_connection_sees_an_earlier_write_answered_meanwhile() {
     let mut group = Group::start(&["replica"], tracking_config);
@@ -286,15 +304,15 @@
     let group = Group::start(&["replica"], tracking_config);
     group.hold_sessions_at_replica();
     let mut reader = group.send_and_dial_replica(&session_read("dialling", SESSION));
-    let answer = group.ask(&write("late", SESSION, LONG_DEADLINE_MS));
+    let answer = group.execute(&write("late", SESSION, LONG_DEADLINE_MS));
     assert_eq!(answer.value.as_deref(), Some("primary"), "{answer:?}");
     group.replica().host.release_sessions();
     group.assert_served_by_primary("dialling", &reader.answer());
     group.assert_late_connection_serves("dialling");
 }
 
-/// Every slot is in use when the read arrives. Its session's write is answered, and other writes take the slots that
-/// this frees at the primary; then a slot at the replica becomes free.
+/// Every slot is in use when the read arrives. Its session's write is answered, and other writes take the
+/// slots that this frees at the primary; then a slot at the replica becomes free.
 #[test]
 fn a_held_read_sees_a_write_answered_meanwhile() {
     let mut group = Group::start(&["replica"], tracking_config);
@@ -339,8 +357,8 @@
     group.assert_served_by_primary("held", &reader.answer());
 }
 
-/// The read's first attempt fails at one replica after its session's write is answered. The retry goes to the primary,
-/// although the other replica would answer it.
+/// The read's first attempt fails at one replica after its session's write is answered. The retry goes to the
+/// primary, although the other replica would answer it.
 fn retry_sees_the_write(failure: Reply) {
     let group = Group::start(&["replica-1", "replica-2"], tracking_config);
     let held = [0, 1].map(|n: usize| group.replicas[n].hold("repeated"));
@@ -349,7 +367,7 @@
     // The other replica would answer.
     let other = &group.replicas[1 - first];
     held[1 - first].send(Reply::Bytes(other.state().answer().complete())).expect("kept");
-    let answer = group.ask(&write("between", SESSION, LONG_DEADLINE_MS));
+    let answer = group.execute(&write("between", SESSION, LONG_DEADLINE_MS));
     assert_eq!(answer.value.as_deref(), Some("primary"), "{answer:?}");
     held[first].send(failure).expect("the host waits");
     let answer = reader.answer();
@@ -410,11 +428,12 @@
     group.assert_next_read_sees_the_write();
 }
 
-/// Asserts that a write that fails for its client binds the session's next read: the write may have committed.
+/// Asserts that a write that fails for its client binds the session's next read: the write may have
+/// committed.
 fn failed_write_binds_the_next_read(deadline_ms: u32, reply: Reply) {
     let group = Group::start(&["replica"], one_attempt_config);
     group.primary.reply("lost", reply);
-    let answer = group.ask(&write("lost", SESSION, deadline_ms));
+    let answer = group.execute(&write("lost", SESSION, deadline_ms));
     assert_eq!((answer.code.as_str(), answer.end), ("40003", End::Ready), "{}", answer.message);
     group.assert_next_read_sees_the_write();
 }
@@ -464,19 +483,19 @@
     let commit = unix_ms() + 1;
     let answer = HostAnswer { commit_ms: Some(commit), ..group.primary.state().answer() };
     group.primary.reply("own", Reply::Bytes(answer.complete()));
-    assert_eq!(group.ask(&write("own", SESSION, LONG_DEADLINE_MS)).value.as_deref(), Some("primary"));
+    assert_eq!(group.execute(&write("own", SESSION, LONG_DEADLINE_MS)).value.as_deref(), Some("primary"));
     // The proxy ignores a position that is ahead of its clock.
     wait_until_after(commit);
     for (id, position, expected) in [("before", commit - 1, "primary"), ("at", commit, "replica")] {
         group.replica().set_position(HostPosition::UnixMs(position));
         group.make_replicas_report();
-        let answer = group.ask(&session_read(id, SESSION));
+        let answer = group.execute(&session_read(id, SESSION));
         assert_eq!(answer.value.as_deref(), Some(expected), "at {position} of {commit}: {answer:?}");
     }
 }
 
-/// The primary reports in an incomplete answer that it is a replica. Its own last position is old, and so is the
-/// replica's, so that neither host may serve reads.
+/// The primary reports in an incomplete answer that it is a replica. Its own last position is old, and so is
+/// the replica's, so that neither host may serve reads.
 #[test]
 fn a_primary_that_reports_the_replica_role_serves_no_reads_before_its_answer_is_complete() {
     let mut group = Group::start(&["replica"], tracking_config);
@@ -484,7 +503,7 @@
     group.primary.set_position(HostPosition::UnixMs(unix_ms()));
     let answer = HostAnswer { commit_ms: None, ..group.primary.state().answer() };
     group.primary.reply("own", Reply::Bytes(answer.complete()));
-    assert_eq!(group.ask(&write("own", SESSION, LONG_DEADLINE_MS)).value.as_deref(), Some("primary"));
+    assert_eq!(group.execute(&write("own", SESSION, LONG_DEADLINE_MS)).value.as_deref(), Some("primary"));
     wait_until_after(unix_ms() + STALENESS_BOUND_MS);
     let stepped_down = HostAnswer { value: "v", role: Some(HostRole::Reader), commit_ms: None };
     group.primary.reply("silent", Reply::Bytes(stepped_down.row_and_report()));
@@ -496,7 +515,7 @@
     let reads =
         [bounded_read("bounded", 1_000), session_read("own-read", SESSION).replace("d=20000", "d=4000")];
     for read in &reads {
-        let answer = group.ask(read);
+        let answer = group.execute(read);
         assert_eq!((answer.value, answer.code.as_str()), (None, "53300"), "{}", answer.message);
     }
     for host in [&group.primary, group.replica()] {
@@ -512,7 +531,7 @@
     group.free_primary();
     let answer = HostAnswer { commit_ms: None, ..group.primary.state().answer() };
     group.primary.reply("own", Reply::Bytes(answer.complete()));
-    assert_eq!(group.ask(&write("own", SESSION, LONG_DEADLINE_MS)).value.as_deref(), Some("primary"));
+    assert_eq!(group.execute(&write("own", SESSION, LONG_DEADLINE_MS)).value.as_deref(), Some("primary"));
     let last = group.primary.hold("last");
     let mut writer = group.send(&write("last", UNRELATED_SESSION, LONG_DEADLINE_MS));
     group.primary.wait_for_statement("last");
@@ -540,7 +559,8 @@
 }
 
 impl StreamedWrite {
-    /// Sends the beginning of the answer until the client receives it; then the replica reports a newer position.
+    /// Sends the beginning of the answer until the client receives it; then the replica reports a newer
+    /// position.
     fn begin(group: &Group) -> StreamedWrite {
         let value = "v".repeat(150_000);
         let mut beginning = HostAnswer { value: &value, role: None, commit_ms: None }.up_to_completion();
@@ -592,7 +612,7 @@
     let commit = unix_ms() + AHEAD_MS;
     let answer = HostAnswer { commit_ms: Some(commit), ..group.primary.state().answer() };
     group.primary.reply("own", Reply::Bytes(answer.complete()));
-    assert_eq!(group.ask(&write("own", SESSION, LONG_DEADLINE_MS)).value.as_deref(), Some("primary"));
+    assert_eq!(group.execute(&write("own", SESSION, LONG_DEADLINE_MS)).value.as_deref(), Some("primary"));
     let position = commit - AHEAD_MS / 3;
     wait_until_after(position);
     group.replica().set_position(HostPosition::UnixMs(position));
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -1,6 +1,6 @@
-//! Tests slow start over a whole fleet, with the decision module alone: what all proxies together send a cold host
-//! stays within the capacity that it has at that moment. This holds for any number of proxies and for traffic that is
-//! spread over them unevenly.
+//! Tests slow start over a whole fleet, with the decision module alone: what all proxies together send a cold
+//! host stays within the capacity that it has at that moment. This holds for any number of proxies and for
+//! traffic that is spread over them unevenly.
 
 use sillfold::*;
 use std::collections::{BTreeMap, VecDeque};
@@ -95,8 +95,9 @@
     all: usize,
 }
 
-/// Simulates a group under `load` times its warm capacity, which `proxy_count` proxies send it: one of them gets
-/// several times the mean of the traffic and most get little. The last `restarted` members of the group start again.
+/// Simulates a group under `load` times its warm capacity, which `proxy_count` proxies send it: one of them
+/// gets several times the mean of the traffic and most get little. The last `restarted` members of the group
+/// start again.
 fn simulate(proxy_count: u32, load: f64, restarted: u32, seed: u64) -> ColdLoad {
     simulate_with_clock_offset(proxy_count, load, restarted, seed, 0, StartReport::ListUpdate)
 }
@@ -110,7 +111,8 @@
     FirstList,
 }
 
-/// Does the same as `simulate`, with start times by a clock that is `clock_ahead` microseconds ahead of the proxies'.
+/// Does the same as `simulate`, with start times by a clock that is `clock_ahead` microseconds ahead of the
+/// proxies'.
 fn simulate_with_clock_offset(
     proxy_count: u32, load: f64, restarted: u32, seed: u64, clock_ahead: i64, start_report: StartReport,
 ) -> ColdLoad {
@@ -256,7 +258,8 @@
                         * WARM_CAPACITY_PER_S
                         * OVERLOAD_DURATION_US as f64
                         / 1e6;
-                    // Random arrivals exceed their mean: two standard deviations and two attempts are allowed.
+                    // Random arrivals exceed their mean: two standard deviations and two attempts are
+                    // allowed.
                     let budget = overload_at + 2.0 * overload_at.sqrt() + 2.0;
                     if sent.len() as f64 / budget > worst.sent as f64 / worst.budget {
                         (worst.sent, worst.budget) = (sent.len(), budget);
@@ -269,7 +272,8 @@
     worst
 }
 
-/// A cold host may be sent more than what overloads it by chance only, and no more with thirty proxies than with one.
+/// A cold host may be sent more than what overloads it by chance only, and no more with thirty proxies than
+/// with one.
 #[test]
 fn a_cold_host_is_not_overloaded_by_any_number_of_proxies() {
     for proxy_count in [1, 3, 8, 9, 20, 30, 300] {
@@ -287,8 +291,8 @@
     }
 }
 
-/// As a proxy starts, the wall clock of its machine may be behind the hosts' clocks or ahead of them. A host whose start
-/// is reported later is cold all the same.
+/// As a proxy starts, the wall clock of its machine may be behind the hosts' clocks or ahead of them. A host
+/// whose start is reported later is cold all the same.
 #[test]
 fn a_server_whose_start_is_told_by_another_clock_is_cold() {
     for ahead_ms in [-3_600_000, -5_000, 2, 5_000, 3_600_000] {
@@ -307,9 +311,9 @@
     }
 }
 
-/// The proxies' wall clocks are off as they start, and their first list holds hosts that have started just before. By a
-/// clock ahead of the hosts' those starts look old, so that the hosts would count as warm: nothing in the list tells such
-/// a start from an old one.
+/// The proxies' wall clocks are off as they start, and their first list holds hosts that have started just
+/// before. By a clock ahead of the hosts' those starts look old, so that the hosts would count as warm:
+/// nothing in the list tells such a start from an old one.
 #[test]
 fn a_server_that_started_just_before_a_router_with_a_clock_ahead_is_cold() {
     for ahead_ms in [-3_600_000, -60_000, 0, 3_600_000] {
