--- a/tests/rig/mod.rs
+++ b/tests/rig/mod.rs
@@ -1,14 +1,15 @@
-//! The decision module of one router among scripted events, for tests of its decisions.
-#![allow(dead_code, reason = "each file of tests uses its part")]
+//! Runs the decision module of one proxy on scripted events, for tests of its decisions.
+#![allow(dead_code, reason = "each test file uses a part")]
 
 use sillfold::*;
 use std::collections::BTreeMap;
 
-/// A millisecond on the router's clock.
+/// A millisecond on the proxy's clock.
 pub const MS: Micros = 1_000;
-/// When each rig begins.
+/// The time at which each rig starts.
 pub const START: Micros = 1_000_000_000;
 
+/// A class with a latency target of 400 ms and a deadline of 2 s.
 pub fn class(access: Access, idempotency: Idempotency) -> Class {
     Class {
         access,
@@ -21,7 +22,8 @@
     }
 }
 
-/// Classes: 0 any, 1 bounded 300 ms, 2 session, 3 fresh, 4 unsafe write, 5 keyed write.
+/// Settings of a deployment of two proxies. Classes: 0 any read, 1 read with a lag bound of 300 ms, 2 session read, 3 strong
+/// read, 4 write that is not idempotent, 5 write with a key.
 pub fn settings() -> Settings {
     Settings {
         proxy_count: 2,
@@ -72,12 +74,13 @@
     Event::List { update: kind, entries: entries.into() }
 }
 
-/// Servers 1 (primary, by the list's hint), 2 and 3.
+/// A cached list of the hosts 1 (the primary by the list), 2 and 3.
 pub fn three_hosts() -> Event {
     let ready = |id, primary| entry(id, HostStatus::Ready, primary, 0);
     list(ListUpdate::Cached, vec![ready(1, true), ready(2, false), ready(3, false)])
 }
 
+/// A request of session 9 to group 0, with a deadline of 2 s.
 pub fn request(id: RequestId, class: u8, now: Micros) -> Event {
     Event::Request(RequestInfo {
         id,
@@ -90,7 +93,7 @@
     })
 }
 
-/// A request of no session that its client gives up after 100 ms.
+/// A request without a session, with a deadline of 100 ms.
 pub fn short_request(id: RequestId, class: u8, group: GroupId, now: Micros) -> Event {
     Event::Request(RequestInfo {
         id,
@@ -103,11 +106,13 @@
     })
 }
 
-/// A router of three hosts among scripted events, and its clock.
+/// The decision module of a proxy with three hosts, and the proxy's clock.
 pub struct Rig {
     pub router: Router,
     pub now: Micros,
+    /// The number of attempts of each request so far.
     pub attempts_sent: BTreeMap<RequestId, u8>,
+    /// The hosts of all probes so far, in order.
     pub probed: Vec<HostId>,
 }
 
@@ -122,26 +127,28 @@
         rig.advance(0, &[three_hosts()]);
         rig
     }
-    /// Advances the clock and hands in events.
-    pub fn advance(&mut self, later: Micros, events: &[Event]) -> Vec<Action> {
-        self.now += later;
-        let mut out = Vec::new();
-        self.router.handle(self.now, events, &mut out);
-        for a in &out {
-            if let Action::Send { id, .. } = a {
+    /// Advances the clock by `elapsed` and hands over the events; returns the actions.
+    pub fn advance(&mut self, elapsed: Micros, events: &[Event]) -> Vec<Action> {
+        self.now += elapsed;
+        let mut actions = Vec::new();
+        self.router.handle(self.now, events, &mut actions);
+        for action in &actions {
+            if let Action::Send { id, .. } = action {
                 *self.attempts_sent.entry(*id).or_insert(0) += 1;
             }
-            if let Action::Probe(host) = a {
+            if let Action::Probe(host) = action {
                 self.probed.push(*host);
             }
         }
-        out
+        actions
     }
+    /// Hands over a request of `request`.
     pub fn send_request(&mut self, id: RequestId, class: u8) -> Vec<Action> {
         let event = request(id, class, self.now);
         self.advance(0, &[event])
     }
-    /// The last attempt of a request ends after `latency` with a position `behind` the clock.
+    /// Ends the latest attempt of a request after `latency`. Its answer reports the role of the host, and a position `behind`
+    /// the clock.
     pub fn end_attempt(
         &mut self, id: RequestId, host: HostId, outcome: Outcome, latency: Micros, role: Role, behind: Micros,
     ) -> Vec<Action> {
@@ -161,38 +168,43 @@
         });
         self.advance(0, &[event])
     }
-    /// The same, where answers tell nothing of their server.
+    /// The same, where the answer reports nothing on its host.
     pub fn end_attempt_without_report(
         &mut self, id: RequestId, host: HostId, outcome: Outcome, latency: Micros,
     ) {
         self.now += latency;
-        let (attempt, finished) = (self.attempts_sent[&id] - 1, outcome == Outcome::Ok);
+        let attempt = self.attempts_sent[&id] - 1;
+        let finished = outcome == Outcome::Ok;
         let (note, report) = Default::default();
         let event = AttemptResult { id, attempt, host, outcome, latency, finished, note, report };
         self.advance(0, &[Event::Outcome(event)]);
     }
+    /// Hands over a probe of a host that reports its role and a position `behind` the clock.
     pub fn receive_probe(&mut self, host: HostId, role: Role, behind: Micros) {
         let report = HostReport { position: Some(self.now - behind), role: Some(role), in_flight: None };
         self.advance(0, &[Event::Probed { host, ok: true, report }]);
     }
 }
 
+/// The host to which these actions send an attempt of a request.
 pub fn sent_to(actions: &[Action], id: RequestId) -> Option<HostId> {
-    actions.iter().find_map(|a| match a {
-        Action::Send { id: i, host, .. } if *i == id => Some(*host),
+    actions.iter().find_map(|action| match action {
+        Action::Send { id: sent, host, .. } if *sent == id => Some(*host),
         _ => None,
     })
 }
 
-/// In these scenarios server 1 is primary.
+/// The role of a host: host 1 is the primary.
 pub fn role_of(host: HostId) -> Role {
     if host == 1 { Role::Primary } else { Role::Replica }
 }
 
+/// Whether these actions refuse a request.
 pub fn refused(actions: &[Action], id: RequestId) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { id: i, .. } if *i == id))
+    actions.iter().any(|action| matches!(action, Action::Refuse { id: refused, .. } if *refused == id))
 }
 
+/// Whether these actions end a request as failed.
 pub fn failed(actions: &[Action], id: RequestId) -> bool {
     actions.contains(&Action::Fail(id))
 }
