--- a/src/config.rs
+++ b/src/config.rs
@@ -8,7 +8,7 @@
 //! start.
 
 use crate::net::core::fnv1a;
-use crate::net::endpoints::{CONSOLE_CONNECTIONS, Talk};
+use crate::net::endpoints::{CONSOLE_CONNECTIONS, PeerEndpoints};
 use crate::net::listing::Listing;
 use crate::settings::{self, ProgramSettings};
 use crate::{Micros, Settings};
@@ -62,7 +62,7 @@
     /// The limit of open connections to database hosts.
     pub max_host_connections: usize,
     /// The addresses for exchanging datagrams with peers; none if the settings do not permit it or addresses are missing.
-    pub peer_endpoints: Option<Talk>,
+    pub peer_endpoints: Option<PeerEndpoints>,
     /// How long the proxy still accepts clients after SIGTERM.
     pub linger: Duration,
     /// The time taken off the client's deadline for sending the answer back.
@@ -225,7 +225,7 @@
 
 /// The addresses for exchanging datagrams with peers. All given addresses are validated. The result is none unless the
 /// settings permit the exchange and the file gives `peer_listen` and `peers`.
-fn peer_endpoints(file: &File, settings: &Settings) -> Result<Option<Talk>, String> {
+fn peer_endpoints(file: &File, settings: &Settings) -> Result<Option<PeerEndpoints>, String> {
     let parse = |key: &str, text: &String| {
         text.parse().map_err(|_| format!("{key}: {text:?} is no address and port"))
     };
@@ -235,7 +235,7 @@
     let each: Vec<SocketAddr> = each.collect::<Result<_, _>>()?;
     let Some(listen) = listen.filter(|_| settings.limits.peers && !each.is_empty()) else { return Ok(None) };
     let Ok(ordinal) = u16::try_from(settings.ordinal) else { return Ok(None) };
-    Ok(Some(Talk { ordinal, listen, each, all }))
+    Ok(Some(PeerEndpoints { ordinal, listen, each, all }))
 }
 
 /// Reads the file that `LB_CONFIG` names.
