--- a/crates/lab/src/soak/agent.rs
+++ b/crates/lab/src/soak/agent.rs
@@ -1,7 +1,7 @@
-//! Discovery's agents of a run: one for each proxy, at two addresses, so that a new configuration can move it. They tell every
-//! change at once, but where they are down.
+//! Stand-ins for discovery's agents of a run: one for each proxy. Each listens at two addresses, so that a new configuration
+//! can move its proxy from one to the other. An agent that is not down sends every change of the list at once.
 
-use super::book::{Book, Source};
+use super::checker::{Checker, DrainSource};
 use super::host::Hosts;
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
@@ -14,51 +14,53 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A watch hears something at least this often.
-const BEAT: Duration = Duration::from_secs(2);
+/// Longest time between two lines of a stream; an empty line keeps the connection alive.
+const STREAM_INTERVAL: Duration = Duration::from_secs(2);
 
-/// One proxy's agent.
-struct Desk {
+/// The agent of one proxy.
+struct ProxyAgent {
     addresses: [SocketAddr; 2],
-    down: Cell<bool>,
-    /// While it is down, calls are left without an answer.
-    silent: Cell<bool>,
-    /// Closed, and put anew, whenever something changes.
+    is_down: Cell<bool>,
+    /// While the agent is down, it leaves calls without an answer instead of closing their connections.
+    leaves_calls_open: Cell<bool>,
+    /// A channel that is closed and replaced at every change, which wakes all that wait for one.
     changed: RefCell<(Sender<()>, Receiver<()>)>,
 }
 
-/// All agents.
-pub struct Agent {
+/// The agents of all proxies.
+pub struct Agents {
     hosts: Rc<Hosts>,
-    book: Rc<RefCell<Book>>,
-    desks: RefCell<Vec<Rc<Desk>>>,
-    /// Hosts that are not listed as serving.
+    checker: Rc<RefCell<Checker>>,
+    agents: RefCell<Vec<Rc<ProxyAgent>>>,
+    /// The statuses of hosts in the list, where they were changed; the others are SERVING.
     statuses: RefCell<BTreeMap<usize, &'static str>>,
+    /// The index of the list, which increases with every change.
     index: Cell<u64>,
 }
 
-impl Agent {
-    pub fn new(hosts: Rc<Hosts>, book: Rc<RefCell<Book>>, proxies: usize) -> Agent {
-        let desks = RefCell::new(Vec::with_capacity(proxies));
-        Agent { hosts, book, desks, statuses: RefCell::default(), index: Cell::new(1) }
+impl Agents {
+    pub fn new(hosts: Rc<Hosts>, checker: Rc<RefCell<Checker>>, proxies: usize) -> Agents {
+        let agents = RefCell::new(Vec::with_capacity(proxies));
+        Agents { hosts, checker, agents, statuses: RefCell::default(), index: Cell::new(1) }
     }
 
-    /// Listens for one more proxy.
-    pub fn listen(self: &Rc<Agent>, proxy: usize, spawner: &Spawner) -> io::Result<()> {
+    /// Starts the agent of a further proxy. Proxies are added in the order of their numbers.
+    pub fn listen(self: &Rc<Agents>, proxy: usize, spawner: &Spawner) -> io::Result<()> {
         let bind = || Async::<TcpListener>::bind(([127, 0, 0, 1], 0));
         let listeners = [bind()?, bind()?];
         let addresses = [listeners[0].get_ref().local_addr()?, listeners[1].get_ref().local_addr()?];
         let changed = RefCell::new(async_channel::bounded(1));
-        let desk = Desk { addresses, down: Cell::default(), silent: Cell::default(), changed };
-        self.desks.borrow_mut().push(Rc::new(desk));
+        let agent =
+            ProxyAgent { addresses, is_down: Cell::default(), leaves_calls_open: Cell::default(), changed };
+        self.agents.borrow_mut().push(Rc::new(agent));
         for listener in listeners {
-            let (agent, own) = (self.clone(), spawner.clone());
+            let (agents, own) = (self.clone(), spawner.clone());
             let accept = async move {
                 while let Ok((stream, _)) = listener.accept().await {
-                    let agent = agent.clone();
+                    let agents = agents.clone();
                     let call = async move {
-                        // An error is the end of the connection.
-                        let _ = agent.serve(proxy, stream).await;
+                        // An error means that the connection has ended.
+                        let _ = agents.serve(proxy, stream).await;
                     };
                     own.spawn(call);
                 }
@@ -68,50 +70,53 @@
         Ok(())
     }
 
-    /// Where a proxy's agent listens.
+    /// The addresses on which the agent of a proxy listens.
     pub fn addresses(&self, proxy: usize) -> [SocketAddr; 2] {
-        self.desk(proxy).addresses
+        self.agent(proxy).addresses
     }
 
-    fn desk(&self, proxy: usize) -> Rc<Desk> {
-        self.desks.borrow()[proxy].clone()
+    fn agent(&self, proxy: usize) -> Rc<ProxyAgent> {
+        self.agents.borrow()[proxy].clone()
     }
 
-    /// A host has this state from now on. Every proxy whose agent is up counts as told.
-    pub fn change(&self, host: usize, status: &'static str) {
+    /// Changes the status of a host in the list. It counts as reported to every proxy whose agent is not down.
+    pub fn set_status(&self, host: usize, status: &'static str) {
         self.statuses.borrow_mut().insert(host, status);
         self.index.set(self.index.get() + 1);
-        for proxy in 0..self.desks.borrow().len() {
-            if !self.desk(proxy).down.get() {
-                self.tell(proxy);
+        for proxy in 0..self.agents.borrow().len() {
+            if !self.agent(proxy).is_down.get() {
+                self.report_list(proxy);
             }
         }
     }
 
-    /// A proxy's agent is down, or up again: what it has then counts as told.
-    pub fn set_down(&self, proxy: usize, down: bool, silent: bool) {
-        let desk = self.desk(proxy);
-        desk.silent.set(silent);
-        desk.down.set(down);
-        if !down {
-            self.tell(proxy);
+    /// Sets whether the agent of a proxy is down, and whether it leaves calls open meanwhile. Once it is up again, the list counts
+    /// as reported to its proxy.
+    pub fn set_down(&self, proxy: usize, is_down: bool, leaves_calls_open: bool) {
+        let agent = self.agent(proxy);
+        agent.leaves_calls_open.set(leaves_calls_open);
+        agent.is_down.set(is_down);
+        if !is_down {
+            self.report_list(proxy);
         }
-        wake(&desk);
+        notify_change(&agent);
     }
 
-    fn tell(&self, proxy: usize) {
-        let mut book = self.book.borrow_mut();
+    /// Reports the statuses to the checker as known to a proxy, and wakes its streams.
+    fn report_list(&self, proxy: usize) {
+        let mut checker = self.checker.borrow_mut();
         for (host, status) in self.statuses.borrow().iter() {
             match *status {
-                "SERVING" => book.tells_on(proxy, *host, Source::List),
-                _ => book.tells_off(proxy, *host, Source::List),
+                "SERVING" => checker.drain_ended(proxy, *host, DrainSource::List),
+                _ => checker.drain_reported(proxy, *host, DrainSource::List),
             }
         }
-        drop(book);
-        wake(&self.desk(proxy));
+        drop(checker);
+        notify_change(&self.agent(proxy));
     }
 
-    fn list(&self, proxy: usize) -> String {
+    /// The full list as a proxy gets it.
+    fn full_list(&self, proxy: usize) -> String {
         let statuses = self.statuses.borrow();
         let status = |host: usize| statuses.get(&host).copied().unwrap_or("SERVING");
         let entries: Vec<_> =
@@ -120,56 +125,59 @@
         serde_json::json!({"index": index, "snapshot": true, "endpoints": entries}).to_string()
     }
 
+    /// Answers one call: with the list, or with a stream of lists until the connection ends.
     async fn serve(&self, proxy: usize, mut stream: Async<TcpStream>) -> io::Result<()> {
         stream.get_ref().set_nodelay(true)?;
-        let desk = self.desk(proxy);
+        let agent = self.agent(proxy);
         let (mut head, mut byte) = (Vec::new(), [0]);
         while !head.ends_with(b"\r\n\r\n") {
             stream.read_exact(&mut byte).await?;
             head.push(byte[0]);
         }
-        while desk.down.get() {
-            if !desk.silent.get() {
+        while agent.is_down.get() {
+            if !agent.leaves_calls_open.get() {
                 return Ok(());
             }
-            changes(&desk).await;
+            wait_for_change(&agent).await;
         }
         let head = String::from_utf8_lossy(&head).into_owned();
         if !head.contains("stream=1") {
-            let body = self.list(proxy);
+            let body = self.full_list(proxy);
             let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
             return stream.write_all(format!("{head}{body}").as_bytes()).await;
         }
-        let known = head.split("index=").nth(1).and_then(|i| i.split([' ', '&']).next()?.parse().ok());
-        let mut known: u64 = known.unwrap_or(0);
+        let known_index = head.split("index=").nth(1).and_then(|i| i.split([' ', '&']).next()?.parse().ok());
+        let mut known_index: u64 = known_index.unwrap_or(0);
         stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
         loop {
-            let changed = known != self.index.get();
-            let line = if changed { self.list(proxy) } else { String::new() };
-            known = self.index.get();
+            let changed = known_index != self.index.get();
+            let line = if changed { self.full_list(proxy) } else { String::new() };
+            known_index = self.index.get();
             stream.write_all(format!("{:x}\r\n{line}\n\r\n", line.len() + 1).as_bytes()).await?;
-            let beat = async {
-                Timer::after(BEAT).await;
+            let interval = async {
+                Timer::after(STREAM_INTERVAL).await;
             };
-            if known == self.index.get() {
-                future::or(changes(&desk), beat).await;
+            if known_index == self.index.get() {
+                future::or(wait_for_change(&agent), interval).await;
             }
-            while desk.down.get() {
-                if !desk.silent.get() {
+            while agent.is_down.get() {
+                if !agent.leaves_calls_open.get() {
                     return Ok(());
                 }
-                changes(&desk).await;
+                wait_for_change(&agent).await;
             }
         }
     }
 }
 
-fn wake(desk: &Desk) {
-    let before = desk.changed.replace(async_channel::bounded(1));
-    before.0.close();
+/// Wakes all that wait for a change of an agent or its list.
+fn notify_change(agent: &ProxyAgent) {
+    let previous = agent.changed.replace(async_channel::bounded(1));
+    previous.0.close();
 }
 
-async fn changes(desk: &Desk) {
-    let changed = desk.changed.borrow().1.clone();
+/// Waits for the next change of an agent or its list.
+async fn wait_for_change(agent: &ProxyAgent) {
+    let changed = agent.changed.borrow().1.clone();
     let _ = changed.recv().await;
 }
--- a/crates/lab/src/soak/mod.rs
+++ b/crates/lab/src/soak/mod.rs
@@ -1,23 +1,23 @@
-//! The soak: a few dozen real processes of the proxy on loopback, among stand-in hosts, discovery's agents and clients,
-//! while troubles overlap and system calls fail inside the processes. It owns the order of a run and its report. What is
-//! judged, and by which figures, stands in `book`; the troubles are drawn from a seed in `plan`.
+//! The soak test: a few dozen real processes of the proxy on loopback, among stand-ins for hosts, discovery's agents and
+//! clients, while troubles overlap and system calls fail inside the processes. This module runs the steps of a run and
+//! makes its report. `checker` holds the rules and their bounds; `plan` draws the troubles from a seed.
 //!
-//! The sockets and the clock are the machine's, so a seed gives the same troubles, not the same run.
+//! The sockets and the clock are real, so a seed repeats the same troubles, but not the same run.
 
 mod agent;
-mod book;
+mod checker;
 mod client;
 mod host;
 mod plan;
 mod process;
 
-use agent::Agent;
+use agent::Agents;
 use async_executor::LocalExecutor;
 use async_io::Timer;
-use book::Book;
+use checker::Checker;
 use host::{Hosts, Mode};
-use plan::{Plan, Trouble, What};
-use process::Slot;
+use plan::{Plan, Trouble, TroubleKind};
+use process::SoakProxy;
 use sillfold::net::world::Spawner;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -26,62 +26,66 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Groups of hosts, and hosts of a group; the first of each is its primary at the start.
+/// The number of groups of hosts.
 const GROUPS: usize = 2;
-const MEMBERS: usize = 3;
-/// Clients of each proxy.
-const CLIENTS: usize = 3;
-/// For how long requests are made, and answers waited for behind that.
-const ASKING: Duration = Duration::from_secs(9);
-const RESTING: Duration = Duration::from_secs(7);
-/// A process serves by then.
-const READY: Duration = Duration::from_secs(10);
-/// This loop looks at itself this often, to know by how much the machine held it up.
-const LOOK: Duration = Duration::from_millis(5);
+/// The number of hosts of a group; the first one is the primary at the start.
+const HOSTS_PER_GROUP: usize = 3;
+/// The number of clients of each proxy.
+const CLIENTS_PER_PROXY: usize = 3;
+/// How long clients send requests.
+const LOAD_DURATION: Duration = Duration::from_secs(9);
+/// How long the run waits for answers after that.
+const DRAIN_DURATION: Duration = Duration::from_secs(7);
+/// A proxy serves within this time after its first start.
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
+/// The interval at which this process measures how much the machine delays it.
+const SELF_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What a run is made with.
+/// The options of a run.
 #[derive(Clone, Debug)]
 pub struct Options {
     /// The proxy's program, built with the feature `faults`.
     pub program: PathBuf,
-    /// How many proxies.
+    /// The number of proxies.
     pub proxies: usize,
 }
 
-/// What came of a run.
+/// The result of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Report {
-    /// Its seed.
+    /// The seed of the run.
     pub seed: u64,
-    /// Processes that ran.
-    pub processes: u64,
-    /// Requests, by their ends.
+    /// The number of processes of proxies that were started.
+    pub process_count: u64,
+    /// The number of requests, by how they ended.
     pub ends: BTreeMap<String, u64>,
-    /// Troubles that were made, by kind.
+    /// The number of troubles, by the name of their kind.
     pub troubles: BTreeMap<String, u64>,
-    /// Failing calls that the processes met, by kind.
+    /// The number of injected faults of system calls in the processes, by kind.
     pub faults: BTreeMap<String, u64>,
-    /// The longest that this very process was held up, in milliseconds.
-    pub held_up_ms: u64,
-    /// What broke a rule.
-    pub broken: Vec<String>,
+    /// The longest delay of this process itself, in milliseconds.
+    pub max_observer_delay_ms: u64,
+    /// The violations of the rules, each with its time of day.
+    pub violations: Vec<String>,
 }
 
-/// Runs the troubles of a seed.
+/// Runs the soak test with the troubles of a seed.
 pub fn run(seed: u64, options: &Options) -> io::Result<Report> {
     let executor = Rc::new(LocalExecutor::new());
     let soak = Soak::new(seed, options, executor.clone())?;
     async_io::block_on(executor.run(soak.run()))
 }
 
+/// A run with all that belongs to it.
 struct Soak {
     seed: u64,
     plan: Plan,
-    book: Rc<RefCell<Book>>,
+    checker: Rc<RefCell<Checker>>,
     hosts: Rc<Hosts>,
-    agent: Rc<Agent>,
-    slots: Vec<Rc<Slot>>,
+    agents: Rc<Agents>,
+    proxies: Vec<Rc<SoakProxy>>,
     executor: Rc<LocalExecutor<'static>>,
+    /// Holds the directories of all proxies; removed after a run without violations.
     directory: PathBuf,
 }
 
@@ -90,186 +94,192 @@
         let name = format!("sillfold-soak-{}-{seed}", std::process::id());
         let directory = std::env::temp_dir().join(name);
         std::fs::create_dir_all(&directory)?;
-        let book = Rc::new(RefCell::new(Book::default()));
-        let hosts = Rc::new(Hosts::new(book.clone(), GROUPS, MEMBERS, seed));
-        let agent = Rc::new(Agent::new(hosts.clone(), book.clone(), options.proxies));
-        // Tasks that held their own executor would outlive the run, and keep its sockets.
+        let checker = Rc::new(RefCell::new(Checker::default()));
+        let hosts = Rc::new(Hosts::new(checker.clone(), GROUPS, HOSTS_PER_GROUP, seed));
+        let agents = Rc::new(Agents::new(hosts.clone(), checker.clone(), options.proxies));
+        // A spawner holds no strong reference to the executor: tasks that held one would outlive the run, with its sockets.
         let spawner = Spawner::of(&executor);
-        let mut slots = Vec::new();
-        for n in 0..options.proxies {
-            hosts.listen(n, &spawner)?;
-            agent.listen(n, &spawner)?;
-            slots.push(Rc::new(Slot::new(n, seed, &options.program, &directory, &agent)?));
+        let mut proxies = Vec::new();
+        for number in 0..options.proxies {
+            hosts.listen(number, &spawner)?;
+            agents.listen(number, &spawner)?;
+            proxies.push(Rc::new(SoakProxy::new(number, seed, &options.program, &directory, &agents)?));
         }
-        let plan = Plan::of(seed, options.proxies, GROUPS * MEMBERS);
-        Ok(Soak { seed, plan, book, hosts, agent, slots, executor, directory })
+        let plan = Plan::from_seed(seed, options.proxies, GROUPS * HOSTS_PER_GROUP);
+        Ok(Soak { seed, plan, checker, hosts, agents, proxies, executor, directory })
     }
 
+    /// Starts all proxies, runs clients and troubles, ends all processes and returns the report.
     async fn run(self) -> io::Result<Report> {
-        let held_up = Rc::new(RefCell::new(Duration::ZERO));
-        self.executor.spawn(watch_self(held_up.clone(), self.book.clone())).detach();
-        for slot in &self.slots {
-            slot.start(&self.book)?;
+        let max_delay = Rc::new(RefCell::new(Duration::ZERO));
+        self.executor.spawn(measure_own_delay(max_delay.clone(), self.checker.clone())).detach();
+        for proxy in &self.proxies {
+            proxy.start(&self.checker)?;
         }
-        for slot in &self.slots {
-            self.wait_until_it_serves(slot).await;
+        for proxy in &self.proxies {
+            self.wait_until_serving(proxy).await;
         }
-        let begun = Instant::now();
-        for slot in &self.slots {
-            for n in 0..CLIENTS {
-                let number = slot.number * CLIENTS + n;
-                let client = client::Client::new(number, self.seed, slot.clone(), self.book.clone(), GROUPS);
-                self.executor.spawn(client.run(begun + ASKING)).detach();
+        let started = Instant::now();
+        for proxy in &self.proxies {
+            for n in 0..CLIENTS_PER_PROXY {
+                let number = proxy.number * CLIENTS_PER_PROXY + n;
+                let client =
+                    client::Client::new(number, self.seed, proxy.clone(), self.checker.clone(), GROUPS);
+                self.executor.spawn(client.run(started + LOAD_DURATION)).detach();
             }
         }
         let mut troubles: BTreeMap<String, u64> = BTreeMap::new();
         for trouble in &self.plan.troubles {
-            Timer::at(begun + trouble.at).await;
-            *troubles.entry(trouble.what.kind().to_string()).or_default() += 1;
-            self.make(trouble);
+            Timer::at(started + trouble.at).await;
+            *troubles.entry(trouble.kind.label().to_string()).or_default() += 1;
+            self.start_trouble(trouble);
         }
-        Timer::at(begun + ASKING + RESTING).await;
-        let faults = self.end().await;
-        let mut book = self.book.borrow_mut();
-        book.rested();
+        Timer::at(started + LOAD_DURATION + DRAIN_DURATION).await;
+        let faults = self.stop_all().await;
+        let mut checker = self.checker.borrow_mut();
+        checker.check_end_of_run();
         let report = Report {
             seed: self.seed,
-            processes: self.slots.iter().map(|slot| slot.processes()).sum(),
-            ends: book.ends().clone(),
+            process_count: self.proxies.iter().map(|proxy| proxy.process_count()).sum(),
+            ends: checker.ends().clone(),
             troubles,
             faults,
-            held_up_ms: held_up.borrow().as_millis() as u64,
-            broken: book.broken().to_vec(),
+            max_observer_delay_ms: max_delay.borrow().as_millis() as u64,
+            violations: checker.violations().to_vec(),
         };
-        drop(book);
-        if report.broken.is_empty() {
+        drop(checker);
+        if report.violations.is_empty() {
             std::fs::remove_dir_all(&self.directory)?;
         }
         Ok(report)
     }
 
-    async fn wait_until_it_serves(&self, slot: &Rc<Slot>) {
-        let until = Instant::now() + READY;
-        while !client::is_served(slot.address).await {
-            if Instant::now() > until {
+    /// Waits until a proxy serves; a violation if it does not within `READY_TIMEOUT`.
+    async fn wait_until_serving(&self, proxy: &Rc<SoakProxy>) {
+        let deadline = Instant::now() + READY_TIMEOUT;
+        while !client::is_serving(proxy.address).await {
+            if Instant::now() > deadline {
                 return self
-                    .book
+                    .checker
                     .borrow_mut()
-                    .breaks(format!("proxy {} does not serve in time", slot.number));
+                    .add_violation(format!("proxy {} does not serve in time", proxy.number));
             }
             Timer::after(Duration::from_millis(20)).await;
         }
     }
 
-    /// Makes a trouble, and ends it in its time.
-    fn make(&self, trouble: &Trouble) {
-        let (book, hosts, agent) = (self.book.clone(), self.hosts.clone(), self.agent.clone());
-        let slot_of = |n: usize| self.slots[n % self.slots.len()].clone();
-        let lasts = trouble.lasts;
-        match trouble.what.clone() {
-            What::Kill(n) => {
-                let slot = slot_of(n);
-                self.spawn(async move { slot.kill(lasts, &book).await });
+    /// Starts a task that makes a trouble and ends it after its duration.
+    fn start_trouble(&self, trouble: &Trouble) {
+        let checker = self.checker.clone();
+        let hosts = self.hosts.clone();
+        let agents = self.agents.clone();
+        let proxy_of = |number: usize| self.proxies[number % self.proxies.len()].clone();
+        let duration = trouble.duration;
+        match trouble.kind.clone() {
+            TroubleKind::Kill(number) => {
+                let proxy = proxy_of(number);
+                self.spawn(async move { proxy.kill(duration, &checker).await });
             }
-            What::Restart { proxy, signals, is_crowded, hangs } => {
-                let slot = slot_of(proxy);
+            TroubleKind::Restart { proxy, signals, is_crowded, hanging_host } => {
+                let proxy = proxy_of(proxy);
                 self.spawn(async move {
-                    let group = hangs.map_or(0..0, |host| hosts.group_of(host));
+                    let group = hanging_host.map_or(0..0, |host| hosts.group_of(host));
                     group.clone().for_each(|host| hosts.set_mode(host, Mode::Hangs));
-                    slot.restart(signals, is_crowded, &book).await;
-                    group.for_each(|host| hosts.set_mode(host, Mode::Well));
+                    proxy.restart(signals, is_crowded, &checker).await;
+                    group.for_each(|host| hosts.set_mode(host, Mode::Normal));
                 });
             }
-            What::UpgradeTwice(n) => {
-                let slot = slot_of(n);
-                self.spawn(async move { slot.upgrade_twice(lasts, &book).await });
+            TroubleKind::UpgradeTwice(number) => {
+                let proxy = proxy_of(number);
+                self.spawn(async move { proxy.upgrade_twice(duration, &checker).await });
             }
-            What::StopWhileStarting(n) => {
-                let slot = slot_of(n);
-                self.spawn(async move { slot.stop_while_starting(&book).await });
+            TroubleKind::StopWhileStarting(number) => {
+                let proxy = proxy_of(number);
+                self.spawn(async move { proxy.stop_while_starting(&checker).await });
             }
-            What::Crowd(n) => {
-                let slot = slot_of(n);
-                self.spawn(async move { slot.crowd(lasts).await });
+            TroubleKind::Crowd(number) => {
+                let proxy = proxy_of(number);
+                self.spawn(async move { proxy.crowd(duration).await });
             }
-            What::Upgrade(n) => {
-                let slot = slot_of(n);
-                self.spawn(async move { slot.upgrade(lasts, &book).await });
+            TroubleKind::Upgrade(number) => {
+                let proxy = proxy_of(number);
+                self.spawn(async move { proxy.upgrade(duration, &checker).await });
             }
-            What::Freeze(n) => {
-                let slot = slot_of(n);
-                self.spawn(async move { slot.freeze(lasts).await });
+            TroubleKind::Freeze(number) => {
+                let proxy = proxy_of(number);
+                self.spawn(async move { proxy.freeze(duration).await });
             }
-            What::Reload { proxy, times } => {
-                let slot = slot_of(proxy);
-                self.spawn(async move { slot.reload(times, &book).await });
+            TroubleKind::Reload { proxy, times } => {
+                let proxy = proxy_of(proxy);
+                self.spawn(async move { proxy.reload(times, &checker).await });
             }
-            What::BadReload(n) => {
-                let slot = slot_of(n);
-                self.spawn(async move { slot.reload_badly(&book).await });
+            TroubleKind::InvalidReload(number) => {
+                let proxy = proxy_of(number);
+                self.spawn(async move { proxy.reload_invalid(&checker).await });
             }
-            What::LeaveOut { proxy, host } => {
-                let (slot, name) = (slot_of(proxy), hosts.name(host));
-                self.spawn(async move { slot.leave_out(host, &name, lasts, &book).await });
+            TroubleKind::LeaveOut { proxy, host } => {
+                let (proxy, name) = (proxy_of(proxy), hosts.name(host));
+                self.spawn(async move { proxy.leave_out(host, &name, duration, &checker).await });
             }
-            What::Host { host, mode } => self.spawn(async move {
+            TroubleKind::Host { host, mode } => self.spawn(async move {
                 hosts.set_mode(host, mode);
-                Timer::after(lasts).await;
-                hosts.set_mode(host, Mode::Well);
+                Timer::after(duration).await;
+                hosts.set_mode(host, Mode::Normal);
             }),
-            What::Drain(host) => self.spawn(async move {
-                agent.change(host, "DRAINING");
-                Timer::after(lasts).await;
+            TroubleKind::Drain(host) => self.spawn(async move {
+                agents.set_status(host, "DRAINING");
+                Timer::after(duration).await;
                 hosts.restart(host);
-                agent.change(host, "SERVING");
+                agents.set_status(host, "SERVING");
             }),
-            What::Handover(group) => self.spawn(async move { hosts.hand_over(group, lasts).await }),
-            What::AgentDown { proxy, silent } => {
-                let proxy = slot_of(proxy).number;
+            TroubleKind::Handover(host) => self.spawn(async move { hosts.hand_over(host, duration).await }),
+            TroubleKind::AgentDown { proxy, leaves_calls_open } => {
+                let number = proxy_of(proxy).number;
                 self.spawn(async move {
-                    agent.set_down(proxy, true, silent);
-                    Timer::after(lasts).await;
-                    agent.set_down(proxy, false, silent);
+                    agents.set_down(number, true, leaves_calls_open);
+                    Timer::after(duration).await;
+                    agents.set_down(number, false, leaves_calls_open);
                 });
             }
         }
     }
 
-    fn spawn(&self, work: impl Future<Output = ()> + 'static) {
-        self.executor.spawn(work).detach();
+    fn spawn(&self, task: impl Future<Output = ()> + 'static) {
+        self.executor.spawn(task).detach();
     }
 
-    /// Ends all processes in order: none may have broken an invariant, or end in another way.
-    async fn end(&self) -> BTreeMap<String, u64> {
-        for slot in &self.slots {
-            slot.check_invariants(&self.book).await;
+    /// Ends all processes gracefully, and checks that none reports a broken invariant or ends in another way. Returns the number
+    /// of injected faults by kind.
+    async fn stop_all(&self) -> BTreeMap<String, u64> {
+        for proxy in &self.proxies {
+            proxy.check_invariants(&self.checker).await;
         }
-        for slot in &self.slots {
-            slot.tell_all_to_end();
+        for proxy in &self.proxies {
+            proxy.signal_all_to_end();
         }
         let mut faults = BTreeMap::new();
-        for slot in &self.slots {
-            slot.wait_for_all(&self.book).await;
-            slot.read_logs(&self.book, &mut faults);
+        for proxy in &self.proxies {
+            proxy.wait_for_all(&self.checker).await;
+            proxy.read_logs(&self.checker, &mut faults);
         }
         faults
     }
 }
 
-/// Measures by how much this process itself is held up: what it sees, it sees that much late.
-async fn watch_self(longest: Rc<RefCell<Duration>>, book: Rc<RefCell<Book>>) {
+/// Measures by how much the machine delays this process: it notices events that much later.
+async fn measure_own_delay(longest: Rc<RefCell<Duration>>, checker: Rc<RefCell<Checker>>) {
     loop {
-        let before = Instant::now();
-        Timer::at(before + LOOK).await;
-        let late = before.elapsed().saturating_sub(LOOK);
-        if late > *longest.borrow() {
-            *longest.borrow_mut() = late;
+        let started = Instant::now();
+        Timer::at(started + SELF_CHECK_INTERVAL).await;
+        let delay = started.elapsed().saturating_sub(SELF_CHECK_INTERVAL);
+        if delay > *longest.borrow() {
+            *longest.borrow_mut() = delay;
         }
-        book.borrow_mut().observer_was_late(late);
+        checker.borrow_mut().record_observer_delay(delay);
     }
 }
 
-/// A directory of a proxy's own.
-fn directory_of(whole: &Path, proxy: usize) -> PathBuf {
-    whole.join(format!("p{proxy}"))
+/// The directory of a proxy in that of the run.
+fn directory_of(run_directory: &Path, proxy_number: usize) -> PathBuf {
+    run_directory.join(format!("p{proxy_number}"))
 }
--- a/crates/lab/src/soak/plan.rs
+++ b/crates/lab/src/soak/plan.rs
@@ -1,58 +1,61 @@
-//! The troubles of a run, drawn from a seed: what happens, when, and for how long. They gather around a few moments, so that
-//! two or three meet.
+//! The troubles of a run, drawn from a seed: what happens, when, and for how long. They are clustered around a few moments, so
+//! that several overlap.
 
 use super::host::Mode;
 use oorandom::Rand64;
 use std::time::Duration;
 
-/// Troubles of a run.
-const TROUBLES: u64 = 26;
-/// Moments around which they gather, and how close to them.
-const MOMENTS: u64 = 4;
-const CLOSE_MS: u64 = 700;
-/// Signals of a series behind the first, and for how long they come: SIGKILL follows then.
-const MOST_SIGNALS: u64 = 11;
-const LONGEST_STOP_MS: u64 = 3_700;
-/// When the first and the last moment may be.
-const FIRST_MS: u64 = 800;
-const LAST_MS: u64 = 7_000;
+/// The number of troubles of a run.
+const TROUBLE_COUNT: u64 = 26;
+/// The number of moments around which the troubles are clustered.
+const MOMENT_COUNT: u64 = 4;
+/// The width of the interval around a moment in which its troubles start.
+const CLUSTER_WIDTH_MS: u64 = 700;
+/// The most signals of a series that follows the first SIGTERM.
+const MAX_SERIES_SIGNALS: u64 = 11;
+/// Signals of a series are sent within this time after the first SIGTERM; SIGKILL follows.
+const SERIES_MS: u64 = 3_700;
+/// The earliest moment, counted from the first request.
+const FIRST_MOMENT_MS: u64 = 800;
+/// All moments are before this time, counted from the first request.
+const LAST_MOMENT_MS: u64 = 7_000;
 
-/// What goes wrong. Proxies and hosts by number.
+/// What goes wrong. Proxies and hosts are given by their numbers.
 #[derive(Clone, Debug)]
-pub enum What {
-    /// A process is killed outright, and started again later.
+pub enum TroubleKind {
+    /// A process gets SIGKILL, and another is started later.
     Kill(usize),
-    /// A process is told to end, and another is started once it has.
+    /// A process gets SIGTERM, and another is started once it has ended.
     Restart {
         /// The proxy.
         proxy: usize,
-        /// What it is told behind the first SIGTERM, and when.
+        /// The signals that follow the first SIGTERM, each with its time after it.
         signals: Vec<(Duration, Signal)>,
-        /// A crowd takes its places first.
+        /// Whether a crowd of connections occupies the slots of the process first.
         is_crowded: bool,
-        /// A host that hangs through the whole stop, with all of its group.
-        hangs: Option<usize>,
+        /// A host that hangs during the whole stop, with all other hosts of its group.
+        hanging_host: Option<usize>,
     },
-    /// Two more processes are started beside one, and the older ones told to end.
+    /// Two processes are started beside a running one, and then the older ones get SIGTERM.
     UpgradeTwice(usize),
-    /// A process is started beside one, and told to end before it serves.
+    /// A process is started beside a running one, and gets SIGTERM before it serves.
     StopWhileStarting(usize),
-    /// Connections that only take places.
+    /// Connections that only occupy slots.
     Crowd(usize),
-    /// Another process is started beside one, which is told to end.
+    /// A process is started beside a running one, and then the older one gets SIGTERM.
     Upgrade(usize),
-    /// A process is held up.
+    /// A process is stopped for a short time by SIGSTOP.
     Freeze(usize),
-    /// New configurations that move discovery, so many in quick succession.
+    /// Several new configurations in quick succession, each of which moves discovery to another address.
     Reload {
         /// The proxy.
         proxy: usize,
-        /// How many.
+        /// The number of configurations.
         times: u32,
     },
-    /// A configuration that will not do.
-    BadReload(usize),
-    /// Operators leave a host out at a proxy, and use it again.
+    /// An invalid configuration.
+    InvalidReload(usize),
+    /// An operator leaves a host out at a proxy, and has it used again later.
     LeaveOut {
         /// The proxy.
         proxy: usize,
@@ -63,35 +66,35 @@
     Host {
         /// The host.
         host: usize,
-        /// How.
+        /// The way in which it misbehaves.
         mode: Mode,
     },
-    /// A host drains, and comes back cold.
+    /// A host drains, and returns cold.
     Drain(usize),
-    /// The primary of a group hands its role over.
+    /// The primary of a host's group hands its role over.
     Handover(usize),
-    /// The agent of a proxy is down: its calls end at once, or nothing answers them.
+    /// The agent of a proxy is down: it closes its connections, or leaves calls without an answer.
     AgentDown {
         /// The proxy.
         proxy: usize,
-        /// Whether nothing answers.
-        silent: bool,
+        /// Whether calls are left without an answer.
+        leaves_calls_open: bool,
     },
 }
 
 /// A signal to a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
-    /// End in order.
+    /// SIGTERM: stop gracefully.
     Term,
-    /// The same.
+    /// SIGINT: stop gracefully.
     Int,
-    /// Read the configuration again.
+    /// SIGHUP: read the configuration again.
     Hup,
 }
 
 impl Signal {
-    /// Its name, as `kill` takes it.
+    /// The signal's name, as the command `kill` takes it.
     pub fn name(self) -> &'static str {
         match self {
             Signal::Term => "TERM",
@@ -101,117 +104,121 @@
     }
 }
 
-impl What {
-    /// Its kind, for a report.
-    pub fn kind(&self) -> &'static str {
+impl TroubleKind {
+    /// The name of the kind in a report.
+    pub fn label(&self) -> &'static str {
         match self {
-            What::Kill(_) => "kill",
-            What::Restart { is_crowded: true, .. } => "restart in a crowd",
-            What::Restart { hangs: Some(_), .. } => "restart beside a hanging group",
-            What::Restart { signals, .. } if !signals.is_empty() => "restart with signals in series",
-            What::Restart { .. } => "restart",
-            What::UpgradeTwice(_) => "upgrade twice",
-            What::StopWhileStarting(_) => "stop while starting",
-            What::Crowd(_) => "crowd",
-            What::Upgrade(_) => "upgrade",
-            What::Freeze(_) => "freeze",
-            What::Reload { .. } => "reload",
-            What::BadReload(_) => "bad reload",
-            What::LeaveOut { .. } => "leave out by hand",
-            What::Host { mode: Mode::Hangs, .. } => "host hangs",
-            What::Host { mode: Mode::Resets, .. } => "host resets",
-            What::Host { mode: Mode::Slow, .. } => "host slow",
-            What::Host { mode: Mode::Full, .. } => "host full",
-            What::Host { mode: Mode::LateSessions, .. } => "late sessions",
-            What::Host { mode: Mode::CutsAnswers, .. } => "answers cut",
-            What::Host { mode: Mode::Well, .. } => "host well",
-            What::Drain(_) => "drain",
-            What::Handover(_) => "handover",
-            What::AgentDown { silent: true, .. } => "agent silent",
-            What::AgentDown { silent: false, .. } => "agent down",
+            TroubleKind::Kill(_) => "kill",
+            TroubleKind::Restart { is_crowded: true, .. } => "restart in a crowd",
+            TroubleKind::Restart { hanging_host: Some(_), .. } => "restart beside a hanging group",
+            TroubleKind::Restart { signals, .. } if !signals.is_empty() => "restart with signals in series",
+            TroubleKind::Restart { .. } => "restart",
+            TroubleKind::UpgradeTwice(_) => "upgrade twice",
+            TroubleKind::StopWhileStarting(_) => "stop while starting",
+            TroubleKind::Crowd(_) => "crowd",
+            TroubleKind::Upgrade(_) => "upgrade",
+            TroubleKind::Freeze(_) => "freeze",
+            TroubleKind::Reload { .. } => "reload",
+            TroubleKind::InvalidReload(_) => "bad reload",
+            TroubleKind::LeaveOut { .. } => "leave out by hand",
+            TroubleKind::Host { mode: Mode::Hangs, .. } => "host hangs",
+            TroubleKind::Host { mode: Mode::ClosesUnanswered, .. } => "host resets",
+            TroubleKind::Host { mode: Mode::Slow, .. } => "host slow",
+            TroubleKind::Host { mode: Mode::RejectsAll, .. } => "host full",
+            TroubleKind::Host { mode: Mode::LateSessions, .. } => "late sessions",
+            TroubleKind::Host { mode: Mode::CutsAnswers, .. } => "answers cut",
+            TroubleKind::Host { mode: Mode::Normal, .. } => "host well",
+            TroubleKind::Drain(_) => "drain",
+            TroubleKind::Handover(_) => "handover",
+            TroubleKind::AgentDown { leaves_calls_open: true, .. } => "agent silent",
+            TroubleKind::AgentDown { leaves_calls_open: false, .. } => "agent down",
         }
     }
 }
 
-/// Signals in a series of up to a dozen while a process stops; none in one of three.
-fn series(to: &mut impl FnMut(u64) -> u64) -> Vec<(Duration, Signal)> {
-    if to(3) == 0 {
+/// Draws the signals that follow the first SIGTERM of a stop, in the order of their times. One of three stops has none.
+fn draw_signals(draw: &mut impl FnMut(u64) -> u64) -> Vec<(Duration, Signal)> {
+    if draw(3) == 0 {
         return Vec::new();
     }
-    let count = 1 + to(MOST_SIGNALS);
+    let count = 1 + draw(MAX_SERIES_SIGNALS);
     let mut signals: Vec<_> = (0..count)
         .map(|_| {
-            let signal = [Signal::Term, Signal::Int, Signal::Hup][to(3) as usize];
-            (Duration::from_millis(to(LONGEST_STOP_MS)), signal)
+            let signal = [Signal::Term, Signal::Int, Signal::Hup][draw(3) as usize];
+            (Duration::from_millis(draw(SERIES_MS)), signal)
         })
         .collect();
     signals.sort_by_key(|(at, _)| *at);
     signals
 }
 
-/// One trouble.
+/// A trouble of a run.
 #[derive(Clone, Debug)]
 pub struct Trouble {
-    /// When, counted from the first request.
+    /// When it starts, counted from the first request.
     pub at: Duration,
-    /// For how long.
-    pub lasts: Duration,
-    /// What.
-    pub what: What,
+    /// How long it lasts.
+    pub duration: Duration,
+    /// What goes wrong.
+    pub kind: TroubleKind,
 }
 
-/// All of a run.
+/// The troubles of a run.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// In the order of time.
+    /// All troubles, in the order of their starts.
     pub troubles: Vec<Trouble>,
 }
 
 impl Plan {
-    /// Those of a seed, for so many proxies and hosts.
-    pub fn of(seed: u64, proxies: usize, hosts: usize) -> Plan {
-        let mut lots = Rand64::new(u128::from(seed) ^ 0x736f_616b);
-        let mut to = |n: u64| lots.rand_range(0..n);
-        let moments: Vec<u64> = (0..MOMENTS).map(|_| FIRST_MS + to(LAST_MS - FIRST_MS)).collect();
-        let mut troubles: Vec<Trouble> = (0..TROUBLES)
+    /// Draws the plan of a seed, for this number of proxies and of hosts.
+    pub fn from_seed(seed: u64, proxies: usize, hosts: usize) -> Plan {
+        let mut rng = Rand64::new(u128::from(seed) ^ 0x736f_616b);
+        let mut draw = |bound: u64| rng.rand_range(0..bound);
+        let moments: Vec<u64> =
+            (0..MOMENT_COUNT).map(|_| FIRST_MOMENT_MS + draw(LAST_MOMENT_MS - FIRST_MOMENT_MS)).collect();
+        let mut troubles: Vec<Trouble> = (0..TROUBLE_COUNT)
             .map(|_| {
-                let moment = moments[to(MOMENTS) as usize];
-                let at = Duration::from_millis((moment + to(CLOSE_MS)).saturating_sub(CLOSE_MS / 2));
-                let (proxy, host) = (to(proxies as u64) as usize, to(hosts as u64) as usize);
-                let lasts = Duration::from_millis(200 + to(1_500));
+                let moment = moments[draw(MOMENT_COUNT) as usize];
+                let at = Duration::from_millis(
+                    (moment + draw(CLUSTER_WIDTH_MS)).saturating_sub(CLUSTER_WIDTH_MS / 2),
+                );
+                let proxy = draw(proxies as u64) as usize;
+                let host = draw(hosts as u64) as usize;
+                let duration = Duration::from_millis(200 + draw(1_500));
                 let modes = [
                     Mode::Hangs,
-                    Mode::Resets,
+                    Mode::ClosesUnanswered,
                     Mode::Slow,
-                    Mode::Full,
+                    Mode::RejectsAll,
                     Mode::LateSessions,
                     Mode::CutsAnswers,
                 ];
-                let what = match to(24) {
-                    0 => What::Kill(proxy),
-                    1 | 2 | 20 => What::Restart {
+                let kind = match draw(24) {
+                    0 => TroubleKind::Kill(proxy),
+                    1 | 2 | 20 => TroubleKind::Restart {
                         proxy,
-                        signals: series(&mut to),
-                        is_crowded: to(3) == 0,
-                        hangs: Some(host).filter(|_| to(3) == 0),
+                        signals: draw_signals(&mut draw),
+                        is_crowded: draw(3) == 0,
+                        hanging_host: Some(host).filter(|_| draw(3) == 0),
                     },
-                    3 | 4 => What::Upgrade(proxy),
-                    21 => What::UpgradeTwice(proxy),
-                    22 => What::StopWhileStarting(proxy),
-                    23 => What::Crowd(proxy),
-                    5 | 6 => What::Freeze(proxy),
-                    7 => What::Reload { proxy, times: 1 + to(4) as u32 },
-                    8 => What::BadReload(proxy),
-                    9 | 10 => What::LeaveOut { proxy, host },
-                    11..=14 => What::Host { host, mode: modes[to(modes.len() as u64) as usize] },
-                    15 | 16 => What::Drain(host),
-                    17 => What::Handover(host),
-                    _ => What::AgentDown { proxy, silent: to(2) == 0 },
+                    3 | 4 => TroubleKind::Upgrade(proxy),
+                    21 => TroubleKind::UpgradeTwice(proxy),
+                    22 => TroubleKind::StopWhileStarting(proxy),
+                    23 => TroubleKind::Crowd(proxy),
+                    5 | 6 => TroubleKind::Freeze(proxy),
+                    7 => TroubleKind::Reload { proxy, times: 1 + draw(4) as u32 },
+                    8 => TroubleKind::InvalidReload(proxy),
+                    9 | 10 => TroubleKind::LeaveOut { proxy, host },
+                    11..=14 => TroubleKind::Host { host, mode: modes[draw(modes.len() as u64) as usize] },
+                    15 | 16 => TroubleKind::Drain(host),
+                    17 => TroubleKind::Handover(host),
+                    _ => TroubleKind::AgentDown { proxy, leaves_calls_open: draw(2) == 0 },
                 };
-                Trouble { at, lasts, what }
+                Trouble { at, duration, kind }
             })
             .collect();
-        troubles.sort_by_key(|t| t.at);
+        troubles.sort_by_key(|trouble| trouble.at);
         Plan { troubles }
     }
 }
--- a/crates/lab/src/soaks.rs
+++ b/crates/lab/src/soaks.rs
@@ -29,7 +29,7 @@
                     }
                     let report = soak::run(seed, options).unwrap_or_else(|e| Report {
                         seed,
-                        broken: vec![format!("the run itself failed: {e}")],
+                        violations: vec![format!("the run itself failed: {e}")],
                         ..Report::default()
                     });
                     print(&report);
@@ -40,18 +40,18 @@
             });
         }
     });
-    let reports = reports.into_inner().map_err(|_| io::Error::other("a run ended in a panic"))?;
-    let broken = reports.iter().filter(|r| !r.broken.is_empty()).count();
-    let processes: u64 = reports.iter().map(|r| r.processes).sum();
+    let reports = reports.into_inner().map_err(|_| io::Error::other("a run panicked"))?;
+    let broken_runs = reports.iter().filter(|report| !report.violations.is_empty()).count();
+    let processes: u64 = reports.iter().map(|report| report.process_count).sum();
     println!(
-        "{} runs in {:.0} s, {processes} processes, {broken} broke a rule",
+        "{} runs in {:.0} s, {processes} processes, {broken_runs} broke a rule",
         reports.len(),
         started.elapsed().as_secs_f64()
     );
-    println!("ends: {:?}", sum(reports.iter().map(|r| &r.ends)));
-    println!("troubles: {:?}", sum(reports.iter().map(|r| &r.troubles)));
-    println!("failing calls met: {:?}", sum(reports.iter().map(|r| &r.faults)));
-    if broken > 0 { Err(io::Error::other(format!("{broken} runs broke a rule"))) } else { Ok(()) }
+    println!("ends: {:?}", sum(reports.iter().map(|report| &report.ends)));
+    println!("troubles: {:?}", sum(reports.iter().map(|report| &report.troubles)));
+    println!("failing calls met: {:?}", sum(reports.iter().map(|report| &report.faults)));
+    if broken_runs > 0 { Err(io::Error::other(format!("{broken_runs} runs broke a rule"))) } else { Ok(()) }
 }
 
 /// Adds up the counts of all runs, by name.
@@ -61,9 +61,12 @@
     sum
 }
 
+/// Prints the line of a run, and its first violations.
 fn print(report: &Report) {
-    let Report { seed, processes, ends, held_up_ms, broken, .. } = report;
-    let verdict = if broken.is_empty() { "kept".into() } else { format!("{} broken", broken.len()) };
-    println!("seed {seed}: {verdict}, {processes} processes, held up {held_up_ms} ms, {ends:?}");
-    broken.iter().take(MAX_PRINTED_VIOLATIONS).for_each(|line| println!("    {line}"));
+    let Report { seed, process_count, ends, max_observer_delay_ms, violations, .. } = report;
+    let verdict = if violations.is_empty() { "kept".into() } else { format!("{} broken", violations.len()) };
+    println!(
+        "seed {seed}: {verdict}, {process_count} processes, held up {max_observer_delay_ms} ms, {ends:?}"
+    );
+    violations.iter().take(MAX_PRINTED_VIOLATIONS).for_each(|line| println!("    {line}"));
 }
