--- a/crates/lab/src/soak/agent.rs
+++ b/crates/lab/src/soak/agent.rs
@@ -54,7 +54,7 @@
             ProxyAgent { addresses, is_down: Cell::default(), leaves_calls_open: Cell::default(), changed };
         self.agents.borrow_mut().push(Rc::new(agent));
         for listener in listeners {
-            let (agents, own) = (self.clone(), spawner.clone());
+            let (agents, call_spawner) = (self.clone(), spawner.clone());
             let accept = async move {
                 while let Ok((stream, _)) = listener.accept().await {
                     let agents = agents.clone();
@@ -62,7 +62,7 @@
                         // An error means that the connection has ended.
                         let _ = agents.serve(proxy, stream).await;
                     };
-                    own.spawn(call);
+                    call_spawner.spawn(call);
                 }
             };
             spawner.spawn(accept);
--- a/crates/lab/src/soak/checker.rs
+++ b/crates/lab/src/soak/checker.rs
@@ -9,7 +9,7 @@
 const MAX_PROCESS_DELAY: Duration = Duration::from_millis(150);
 /// Longest time that a message takes between two processes of this machine.
 const MAX_TRANSIT_TIME: Duration = Duration::from_millis(30);
-/// A new attempt may reach a host for this long after its proxy was told that the host drains.
+/// A new attempt may reach a host for this long after its proxy was notified that the host drains.
 const DRAIN_GRACE: Duration = Duration::from_millis(500);
 /// An attempt may start for this long after its client disconnected.
 const DISCONNECT_GRACE: Duration = Duration::from_millis(100);
@@ -222,7 +222,7 @@
         }
     }
 
-    /// Reports that a proxy was told to send no new attempts to a host.
+    /// Reports that a proxy was notified to send no new attempts to a host.
     pub fn drain_reported(&mut self, proxy: usize, host: usize, source: DrainSource) {
         self.drained_since.entry((proxy, host, source)).or_insert_with(Instant::now);
     }
@@ -232,7 +232,7 @@
         self.drained_since.remove(&(proxy, host, source));
     }
 
-    /// Reports that a process of a proxy starts. All that its agent and its folder hold counts as told to it now.
+    /// Reports that a process of a proxy starts. The proxy counts as notified now of all that its agent and its folder hold.
     pub fn process_started(&mut self, proxy: usize) {
         let of_proxy = self.drained_since.iter_mut().filter(|((p, ..), _)| *p == proxy);
         of_proxy.for_each(|(_, since)| *since = Instant::now());
--- a/crates/lab/src/soak/host.rs
+++ b/crates/lab/src/soak/host.rs
@@ -47,7 +47,7 @@
 /// One host.
 struct Host {
     mode: Mode,
-    primary: bool,
+    is_primary: bool,
     /// When the host's process started, in Unix milliseconds; 0 for long ago.
     started_ms: u64,
     /// The address on which the host listens for each proxy.
@@ -60,29 +60,29 @@
 pub struct Hosts {
     checker: Rc<RefCell<Checker>>,
     hosts: RefCell<Vec<Host>>,
-    /// Hosts of a group.
-    members: usize,
+    hosts_per_group: usize,
     rng: RefCell<Rand64>,
+    /// The number of statements that all hosts received.
     statement_count: Cell<u64>,
 }
 
 /// The wall clock, in Unix milliseconds.
 pub fn unix_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |t| t.as_millis() as u64)
+    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64)
 }
 
 impl Hosts {
-    pub fn new(checker: Rc<RefCell<Checker>>, groups: usize, members: usize, seed: u64) -> Hosts {
-        let host = |n: usize| Host {
+    pub fn new(checker: Rc<RefCell<Checker>>, groups: usize, hosts_per_group: usize, seed: u64) -> Hosts {
+        let host = |number: usize| Host {
             mode: Mode::Normal,
-            primary: n.is_multiple_of(members),
+            is_primary: number.is_multiple_of(hosts_per_group),
             started_ms: 0,
             addresses: Vec::new(),
             restarts: 0,
         };
-        let hosts = RefCell::new((0..groups * members).map(host).collect());
+        let hosts = RefCell::new((0..groups * hosts_per_group).map(host).collect());
         let rng = RefCell::new(Rand64::new(u128::from(seed) ^ 0x686f_7374));
-        Hosts { checker, hosts, members, rng, statement_count: Cell::default() }
+        Hosts { checker, hosts, hosts_per_group, rng, statement_count: Cell::default() }
     }
 
     /// Starts listening for a further proxy at all hosts. Proxies are added in the order of their numbers.
@@ -90,7 +90,7 @@
         for n in 0..self.count() {
             let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0))?;
             self.hosts.borrow_mut()[n].addresses.push(listener.get_ref().local_addr()?);
-            let (hosts, own) = (self.clone(), spawner.clone());
+            let (hosts, session_spawner) = (self.clone(), spawner.clone());
             let accept = async move {
                 while let Ok((stream, _)) = listener.accept().await {
                     let hosts = hosts.clone();
@@ -98,7 +98,7 @@
                         // An error means that the connection has ended.
                         let _ = hosts.serve_session(proxy, n, stream).await;
                     };
-                    own.spawn(session);
+                    session_spawner.spawn(session);
                 }
             };
             spawner.spawn(accept);
@@ -126,19 +126,19 @@
 
     /// The hosts of a host's group.
     pub fn group_of(&self, host: usize) -> std::ops::Range<usize> {
-        let first = host / self.members * self.members;
-        first..first + self.members
+        let first = host / self.hosts_per_group * self.hosts_per_group;
+        first..first + self.hosts_per_group
     }
 
     /// Takes the role of primary from the primary of a host's group, and gives it to another member after `pause`.
     pub async fn hand_over(&self, host: usize, pause: Duration) {
         let members = self.group_of(host);
         let first = members.start;
-        let present = self.hosts.borrow()[members.clone()].iter().position(|h| h.primary);
-        let Some(present) = present else { return };
-        self.hosts.borrow_mut()[first + present].primary = false;
+        let primary_index = self.hosts.borrow()[members.clone()].iter().position(|host| host.is_primary);
+        let Some(primary_index) = primary_index else { return };
+        self.hosts.borrow_mut()[first + primary_index].is_primary = false;
         Timer::after(pause).await;
-        self.hosts.borrow_mut()[first + (present + 1) % self.members].primary = true;
+        self.hosts.borrow_mut()[first + (primary_index + 1) % self.hosts_per_group].is_primary = true;
     }
 
     /// The entry of a host in the list for a proxy.
@@ -146,8 +146,8 @@
         let entry = &self.hosts.borrow()[host];
         serde_json::json!({
             "name": self.name(host), "address": entry.addresses[proxy].to_string(), "zone": "a", "type": "m",
-            "group": host / self.members, "status": status, "weight": 1.0, "since_ms": entry.started_ms,
-            "access": if entry.primary { "writer" } else { "reader" }
+            "group": host / self.hosts_per_group, "status": status, "weight": 1.0, "since_ms": entry.started_ms,
+            "access": if entry.is_primary { "writer" } else { "reader" }
         })
     }
 
@@ -195,14 +195,14 @@
     ) -> io::Result<Outcome> {
         let is_write = statement.contains("INSERT");
         let mode = self.mode(host);
-        let primary = self.hosts.borrow()[host].primary;
+        let is_primary = self.hosts.borrow()[host].is_primary;
         let rejection = match mode {
-            _ if is_write && !primary => Some("25006"),
+            _ if is_write && !is_primary => Some("25006"),
             Mode::RejectsAll => Some("53300"),
             _ => None,
         };
         if let Some(code) = rejection {
-            let report = self.host_report(primary);
+            let report = self.host_report(is_primary);
             stream
                 .write_all(
                     &[wire::error_response(code, "not here"), report, wire::ready_for_query()].concat(),
@@ -231,7 +231,7 @@
             wire::row_description(&["payload"]),
             wire::data_row(&[Some(id)]),
             wire::command_complete("SELECT 1"),
-            self.host_report(primary),
+            self.host_report(is_primary),
             wire::ready_for_query(),
         ]
         .concat();
@@ -249,15 +249,17 @@
     }
 
     /// The ParameterStatus messages that report the role and the position.
-    fn host_report(&self, primary: bool) -> Vec<u8> {
-        let role = wire::parameter_status("server_role", if primary { "writer" } else { "reader" });
+    fn host_report(&self, is_primary: bool) -> Vec<u8> {
+        let role = wire::parameter_status("server_role", if is_primary { "writer" } else { "reader" });
         [role, wire::parameter_status("commit_clock", &unix_ms().to_string())].concat()
     }
 }
 
 /// How a statement ended at a host.
 enum Outcome {
+    /// It ran and was answered.
     Ran,
+    /// The host rejected it without running it.
     NeverRan,
     /// The connection ends without a complete answer.
     ConnectionEnds,
--- a/crates/lab/src/soak/mod.rs
+++ b/crates/lab/src/soak/mod.rs
@@ -244,6 +244,7 @@
         }
     }
 
+    /// Runs a task beside the run.
     fn spawn(&self, task: impl Future<Output = ()> + 'static) {
         self.executor.spawn(task).detach();
     }
--- a/crates/lab/src/soak/process.rs
+++ b/crates/lab/src/soak/process.rs
@@ -19,7 +19,7 @@
 use std::time::{Duration, Instant};
 
 /// The first of the ports on which proxies serve; the seed of the run selects one.
-const PORT: u16 = 20433;
+const FIRST_PORT: u16 = 20433;
 /// The first of the ports of consoles. Processes that run beside each other have one port each.
 const FIRST_CONSOLE_PORT: u16 = 20500;
 /// The number of console ports of a run; the processes of a proxy use them in turn.
@@ -51,12 +51,12 @@
     child: RefCell<Child>,
     id: u32,
     console: SocketAddr,
-    config: PathBuf,
+    config_path: PathBuf,
     started: Instant,
-    /// Whether the process was told to end, so that its end is expected.
+    /// Whether the process got a signal to end, so that its end is expected.
     is_ending: Cell<bool>,
     /// The lines of the log that `keep_log` keeps.
-    log: Arc<Mutex<Vec<String>>>,
+    log_lines: Arc<Mutex<Vec<String>>>,
 }
 
 impl Process {
@@ -78,7 +78,7 @@
     }
 
     /// Waits until the process catches SIGHUP: before that, the signal would end it. Also returns if the process ends.
-    async fn catches_signals(&self) {
+    async fn wait_until_catching_signals(&self) {
         /// The bit of SIGHUP in the masks of signals in `/proc/PID/status`.
         const SIGHUP_BIT: u64 = 1;
         let path = format!("/proc/{}/status", self.id);
@@ -193,7 +193,7 @@
         let ip = IpAddr::from([127, 2 + (number % 60) as u8, a, b.max(1)]);
         Ok(SoakProxy {
             number,
-            address: SocketAddr::new(ip, PORT + (seed % 32) as u16),
+            address: SocketAddr::new(ip, FIRST_PORT + (seed % 32) as u16),
             seed,
             program: program.to_path_buf(),
             directory,
@@ -228,19 +228,19 @@
             + (self.seed % 32) as u16 * CONSOLE_PORT_COUNT as u16
             + (process_number % CONSOLE_PORT_COUNT) as u16;
         let console = SocketAddr::new(self.address.ip(), port);
-        let config = self.directory.join(format!("config-{process_number}.json"));
-        std::fs::write(&config, self.config(console))?;
+        let config_path = self.directory.join(format!("config-{process_number}.json"));
+        std::fs::write(&config_path, self.config(console))?;
         let fault_seed = self.seed * 100_000 + self.number as u64 * 100 + process_number;
         let mut command = Command::new(&self.program);
         for key in ["LB_NAME", "LB_LISTEN", "LB_DISCOVERY", "LB_CONSOLE", "SILLFOLD_FILE"] {
             command.env_remove(key);
         }
-        command.env("LB_CONFIG", &config).env("TMPDIR", self.directory.join("tmp"));
+        command.env("LB_CONFIG", &config_path).env("TMPDIR", self.directory.join("tmp"));
         command.env("SILLFOLD_FAULTS", fault_seed.to_string()).env("SILLFOLD_LOG_LEVEL", "debug");
         let mut child = command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped()).spawn()?;
-        let log = Arc::new(Mutex::new(Vec::new()));
+        let log_lines = Arc::new(Mutex::new(Vec::new()));
         if let Some(stderr) = child.stderr.take() {
-            let (lines, path) = (log.clone(), self.directory.join(format!("log-{process_number}")));
+            let (lines, path) = (log_lines.clone(), self.directory.join(format!("log-{process_number}")));
             std::thread::spawn(move || keep_log(stderr, &lines, &path));
         }
         let id = child.id();
@@ -250,10 +250,10 @@
             child,
             id,
             console,
-            config,
+            config_path,
             started: Instant::now(),
             is_ending,
-            log,
+            log_lines,
         }));
         checker.borrow_mut().process_started(self.number);
         Ok(())
@@ -266,7 +266,7 @@
         }
     }
 
-    /// The running process that was started last, among those that were not told to end.
+    /// The running process that was started last, among those without a signal to end.
     fn latest(&self) -> Option<Rc<Process>> {
         let processes = self.processes.borrow();
         processes.iter().rev().find(|p| !p.is_ending.get() && p.exit_code().is_none()).cloned()
@@ -357,7 +357,7 @@
         Timer::after(pause / 4).await;
         self.start_or_report(checker);
         if let Some(newest) = self.latest() {
-            newest.catches_signals().await;
+            newest.wait_until_catching_signals().await;
             for _ in 0..4 {
                 newest.signal("HUP");
                 Timer::after(RELOAD_INTERVAL).await;
@@ -380,7 +380,7 @@
         let newest = self.processes.borrow().last().cloned();
         let Some(newest) = newest else { return };
         newest.is_ending.set(true);
-        newest.catches_signals().await;
+        newest.wait_until_catching_signals().await;
         newest.signal("HUP");
         self.stop_process(
             &newest,
@@ -431,8 +431,8 @@
 
     /// Replaces the configuration file of a process.
     fn put_config(&self, process: &Process, text: &str, checker: &RefCell<Checker>) {
-        let next = process.config.with_extension("next");
-        let result = std::fs::write(&next, text).and_then(|()| std::fs::rename(&next, &process.config));
+        let next = process.config_path.with_extension("next");
+        let result = std::fs::write(&next, text).and_then(|()| std::fs::rename(&next, &process.config_path));
         if let Err(e) = result {
             checker.borrow_mut().add_violation(format!("proxy {}: the configuration: {e}", self.number));
         }
@@ -466,7 +466,8 @@
         }
     }
 
-    /// Reads the statistics of all running processes; a violation for each invariant that was broken, or if there are none.
+    /// Reads the statistics of all running processes; a violation for each invariant that was broken, and for
+    /// a process whose statistics cannot be read although it got no signal to end.
     pub async fn check_invariants(&self, checker: &RefCell<Checker>) {
         let running: Vec<_> =
             self.processes.borrow().iter().filter(|p| p.exit_code().is_none()).cloned().collect();
@@ -496,8 +497,8 @@
         }
     }
 
-    /// Waits for all processes to end, with SIGKILL for those that take too long; a violation for each that ended in another
-    /// way than it was told to.
+    /// Waits for all processes to end, with SIGKILL for those that take too long; a violation for each that ended
+    /// without a signal to end, or with an unexpected exit code.
     pub async fn wait_for_all(&self, checker: &RefCell<Checker>) {
         let processes = self.processes.borrow().clone();
         for process in processes {
@@ -519,7 +520,7 @@
     /// Reads the logs: adds violations for broken invariants and panics, and the counts of injected faults to `faults`.
     pub fn read_logs(&self, checker: &RefCell<Checker>, faults: &mut BTreeMap<String, u64>) {
         for process in self.processes.borrow().iter() {
-            let Ok(lines) = process.log.lock() else { continue };
+            let Ok(lines) = process.log_lines.lock() else { continue };
             for line in lines.iter() {
                 if line.contains("ERROR invariants") || line.contains("panicked") {
                     checker.borrow_mut().add_violation(format!("proxy {}: {line}", self.number));
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -17,7 +17,7 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The timeout of every wait; longer than any step of a test takes with a correct program.
+/// The timeout of every wait. It is longer than any step of a test takes with a correct program.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// The settings of a deployment with one proxy and the classes `browse`, `history` (reads) and `ingest` (a keyed write).
@@ -160,7 +160,7 @@
             for stream in listener.incoming().flatten() {
                 let copy = || stream.try_clone().expect("clone");
                 accepted.lock().expect("lock").push(copy());
-                let own = copy();
+                let socket = copy();
                 let script = script.clone();
                 let count = count.clone();
                 let event_sender = event_sender.clone();
@@ -187,7 +187,7 @@
                         },
                     );
                     // `end_connections` holds a copy of the socket, so dropping this one would not close the connection.
-                    let _ = own.shutdown(std::net::Shutdown::Both);
+                    let _ = socket.shutdown(std::net::Shutdown::Both);
                     let _ = event_sender.send(HostEvent::Closed);
                 });
             }
@@ -606,10 +606,10 @@
                 let state = listener_state.clone();
                 let request_sender = request_sender.clone();
                 thread::spawn(move || {
-                    let own = stream.try_clone().expect("clone");
+                    let socket = stream.try_clone().expect("clone");
                     // The state may hold a copy of the socket, so dropping this one would not close the connection.
                     if answer_call(stream, &state, &request_sender) {
-                        let _ = own.shutdown(std::net::Shutdown::Both);
+                        let _ = socket.shutdown(std::net::Shutdown::Both);
                     }
                 });
             }
@@ -718,10 +718,11 @@
 /// Whether the peer has not read yet all that was written to this connection. The receive queue of the peer's socket in
 /// `/proc/net/tcp` says so.
 fn unread_by_peer(stream: &TcpStream) -> bool {
-    let (Ok(own), Ok(peer)) = (stream.local_addr(), stream.peer_addr()) else { return false };
+    let (Ok(own_address), Ok(peer_address)) = (stream.local_addr(), stream.peer_addr()) else { return false };
     let table = std::fs::read_to_string("/proc/net/tcp").unwrap_or_default();
-    let row =
-        table.lines().find(|line| line.contains(&format!(" {} {} ", hex_address(peer), hex_address(own))));
+    let row = table
+        .lines()
+        .find(|line| line.contains(&format!(" {} {} ", hex_address(peer_address), hex_address(own_address))));
     let queues = row.and_then(|line| line.split_whitespace().nth(4)).unwrap_or("00000000:00000000");
     !queues.ends_with(":00000000")
 }
