--- a/crates/lab/src/sim/mod.rs
+++ b/crates/lab/src/sim/mod.rs
@@ -764,7 +764,9 @@
             // A dial has its descriptor counted before it is open.
             () if all > open + 2 => Err(format!("{all} descriptors are counted, {open} are open")),
             // Beside them, a watch of discovery, what versions say to each other, and the talk.
-            () if open > all + 1 + run.upgrade.connections().max(2) + usize::from(self.plan.peer_messages) => {
+            () if open
+                > all + 1 + run.upgrade.connections().max(2) + usize::from(self.plan.peer_messages) =>
+            {
                 Err(format!("{open} descriptors are open, {all} of them accounted for"))
             }
             () => Ok(()),
