--- a/crates/lab/src/sim/deployment.rs
+++ b/crates/lab/src/sim/deployment.rs
@@ -1,6 +1,6 @@
-//! The deployment of a simulated day: what its settings say, how its hosts behave and which classes of requests it has.
-//! It owns the drawing of a deployment from a seed and its form in a plan's file. The settings object of the proxies,
-//! the behaviour of the hosts and the classes of the rules all come from here, so that they cannot disagree.
+//! The deployment of a simulation run: its settings, the behaviour of its hosts and its classes of requests. This module
+//! draws a deployment from a seed, defines its form in a plan's file and builds the settings object of the proxies.
+//! Proxies, hosts and rules all take their values from here, so that they cannot disagree.
 
 use super::plan::Family;
 use garde::Validate;
@@ -8,67 +8,69 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 
-/// Most classes, zones and proxies that a drawn deployment names.
+/// Largest number of classes in a deployment.
 pub const MAX_CLASSES: usize = 8;
-/// See there.
+/// Largest number of zones in a deployment.
 pub const MAX_ZONES: usize = 6;
-/// See there.
+/// Largest number of proxies in a plan, and in the settings of a deployment.
 pub const MAX_PROXIES: usize = 350;
-/// For how long a new version may still send to a draining host, in microseconds.
+/// For how long a proxy may still send new requests to a draining host, in microseconds.
 pub const DRAIN_GRACE_US: u64 = 500_000;
-/// A cold host's share of its capacity at its start, and for how long it is cold.
+/// A cold host's share of its warm capacity right after its start.
 pub const COLD_START_CAPACITY: f64 = 0.2;
-/// See there, in microseconds.
+/// How long a host stays cold after its start, in microseconds.
 pub const COLD_DURATION_US: u64 = 8_000_000;
-/// So many times what a cold host can do, for so long, tips it over.
+/// A cold host is overloaded when it gets this multiple of its capacity for `OVERLOAD_DURATION_US`.
 pub const OVERLOAD_MULTIPLE: f64 = 3.0;
-/// See there, in microseconds.
+/// How long a cold host must get `OVERLOAD_MULTIPLE` of its capacity to be overloaded, in microseconds.
 pub const OVERLOAD_DURATION_US: u64 = 1_000_000;
-/// How far replicas usually are behind, in milliseconds.
+/// Usual replication delays that a drawn deployment may have, in milliseconds.
 const REPLICATION_DELAYS_MS: [u64; 5] = [5, 20, 80, 300, 1_000];
-/// Where a write waits for a replica, it does not wait for one that is further behind than this.
+/// Largest replication delay of a drawn deployment with synchronous commit, in milliseconds: each write waits for a
+/// replica, but not for one that lags further than this.
 const MAX_SYNCHRONOUS_DELAY_MS: u64 = 80;
 
-/// How recent the data of an answer must be, and whether the class writes.
+/// Whether a class writes, and how recent the data of its reads must be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Access {
-    /// Any data will do.
+    /// A read of data of any age.
     #[serde(rename = "any")]
     AnyRead,
-    /// So many milliseconds behind at most, as of the sending of the attempt.
+    /// A read of data that lag at most this many milliseconds, as of the time when the attempt is sent.
     #[serde(rename = "bounded")]
     BoundedRead(u64),
-    /// Every write of the request's session.
+    /// A read that must reflect every write of the request's session.
     #[serde(rename = "session")]
     SessionRead,
-    /// It is a write.
+    /// A write.
     Write,
 }
 
-/// Which hosts drop a repeat of a keyed request.
+/// Which hosts recognise a retry of a keyed request and do not run it again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DedupScope {
-    /// All of them.
+    /// All hosts.
     All,
-    /// Those of the zone of the host that had it first.
+    /// The hosts in the zone of the host that received the request first.
     Zone,
-    /// Those of the request's group.
+    /// The hosts of the request's group.
     Group,
 }
 
-/// How a class's requests may be repeated.
+/// When the proxy may retry a class's requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Idempotency {
     /// At any time.
     #[serde(rename = "safe")]
     Idempotent,
-    /// Never once one may have run.
+    /// Never after an attempt that may have run.
     #[serde(rename = "once")]
     NotIdempotent,
-    /// Inside the scope, for so many milliseconds after the first that may have run.
+    /// Within the scope, for this many milliseconds after the first attempt that may have run: the hosts of the scope
+    /// recognise the request by its key.
     Keyed(DedupScope, u64),
 }
 
@@ -76,68 +78,68 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// Its name.
+    /// Name of the class.
     #[garde(length(min = 1, max = 40))]
     pub name: String,
-    /// What it needs.
+    /// Whether the class writes, and how recent its data must be.
     #[garde(skip)]
     #[serde(rename = "need")]
     pub access: Access,
-    /// How it may be repeated.
+    /// When the proxy may retry the requests.
     #[garde(skip)]
     #[serde(rename = "effect")]
     pub idempotency: Idempotency,
-    /// For how long its clients wait, in milliseconds.
+    /// Client deadline, in milliseconds.
     #[garde(range(min = 100, max = 6_000))]
     pub deadline_ms: u64,
-    /// An answer within this time earns the full worth, in milliseconds.
+    /// Latency target, in milliseconds: an answer within this time earns the full worth.
     #[garde(range(min = 1, max = 6_000))]
     pub aim_ms: u64,
-    /// What an answer is worth.
+    /// Worth of an answer within the latency target.
     #[garde(range(min = 0.0, max = 1e6))]
     pub worth: f64,
-    /// The share of it that an answer after the aim still earns.
+    /// Share of the worth that an answer after the latency target still earns.
     #[garde(range(min = 0.0, max = 1.0))]
     pub late_worth: f64,
-    /// The aim grows by this multiple of the request's own work.
+    /// The latency target grows by this multiple of the request's own work.
     #[garde(range(min = 0.0, max = 100.0))]
     pub aim_stretch: f64,
-    /// Mean work at a host, in microseconds.
+    /// Mean work of a request at a host, in microseconds.
     #[garde(range(min = 1.0, max = 1e6))]
     pub work_us: f64,
-    /// Its share of all requests.
+    /// Share of the class in all requests.
     #[garde(range(min = 0.0, max = 1.0))]
     pub share: f64,
 }
 
-/// How a session's own writes are known.
+/// How a proxy learns the position of a session's last write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum SessionTokens {
     /// Each session read carries the position of the session's last write.
     #[serde(rename = "carried")]
     FromClient,
-    /// The proxy remembers the writes of each session.
+    /// The proxy tracks the writes of each session.
     #[serde(rename = "remembered")]
     TrackedByProxy,
 }
 
-/// What a replica does with a read that it is too far behind for.
+/// What a replica does with a read that it lags too far behind for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LagCheck {
-    /// It answers from what it has.
+    /// The replica answers from the data that it has.
     #[serde(rename = "none")]
     Unchecked,
-    /// It turns the read away at once.
+    /// The replica rejects the read at once.
     #[serde(rename = "refuse")]
     Reject,
-    /// It waits so many milliseconds, then turns the read away.
+    /// The replica waits up to this many milliseconds to catch up, then rejects the read.
     Wait(u64),
 }
 
 impl LagCheck {
-    /// Its value in the settings object.
+    /// Value of `familyInfo.behind` in the settings object.
     pub fn name(self) -> &'static str {
         match self {
             LagCheck::Unchecked => "silent",
@@ -146,29 +148,29 @@
         }
     }
 
-    /// For how long a host lets a read wait, in milliseconds.
+    /// How long a replica lets a read wait, in milliseconds.
     pub fn wait_ms(self) -> u64 {
         if let LagCheck::Wait(ms) = self { ms } else { 0 }
     }
 }
 
-/// How the list of hosts tells roles.
+/// How discovery's list reports the hosts' roles.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ListRole {
-    /// So many milliseconds after they change.
+    /// The list shows a change of roles after this many milliseconds.
     #[serde(rename = "late")]
     Delayed(u64),
-    /// Those of the day's start.
+    /// The list shows the roles of the start of the run.
     #[serde(rename = "start")]
     AtStartup,
-    /// It does not.
+    /// The list calls no host a primary.
     #[serde(rename = "silent")]
     Absent,
 }
 
 impl ListRole {
-    /// Its value in the settings object.
+    /// Value of `familyInfo.roleInList` in the settings object.
     pub fn name(self) -> &'static str {
         match self {
             ListRole::Delayed(_) => "trailing",
@@ -178,50 +180,50 @@
     }
 }
 
-/// A deployment of proxies before replicated databases.
+/// A deployment of proxies in front of replicated databases.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Validate)]
 #[serde(default, deny_unknown_fields)]
 pub struct Deployment {
-    /// How a session's own writes are known.
+    /// How a proxy learns the position of a session's last write.
     #[garde(skip)]
     pub tokens: SessionTokens,
-    /// What replicas do with reads that they are too far behind for.
+    /// What replicas do with reads that they lag too far behind for.
     #[garde(skip)]
     pub lag_check: LagCheck,
-    /// How the list tells roles.
+    /// How discovery's list reports the hosts' roles.
     #[garde(skip)]
     pub list_role: ListRole,
-    /// Whether every answer tells the position of its data; that to a write does in any case.
+    /// Whether every answer reports the position of its data; the answer to a write always does.
     #[garde(skip)]
     pub answer_positions: bool,
-    /// Whether a write is answered only once a replica has it.
+    /// Whether a host answers a write only once a replica has applied it.
     #[garde(skip)]
     pub synchronous_commit: bool,
-    /// How far replicas are usually behind, in milliseconds.
+    /// Usual replication delay, in milliseconds.
     #[garde(range(max = 60_000))]
     pub replication_delay_ms: u64,
     /// Whether proxies may probe hosts.
     #[garde(skip)]
     pub probes: bool,
-    /// Zones, over which hosts and proxies are spread in turn.
+    /// Number of zones; hosts and proxies are assigned to them round-robin.
     #[garde(range(min = 1, max = MAX_ZONES))]
     pub zones: usize,
-    /// Proxies that the settings name; it may be more than run.
+    /// Number of proxies in the settings; fewer may run.
     #[garde(range(min = 1, max = MAX_PROXIES))]
     pub named_proxies: usize,
-    /// Whether attempts may be withdrawn.
+    /// Whether proxies may cancel attempts at hosts.
     #[garde(skip)]
     pub cancel: bool,
-    /// Attempts that a request may have.
+    /// Largest number of attempts of a request.
     #[garde(range(min = 1, max = 20))]
     pub max_attempts: usize,
-    /// The longest advice that a refusal may carry, in milliseconds; 0 where it may carry none.
+    /// Largest retry-after delay that a refusal may carry, in milliseconds; 0 if it may carry none.
     #[garde(range(max = 60_000))]
     pub max_retry_after_ms: u64,
-    /// A session that is not up by then has failed, in milliseconds.
+    /// Timeout for opening a session at a host, in milliseconds.
     #[garde(range(min = 10, max = 10_000))]
     pub dial_timeout_ms: u64,
-    /// Its classes of requests.
+    /// Classes of requests.
     #[garde(length(min = 1, max = MAX_CLASSES), dive)]
     pub classes: Vec<Class>,
 }
@@ -233,7 +235,8 @@
 }
 
 impl Deployment {
-    /// The deployment of plans that name none: six classes, and sessions that carry their marks.
+    /// The deployment of plans that have none: six classes, and clients that send the position of their session's last
+    /// write. With `positions_from_probes_only`, answers to reads report no position.
     pub fn standard(family: Family, positions_from_probes_only: bool) -> Deployment {
         let lag_check = match family {
             Family::Unchecked => LagCheck::Unchecked,
@@ -258,40 +261,43 @@
         }
     }
 
-    /// A deployment drawn from a seed, of so many proxies that run.
+    /// Draws a deployment from a seed, for a plan with `proxies` running proxies. The order of the draws determines which
+    /// deployment a seed stands for.
     pub fn from_seed(seed: u64, proxies: usize) -> Deployment {
-        let mut dice = Dice(Rand64::new(u128::from(seed) ^ 0x6465_706c_6f79));
-        let tokens = if dice.one_in(3) { SessionTokens::FromClient } else { SessionTokens::TrackedByProxy };
-        let lag_check = match dice.below(3) {
+        let mut draws = DeploymentDraws(Rand64::new(u128::from(seed) ^ 0x6465_706c_6f79));
+        let tokens = if draws.one_in(3) { SessionTokens::FromClient } else { SessionTokens::TrackedByProxy };
+        let lag_check = match draws.below(3) {
             0 => LagCheck::Unchecked,
             1 => LagCheck::Reject,
-            _ => LagCheck::Wait(20 + dice.below(180)),
+            _ => LagCheck::Wait(20 + draws.below(180)),
         };
-        let list_role = match dice.below(3) {
-            0 => ListRole::Delayed(dice.below(4_000)),
+        let list_role = match draws.below(3) {
+            0 => ListRole::Delayed(draws.below(4_000)),
             1 => ListRole::AtStartup,
             _ => ListRole::Absent,
         };
-        let (answer_positions, synchronous_commit, probes) =
-            (!dice.one_in(3), dice.one_in(3), !dice.one_in(3));
-        let delay = REPLICATION_DELAYS_MS[dice.below(REPLICATION_DELAYS_MS.len() as u64) as usize];
-        let most_delay = if synchronous_commit { MAX_SYNCHRONOUS_DELAY_MS } else { u64::MAX };
-        let zones = 1 + dice.below(MAX_ZONES as u64) as usize;
-        let named_proxies = match dice.below(5) {
+        let answer_positions = !draws.one_in(3);
+        let synchronous_commit = draws.one_in(3);
+        let probes = !draws.one_in(3);
+        let delay_ms = REPLICATION_DELAYS_MS[draws.below(REPLICATION_DELAYS_MS.len() as u64) as usize];
+        let max_delay_ms = if synchronous_commit { MAX_SYNCHRONOUS_DELAY_MS } else { u64::MAX };
+        let zones = 1 + draws.below(MAX_ZONES as u64) as usize;
+        let named_proxies = match draws.below(5) {
             0 | 1 => proxies,
-            2 | 3 => proxies + dice.below(20) as usize,
-            _ => proxies + dice.below(MAX_PROXIES as u64) as usize,
+            2 | 3 => proxies + draws.below(20) as usize,
+            _ => proxies + draws.below(MAX_PROXIES as u64) as usize,
         };
-        let (cancel, max_attempts) = (!dice.one_in(4), 1 + dice.below(10) as usize);
-        let max_retry_after_ms = if dice.one_in(3) { 0 } else { 100 + dice.below(3_000) };
-        let dial_timeout_ms = if dice.one_in(3) { 200 + dice.below(1_400) } else { 250 };
+        let cancel = !draws.one_in(4);
+        let max_attempts = 1 + draws.below(10) as usize;
+        let max_retry_after_ms = if draws.one_in(3) { 0 } else { 100 + draws.below(3_000) };
+        let dial_timeout_ms = if draws.one_in(3) { 200 + draws.below(1_400) } else { 250 };
         Deployment {
             tokens,
             lag_check,
             list_role,
             answer_positions,
             synchronous_commit,
-            replication_delay_ms: delay.min(most_delay),
+            replication_delay_ms: delay_ms.min(max_delay_ms),
             probes,
             zones,
             named_proxies: named_proxies.min(MAX_PROXIES),
@@ -299,7 +305,7 @@
             max_attempts,
             max_retry_after_ms,
             dial_timeout_ms,
-            classes: dice.classes(),
+            classes: draws.classes(),
         }
     }
 
@@ -313,7 +319,8 @@
         (number % self.zones) as u8
     }
 
-    /// The settings object that the proxy with this number gets.
+    /// The settings object of the proxy `ordinal`, where `running` proxies run; `peers` tells whether proxies exchange
+    /// peer messages.
     pub fn settings(&self, ordinal: usize, running: usize, peers: bool) -> Value {
         let bound_us =
             |class: &Class| if let Access::BoundedRead(ms) = class.access { ms * 1_000 } else { 0 };
@@ -346,7 +353,7 @@
 }
 
 impl Class {
-    /// What it needs, as the settings object says it.
+    /// Value of `familyInfo.classRead` in the settings object.
     fn read_name(&self) -> &'static str {
         match self.access {
             Access::AnyRead => "eventual",
@@ -356,6 +363,7 @@
         }
     }
 
+    /// The class as an entry of `classes` in the settings object.
     fn settings(&self) -> Value {
         let mut class = json!({
             "name": self.name, "deadlineUs": self.deadline_ms * 1_000, "sloUs": self.aim_ms * 1_000,
@@ -379,10 +387,11 @@
     }
 }
 
+/// The classes of the standard deployment.
 fn standard_classes() -> Vec<Class> {
     let keyed = Idempotency::Keyed(DedupScope::Group, 800);
     let rows = [
-        // Its clients wait for longer than a stop may take.
+        // The deadline is longer than a proxy may take to stop.
         ("report", Access::AnyRead, Idempotency::Idempotent, 6_000, 20e3, 0.02),
         ("browse", Access::BoundedRead(800), Idempotency::Idempotent, 800, 6e3, 0.45),
         ("history", Access::AnyRead, Idempotency::Idempotent, 900, 12e3, 0.23),
@@ -405,20 +414,21 @@
     rows.map(class).into()
 }
 
-/// Draws the parts of a deployment.
-struct Dice(Rand64);
+/// Random draws for the parts of a deployment.
+struct DeploymentDraws(Rand64);
 
-impl Dice {
-    /// A number from 0 to under `n`.
+impl DeploymentDraws {
+    /// Draws a number from 0 to under `n`.
     fn below(&mut self, n: u64) -> u64 {
         self.0.rand_range(0..n)
     }
 
+    /// Draws whether an event of probability `1 / n` occurs.
     fn one_in(&mut self, n: u64) -> bool {
         self.below(n) == 0
     }
 
-    /// One to eight classes; where one reads what its session wrote, one writes.
+    /// Draws one to eight classes. If any class has session reads, at least one class writes.
     fn classes(&mut self) -> Vec<Class> {
         let count = 1 + self.below(MAX_CLASSES as u64) as usize;
         let mut accesses: Vec<Access> = (0..count).map(|_| self.access()).collect();
@@ -430,11 +440,14 @@
             accesses[1] = if self.one_in(4) { accesses[1] } else { Access::SessionRead };
         }
         let weights: Vec<u64> = accesses.iter().map(|_| 1 + self.below(6)).collect();
-        let all: u64 = weights.iter().sum();
-        let each = accesses.into_iter().zip(weights).enumerate();
-        each.map(|(n, (access, weight))| self.class(n, access, weight as f64 / all as f64)).collect()
+        let total_weight: u64 = weights.iter().sum();
+        let numbered = accesses.into_iter().zip(weights).enumerate();
+        numbered
+            .map(|(n, (access, weight))| self.class(n, access, weight as f64 / total_weight as f64))
+            .collect()
     }
 
+    /// Draws the access of a class.
     fn access(&mut self) -> Access {
         match self.below(5) {
             0 => Access::AnyRead,
@@ -444,6 +457,7 @@
         }
     }
 
+    /// Draws the remaining values of a class with this access and share of the requests.
     fn class(&mut self, number: usize, access: Access, share: f64) -> Class {
         let deadline_ms = if self.one_in(10) { 6_000 } else { 400 + self.below(2_600) };
         Class {
@@ -460,11 +474,12 @@
         }
     }
 
+    /// Draws when a class may be retried; reads are idempotent more often than writes.
     fn idempotency(&mut self, access: Access) -> Idempotency {
-        let repeats = if access == Access::Write { 2 } else { 10 };
-        match self.below(repeats + 8) {
-            n if n < repeats => Idempotency::Idempotent,
-            n if n < repeats + 3 => Idempotency::NotIdempotent,
+        let idempotent_weight = if access == Access::Write { 2 } else { 10 };
+        match self.below(idempotent_weight + 8) {
+            n if n < idempotent_weight => Idempotency::Idempotent,
+            n if n < idempotent_weight + 3 => Idempotency::NotIdempotent,
             _ => {
                 let scope = match self.below(3) {
                     0 => DedupScope::All,
--- a/crates/lab/src/sim/plan.rs
+++ b/crates/lab/src/sim/plan.rs
@@ -1,238 +1,260 @@
-//! A day as a plan: how large, which family of rules, and what fails when. It owns the drawing of a plan from a
-//! seed, its form as a JSON5 file, and how a failing one is made smaller. It must never run anything.
+//! The plan of a simulation run (a day): its size, its deployment and its faults. This module draws a plan from a seed,
+//! reads one from a JSON5 file and proposes smaller variants of a failing one. It calls `deployment` for the
+//! deployment of a drawn plan. It must not run a simulation.
 
 use super::deployment::{Deployment, MAX_PROXIES};
 use garde::Validate;
 use oorandom::Rand64;
 use serde::{Deserialize, Serialize};
 
-/// One drawn day in so many has a tier of many proxies.
+/// One in this many drawn plans has many proxies (20 to `MAX_PROXIES`).
 const MANY_PROXIES_ONE_IN: u64 = 150;
 
-/// A whole day.
+/// A simulation run. The serialised names are those of stored plans.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// Of everything that is drawn while the day runs.
+    /// Seed of all random draws during the run.
     #[garde(skip)]
     pub seed: u64,
-    /// How replicas treat reads that they are too far behind for, in a plan without a deployment.
+    /// How replicas treat reads that they lag too far behind for; only used in a plan without a deployment.
     #[garde(skip)]
     pub family: Family,
-    /// Proxies, groups of hosts and hosts of a group.
+    /// Number of proxies.
     #[garde(range(min = 1, max = MAX_PROXIES))]
     pub proxies: usize,
-    /// See there.
+    /// Number of groups of hosts.
     #[garde(range(min = 1, max = 16))]
     pub groups: usize,
-    /// See there.
+    /// Number of hosts in each group.
     #[garde(range(min = 1, max = 16))]
     pub members: usize,
-    /// Clients' connections to each proxy.
+    /// Number of clients of each proxy; each has one connection at a time.
     #[garde(range(max = 500))]
     pub clients: usize,
-    /// Mean rest of a client between two requests, in milliseconds.
+    /// Mean think time of a client between two requests, in milliseconds.
     #[garde(range(min = 1, max = 60_000))]
     pub rest_ms: u64,
-    /// How long requests are made, in virtual milliseconds.
+    /// How long clients send requests, in virtual milliseconds.
     #[garde(range(min = 100, max = 3_600_000))]
     pub for_ms: u64,
-    /// Whether reads and writes of sockets are cut into parts.
+    /// Whether one in four socket reads and writes transfers a random part of the bytes.
     #[garde(skip)]
     #[serde(rename = "choppy")]
     pub partial_io: bool,
-    /// Whether proxies may talk to each other.
+    /// Whether proxies exchange peer messages.
     #[garde(skip)]
     #[serde(default, rename = "talk")]
     pub peer_messages: bool,
-    /// Whether positions show in probes only, not in answers, in a plan without a deployment.
+    /// Whether only probes report positions, not every answer; only used in a plan without a deployment.
     #[garde(skip)]
     #[serde(default, rename = "blind")]
     pub positions_from_probes_only: bool,
-    /// What the settings say; where it is absent, six classes, and sessions that carry their marks.
+    /// The deployment. Without one, `Deployment::standard` applies: six classes, and clients that send the position of
+    /// their session's last write.
     #[garde(dive)]
     #[serde(default)]
     pub deployment: Option<Deployment>,
-    /// What fails.
+    /// The faults of the run.
     #[garde(skip)]
     pub faults: Vec<Fault>,
 }
 
-/// How replicas treat reads that they are too far behind for.
+/// How replicas treat reads that they lag too far behind for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Family {
-    /// They serve them: the proxy must not ask.
+    /// They answer from the data that they have, so the proxy must not send them such reads.
     #[serde(rename = "silent")]
     Unchecked,
-    /// They turn them away.
+    /// They reject them at once.
     #[serde(rename = "bounce")]
     Reject,
-    /// They wait a while, then turn them away.
+    /// They wait to catch up for a limited time, then reject them.
     #[serde(rename = "await")]
     Wait,
 }
 
-/// Something that fails, when, and for how long, in virtual milliseconds.
+/// A fault, with its start and duration in virtual milliseconds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// When it begins.
+    /// When the fault begins.
     pub at_ms: u64,
-    /// How long it lasts.
+    /// How long the fault lasts.
     #[serde(default)]
     pub for_ms: u64,
-    /// What it is.
+    /// The kind of fault.
     #[serde(rename = "what")]
     pub kind: FaultKind,
 }
 
-/// What fails. Hosts are counted through all groups, a group's first member being its primary at the start.
+/// The kinds of fault. Hosts are numbered through all groups; the first host of a group is its primary at the start.
+/// In most variants the first number is that of the host or proxy, the second a delay, a percentage or a factor.
+///
+/// The variants' names are part of the trace and so of its hash.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// All hosts of a room lose power, and return cold.
+    /// All hosts of a zone lose power, and return cold.
     Room(u8),
-    /// A host's process is killed and starts again, cold.
+    /// The host's process is killed, and starts again cold.
     HostKilled(usize),
-    /// A host accepts connections and says nothing.
+    /// The host accepts connections but sends nothing.
     Hung(usize),
-    /// A group's primary hands over; for so long there is none.
+    /// The group's primary is demoted; the group has no primary for the duration of the fault.
     Handover(usize),
-    /// A replica applies so much later, in milliseconds.
+    /// The replica applies the log with this delay, in milliseconds.
     Lag(usize, u64),
-    /// A host fails requests at once.
+    /// The host fails requests at once.
     Errors(usize),
-    /// A host works so many times slower.
+    /// The host works slower by this factor.
     Slow(usize, u64),
-    /// A host sends bytes that are no answer, or half of one.
+    /// The host sends bytes that are not a valid answer, or an incomplete one.
     Garbage(usize),
-    /// A host drains, is gone, and comes back cold.
+    /// The host drains, is then killed, and starts again cold.
     Drain(usize),
-    /// Nothing gets from a proxy to a host.
+    /// Nothing that the proxy (first) sends reaches the host (second).
     CutThere(usize, usize),
-    /// Nothing gets from a host to a proxy.
+    /// Nothing that the host (second) sends reaches the proxy (first).
     CutBack(usize, usize),
-    /// A proxy hears nothing of discovery.
+    /// Nothing that discovery sends reaches the proxy.
     AgentSilent(usize),
-    /// Discovery's list stays as it is.
+    /// Discovery serves the same list of hosts, whatever changes.
     AgentStale,
-    /// A proxy's wall clock is stepped by so many milliseconds; processes that start meanwhile have it so.
+    /// The proxy's wall clock is stepped by this many milliseconds, also for processes that start meanwhile.
     ClockStep(usize, i64),
-    /// Reads and writes of a proxy are interrupted now and then, and accepts are of connections that were given up.
+    /// Signals interrupt some of the proxy's reads and writes, and some of its accepts return a connection that the
+    /// client has aborted.
     Interruptions(usize),
-    /// So many percent of a proxy's dials and accepts fail for want of something on its machine.
+    /// This percentage of the proxy's dials and accepts fails because the machine lacks a resource.
     Shortage(usize, u64),
-    /// One write of a proxy in so many is held up, up to 150 ms behind its look at the clock, and the proxy with it.
+    /// One in this many writes of the proxy reaches the network up to 150 ms after the proxy read the clock; the whole
+    /// process pauses meanwhile.
     HoldUps(usize, u64),
-    /// The files of a proxy's disk cannot be read.
+    /// The files of the proxy's disk cannot be read.
     DiskUnreadable(usize),
-    /// A proxy is killed, in the middle of so many steps of its tasks, and starts again.
+    /// The proxy's process is killed after this many steps of its tasks, and starts again at the end of the fault.
     ProxyKilled(usize, u64),
-    /// A new version of a proxy starts beside it, and the old one is told to stop at the end of this.
+    /// A new version of the proxy starts beside the old one, which is told to stop at the end of the fault.
     ProxyReplaced(usize),
-    /// Operators leave a host out at a proxy, and take it back.
+    /// Operators leave the host (second) out at the proxy (first), and use it again at the end of the fault.
     ByHand(usize, usize),
-    /// A proxy's disk takes nothing more.
+    /// The proxy's disk is full.
     DiskFull(usize),
-    /// One of the files on a proxy's disk ends in its middle.
+    /// One of the files on the proxy's disk is truncated.
     TornFile(usize),
-    /// Clients of a proxy that write half of something, or nonsense, or read nothing.
+    /// This many misbehaving clients connect to the proxy: they write incomplete or invalid messages, or read nothing.
     Rude(usize, u64),
-    /// All open watches of discovery fall silent, and stay open.
+    /// All open watches of discovery stop sending, but stay open.
     #[serde(alias = "watches_hushed")]
     WatchesSilent,
-    /// Half of a host's sessions come up so late, in milliseconds.
+    /// Half of the host's sessions open late, by this many milliseconds.
     LateSessions(usize, u64),
-    /// Somebody sends false news to all proxies in the name of one.
+    /// A forged peer sends false updates to all proxies under the address of this proxy.
     #[serde(alias = "liar")]
     ForgedPeer(usize),
-    /// So many percent of a host's answers are cut behind the end of their command; their sessions stay open and silent.
+    /// This percentage of the host's answers is cut behind the end of their command; the sessions stay open and silent.
     CutAnswers(usize, u64),
-    /// So many percent of a host's answers are lost on their way; their sessions stay open and silent.
+    /// This percentage of the host's answers is lost on the way; the sessions stay open and silent.
     LostAnswers(usize, u64),
-    /// So many percent of a host's answers take so much longer on their way, in milliseconds.
+    /// This percentage of the host's answers takes longer on the way, by this many milliseconds.
     DelayedAnswers(usize, u64, u64),
-    /// So many percent of a host's answers tell its role and nothing more; their sessions stay open.
+    /// This percentage of the host's answers reports the host's role and nothing more; the sessions stay open.
     RoleOnlyAnswers(usize, u64),
 }
 
-/// Wall clocks that are off, in milliseconds.
-const CLOCKS_OFF_MS: [i64; 4] = [-3_600_000, -5_000, 5_000, 3_600_000];
+/// Steps of a wall clock that a drawn plan may have, in milliseconds.
+const CLOCK_STEPS_MS: [i64; 4] = [-3_600_000, -5_000, 5_000, 3_600_000];
 
-/// System calls that fail, and wall clocks that are off as a process starts: each on a part of the days.
-fn system_faults(to: &mut impl FnMut(u64) -> u64, proxies: u64, hosts: u64) -> Vec<Fault> {
+/// Draws faults of system calls, and of wall clocks that are wrong when a process starts. Each kind occurs in a part of
+/// the plans. `below(n)` draws a number from 0 to under `n`.
+fn system_faults(below: &mut impl FnMut(u64) -> u64, proxies: u64, hosts: u64) -> Vec<Fault> {
     let mut faults = Vec::new();
-    let proxy = |to: &mut dyn FnMut(u64) -> u64| to(proxies) as usize;
-    if to(2) == 0 {
-        faults.push(Fault { at_ms: 0, for_ms: 40_000, kind: FaultKind::Interruptions(proxy(to)) });
+    let draw_proxy = |below: &mut dyn FnMut(u64) -> u64| below(proxies) as usize;
+    if below(2) == 0 {
+        faults.push(Fault { at_ms: 0, for_ms: 40_000, kind: FaultKind::Interruptions(draw_proxy(below)) });
     }
-    for _ in 0..to(3) {
-        let (at_ms, for_ms) = (1_000 + to(22_000), 20 + to(800));
-        faults.push(Fault { at_ms, for_ms, kind: FaultKind::Shortage(proxy(to), 30 + to(71)) });
+    for _ in 0..below(3) {
+        let at_ms = 1_000 + below(22_000);
+        let for_ms = 20 + below(800);
+        faults.push(Fault { at_ms, for_ms, kind: FaultKind::Shortage(draw_proxy(below), 30 + below(71)) });
     }
-    if to(3) == 0 {
-        let (at_ms, for_ms) = (1_000 + to(15_000), 1_000 + to(10_000));
-        faults.push(Fault { at_ms, for_ms, kind: FaultKind::HoldUps(proxy(to), 20 + to(200)) });
+    if below(3) == 0 {
+        let at_ms = 1_000 + below(15_000);
+        let for_ms = 1_000 + below(10_000);
+        faults.push(Fault { at_ms, for_ms, kind: FaultKind::HoldUps(draw_proxy(below), 20 + below(200)) });
     }
-    if to(3) == 0 {
-        // Behind the step the process is replaced, and around that a host starts anew.
-        let (at_ms, proxy, host) = (1_000 + to(15_000), proxy(to), to(hosts) as usize);
-        let step = CLOCKS_OFF_MS[to(CLOCKS_OFF_MS.len() as u64) as usize];
+    if below(3) == 0 {
+        // After the clock step the process is replaced, and a host restarts around the same time.
+        let at_ms = 1_000 + below(15_000);
+        let proxy = draw_proxy(below);
+        let host = below(hosts) as usize;
+        let step = CLOCK_STEPS_MS[below(CLOCK_STEPS_MS.len() as u64) as usize];
         faults.push(Fault { at_ms, for_ms: 60_000, kind: FaultKind::ClockStep(proxy, step) });
-        let replaced_ms = at_ms + 100 + to(1_000);
+        let replaced_ms = at_ms + 100 + below(1_000);
         faults.push(Fault {
             at_ms: replaced_ms,
-            for_ms: 500 + to(2_000),
+            for_ms: 500 + below(2_000),
             kind: FaultKind::ProxyReplaced(proxy),
         });
-        let killed_ms = (replaced_ms + to(4_000)).saturating_sub(1_500);
-        faults.push(Fault { at_ms: killed_ms, for_ms: 100 + to(1_000), kind: FaultKind::HostKilled(host) });
+        let killed_ms = (replaced_ms + below(4_000)).saturating_sub(1_500);
+        faults.push(Fault {
+            at_ms: killed_ms,
+            for_ms: 100 + below(1_000),
+            kind: FaultKind::HostKilled(host),
+        });
     }
-    if to(4) == 0 {
-        let (at_ms, for_ms, proxy) = (1_000 + to(20_000), 200 + to(1_500), proxy(to));
+    if below(4) == 0 {
+        let at_ms = 1_000 + below(20_000);
+        let for_ms = 200 + below(1_500);
+        let proxy = draw_proxy(below);
         faults.push(Fault { at_ms, for_ms, kind: FaultKind::DiskUnreadable(proxy) });
     }
     faults
 }
 
 impl Plan {
-    /// A day drawn from a seed.
+    /// Draws a plan from a seed. The order of the draws determines which plan a seed stands for.
     pub fn from_seed(seed: u64) -> Plan {
-        let mut lots = Rand64::new(u128::from(seed) ^ 0x706c_616e);
-        let mut to = |n: u64| lots.rand_range(0..n);
-        let family = [Family::Unchecked, Family::Reject, Family::Wait][to(3) as usize];
-        let (proxies, groups, members) = (1 + to(3) as usize, 1 + to(2) as usize, 2 + to(4) as usize);
-        let (clients, rest_ms) = (4 + to(12) as usize, 60 + to(200));
-        let partial_io = to(3) == 0;
-        // Faults gather, so that they overlap: what fails alone is found by the other tests.
-        let centres: Vec<u64> = (0..1 + to(3)).map(|_| 2_000 + to(22_000)).collect();
+        let mut random = Rand64::new(u128::from(seed) ^ 0x706c_616e);
+        let mut below = |n: u64| random.rand_range(0..n);
+        let family = [Family::Unchecked, Family::Reject, Family::Wait][below(3) as usize];
+        let proxies = 1 + below(3) as usize;
+        let groups = 1 + below(2) as usize;
+        let members = 2 + below(4) as usize;
+        let clients = 4 + below(12) as usize;
+        let rest_ms = 60 + below(200);
+        let partial_io = below(3) == 0;
+        // Faults cluster around a few moments, so that they overlap; other tests cover single faults.
+        let cluster_times: Vec<u64> = (0..1 + below(3)).map(|_| 2_000 + below(22_000)).collect();
         let hosts = (groups * members) as u64;
         let mut faults = Vec::new();
-        for _ in 0..2 + to(7) {
-            let centre = centres[to(centres.len() as u64) as usize];
-            let at_ms = (centre + to(3_000)).saturating_sub(1_500);
-            let for_ms = 200 + to(5_000);
-            let (host, proxy) = (to(hosts) as usize, to(proxies as u64) as usize);
-            let kind = match to(24) {
-                0 => FaultKind::Room(to(2) as u8),
+        for _ in 0..2 + below(7) {
+            let cluster_time = cluster_times[below(cluster_times.len() as u64) as usize];
+            let at_ms = (cluster_time + below(3_000)).saturating_sub(1_500);
+            let for_ms = 200 + below(5_000);
+            let host = below(hosts) as usize;
+            let proxy = below(proxies as u64) as usize;
+            let kind = match below(24) {
+                0 => FaultKind::Room(below(2) as u8),
                 1 => FaultKind::HostKilled(host),
                 2 => FaultKind::Hung(host),
                 3 => FaultKind::Hung(host / members * members),
                 4 | 5 => FaultKind::Handover(host / members),
-                6 => FaultKind::Lag(host, 200 + to(4_000)),
+                6 => FaultKind::Lag(host, 200 + below(4_000)),
                 7 => FaultKind::Errors(host),
-                8 => FaultKind::Slow(host, 2 + to(20)),
+                8 => FaultKind::Slow(host, 2 + below(20)),
                 9 => FaultKind::Garbage(host),
                 10 | 11 => FaultKind::Drain(host),
                 12 => FaultKind::CutThere(proxy, host),
                 13 => FaultKind::CutBack(proxy, host),
                 14 => FaultKind::AgentSilent(proxy),
                 15 => FaultKind::AgentStale,
-                16 => FaultKind::ClockStep(proxy, to(4_000) as i64 - 2_000),
+                16 => FaultKind::ClockStep(proxy, below(4_000) as i64 - 2_000),
                 17 => {
-                    if to(2) == 0 {
-                        FaultKind::ProxyKilled(proxy, to(40))
+                    if below(2) == 0 {
+                        FaultKind::ProxyKilled(proxy, below(40))
                     } else {
                         FaultKind::ProxyReplaced(proxy)
                     }
@@ -240,56 +262,67 @@
                 18 | 19 => FaultKind::ProxyReplaced(proxy),
                 20 | 21 => FaultKind::ByHand(proxy, host),
                 22 => {
-                    if to(2) == 0 {
+                    if below(2) == 0 {
                         FaultKind::DiskFull(proxy)
                     } else {
                         FaultKind::TornFile(proxy)
                     }
                 }
-                _ => FaultKind::Rude(proxy, 1 + to(6)),
+                _ => FaultKind::Rude(proxy, 1 + below(6)),
             };
             faults.push(Fault { at_ms, for_ms, kind });
         }
-        // Drawn last, so that the others are what they were before there was talk.
+        // Drawn after the faults above, so that seeds keep the faults that they had before peer messages existed.
         let peer_messages = seed.is_multiple_of(3) && proxies > 1;
-        // Where hosts serve what is too old, answers tell it.
+        // Where hosts answer from data that is too old, their answers must report the position.
         let positions_from_probes_only = peer_messages && family != Family::Unchecked;
-        if peer_messages && to(2) == 0 {
-            let (proxy, at_ms, for_ms) = (to(proxies as u64) as usize, 1_000 + to(20_000), 500 + to(8_000));
+        if peer_messages && below(2) == 0 {
+            let proxy = below(proxies as u64) as usize;
+            let at_ms = 1_000 + below(20_000);
+            let for_ms = 500 + below(8_000);
             faults.push(Fault { at_ms, for_ms, kind: FaultKind::ForgedPeer(proxy) });
         }
-        // Silent watches, and news behind them; connections that come up late.
-        if to(3) == 0 {
-            let (host, at_ms) = (to(hosts) as usize, 1_000 + to(18_000));
+        // Silent watches with a change of the list behind them, and sessions that open late.
+        if below(3) == 0 {
+            let host = below(hosts) as usize;
+            let at_ms = 1_000 + below(18_000);
             faults.push(Fault { at_ms, for_ms: 0, kind: FaultKind::WatchesSilent });
-            let at_ms = at_ms + to(3_000);
-            faults.push(Fault { at_ms, for_ms: 4_000 + to(8_000), kind: FaultKind::Drain(host) });
+            let at_ms = at_ms + below(3_000);
+            faults.push(Fault { at_ms, for_ms: 4_000 + below(8_000), kind: FaultKind::Drain(host) });
         }
-        if to(3) == 0 {
-            let (host, at_ms, for_ms) = (to(hosts) as usize, 1_000 + to(20_000), 500 + to(5_000));
-            faults.push(Fault { at_ms, for_ms, kind: FaultKind::LateSessions(host, 20 + to(1_500)) });
+        if below(3) == 0 {
+            let host = below(hosts) as usize;
+            let at_ms = 1_000 + below(20_000);
+            let for_ms = 500 + below(5_000);
+            faults.push(Fault { at_ms, for_ms, kind: FaultKind::LateSessions(host, 20 + below(1_500)) });
         }
-        // Answers that are cut, lost or late, mostly those of a group's first primary: writes have them too.
-        for _ in 0..to(4) {
-            let host = to(hosts) as usize;
-            let host = if to(2) == 0 { host / members * members } else { host };
-            let percent = 10 + to(91);
-            let kind = match to(4) {
+        // Answers that are cut, lost or late. Half of the faults are of a group's first primary, so that writes are
+        // affected too.
+        for _ in 0..below(4) {
+            let host = below(hosts) as usize;
+            let host = if below(2) == 0 { host / members * members } else { host };
+            let percent = 10 + below(91);
+            let kind = match below(4) {
                 0 => FaultKind::CutAnswers(host, percent),
                 1 => FaultKind::LostAnswers(host, percent),
-                2 => FaultKind::DelayedAnswers(host, percent, 50 + to(1_000)),
+                2 => FaultKind::DelayedAnswers(host, percent, 50 + below(1_000)),
                 _ => FaultKind::RoleOnlyAnswers(host, percent),
             };
-            faults.push(Fault { at_ms: 1_000 + to(22_000), for_ms: 500 + to(5_000), kind });
+            faults.push(Fault { at_ms: 1_000 + below(22_000), for_ms: 500 + below(5_000), kind });
         }
         faults.sort_by_key(|f| f.at_ms);
-        let (mut for_ms, mut proxies, mut clients, mut rest_ms) = (27_000, proxies, clients, rest_ms);
-        // A tier of many proxies, each of which has little to do.
-        if to(MANY_PROXIES_ONE_IN) == 0 {
-            proxies = 20 + to(MAX_PROXIES as u64 - 19) as usize;
-            (clients, rest_ms, for_ms) = (1, 1_000 + 40 * proxies as u64, 12_000);
+        let mut for_ms = 27_000;
+        let mut proxies = proxies;
+        let mut clients = clients;
+        let mut rest_ms = rest_ms;
+        // Many proxies with little load each.
+        if below(MANY_PROXIES_ONE_IN) == 0 {
+            proxies = 20 + below(MAX_PROXIES as u64 - 19) as usize;
+            clients = 1;
+            rest_ms = 1_000 + 40 * proxies as u64;
+            for_ms = 12_000;
         }
-        faults.extend(system_faults(&mut to, proxies as u64, hosts));
+        faults.extend(system_faults(&mut below, proxies as u64, hosts));
         faults.sort_by_key(|f| f.at_ms);
         let deployment = Some(Deployment::from_seed(seed, proxies));
         Plan {
@@ -309,7 +342,7 @@
         }
     }
 
-    /// What the settings of its day say.
+    /// The deployment of the run: the plan's own, or the standard one of its family.
     pub fn deployment(&self) -> Deployment {
         self.deployment
             .clone()
@@ -322,12 +355,13 @@
         sillfold_conf::parse(&path.display().to_string(), &text).map_err(|e| e.join("; "))
     }
 
-    /// Plans that are a little smaller than this one, the smallest first.
+    /// Smaller variants of this plan, most of them the smallest first: with a part of the faults, fewer clients, whole
+    /// reads and writes, or no peer messages.
     pub fn smaller(&self) -> Vec<Plan> {
-        let mut out = Vec::new();
+        let mut plans = Vec::new();
         let mut add = |plan: Plan| {
             if plan != *self {
-                out.push(plan);
+                plans.push(plan);
             }
         };
         let n = self.faults.len();
@@ -344,6 +378,6 @@
         add(Plan { partial_io: false, ..self.clone() });
         add(Plan { peer_messages: false, ..self.clone() });
         add(Plan { clients: self.clients.saturating_sub(1), ..self.clone() });
-        out
+        plans
     }
 }
