--- a/crates/lab/src/sim/mod.rs
+++ b/crates/lab/src/sim/mod.rs
@@ -54,7 +54,7 @@
 
 /// The figures of the rules on a day of this deployment.
 fn figures(plan: &Plan, deployment: &Deployment) -> Figures {
-    let holds_up = plan.faults.iter().any(|f| matches!(f.kind, FaultKind::HoldUps(..)));
+    let holds_up = plan.faults.iter().any(|f| matches!(f.kind, FaultKind::WriteDelays(..)));
     Figures {
         held_up: if holds_up { world::MAX_WRITE_DELAY_US } else { 0 },
         grace: deployment::DRAIN_GRACE_US,
@@ -504,7 +504,7 @@
         let host = |n: usize| n % hosts;
         let proxies = self.plan.proxies;
         match fault.kind {
-            FaultKind::Room(zone) => {
+            FaultKind::ZonePowerLoss(zone) => {
                 for n in 0..hosts {
                     if self.fleet.hosts.borrow()[n].zone == zone {
                         if begins { self.lose(n) } else { self.start_host(n) }
@@ -516,11 +516,11 @@
                 self.kill(process);
             }
             FaultKind::HostKilled(n) => self.start_host(host(n)),
-            FaultKind::Hung(n) => {
+            FaultKind::HostHung(n) => {
                 let process = self.hosts[host(n)];
                 self.processes[process].frozen = begins;
             }
-            FaultKind::Handover(group) => {
+            FaultKind::PrimaryHandover(group) => {
                 let first = group % self.plan.groups * members;
                 let present = (first..first + members).find(|n| self.fleet.hosts.borrow()[*n].primary);
                 match (begins, present) {
@@ -533,36 +533,39 @@
                     _ => {}
                 }
             }
-            FaultKind::Lag(n, ms) => {
+            FaultKind::ReplicaLag(n, ms) => {
                 let lag = if begins { ms * 1_000 } else { self.fleet.usual_lag() };
                 self.fleet.lags(host(n), lag);
             }
-            FaultKind::Errors(n) | FaultKind::Garbage(n) => {
+            FaultKind::HostErrors(n) | FaultKind::InvalidAnswers(n) => {
                 let mode = match fault.kind {
                     _ if !begins => Mode::Well,
-                    FaultKind::Errors(_) => Mode::Errors,
+                    FaultKind::HostErrors(_) => Mode::Errors,
                     _ => Mode::Garbage,
                 };
                 self.fleet.hosts.borrow_mut()[host(n)].mode = mode;
             }
-            FaultKind::Slow(n, times) => {
+            FaultKind::SlowHost(n, times) => {
                 self.fleet.hosts.borrow_mut()[host(n)].slow = if begins { times } else { 1 };
             }
-            FaultKind::Drain(n) if begins => self.fleet.change(host(n), |h| h.status = "DRAINING"),
-            FaultKind::Drain(n) => {
+            FaultKind::HostDrain(n) if begins => self.fleet.change(host(n), |h| h.status = "DRAINING"),
+            FaultKind::HostDrain(n) => {
                 self.kill(self.hosts[host(n)]);
                 self.start_host(host(n));
                 self.fleet.change(host(n), |h| h.status = "SERVING");
             }
-            FaultKind::CutThere(p, n) | FaultKind::CutBack(p, n) => {
+            FaultKind::ProxyToHostCut(p, n) | FaultKind::HostToProxyCut(p, n) => {
                 let Some(run) = &self.proxies[p % proxies] else { return };
                 let (there, here) =
                     (self.processes[self.hosts[host(n)]].machine, self.processes[run.process].machine);
-                let (from, to) =
-                    if matches!(fault.kind, FaultKind::CutThere(..)) { (here, there) } else { (there, here) };
+                let (from, to) = if matches!(fault.kind, FaultKind::ProxyToHostCut(..)) {
+                    (here, there)
+                } else {
+                    (there, here)
+                };
                 self.world.set_blocked(from, to, begins);
             }
-            FaultKind::AgentSilent(p) => {
+            FaultKind::DiscoveryUnreachable(p) => {
                 let Some(run) = &self.proxies[p % proxies] else { return };
                 let here = self.processes[run.process].machine;
                 self.world.set_blocked(self.agent_at.0, here, begins);
@@ -570,7 +573,7 @@
                 let after = if begins { self.world.now() } else { 0 };
                 self.fleet.book.borrow_mut().untells(here, after);
             }
-            FaultKind::AgentStale => self.agent.stale.set(begins.then(|| self.fleet.index.get())),
+            FaultKind::DiscoveryStale => self.agent.stale.set(begins.then(|| self.fleet.index.get())),
             FaultKind::ClockStep(p, ms) => {
                 let by = if begins { ms } else { -ms } * 1_000;
                 self.world.step_clock(p % proxies, by);
@@ -578,10 +581,10 @@
             FaultKind::Interruptions(p) => {
                 self.world.change_call_faults(p % proxies, |f| f.interrupted = begins)
             }
-            FaultKind::Shortage(p, percent) => {
+            FaultKind::ResourceShortage(p, percent) => {
                 self.world.change_call_faults(p % proxies, |f| f.shortage = if begins { percent } else { 0 });
             }
-            FaultKind::HoldUps(p, one_in) => {
+            FaultKind::WriteDelays(p, one_in) => {
                 self.world
                     .change_call_faults(p % proxies, |f| f.held_up_one_in = if begins { one_in } else { 0 });
             }
@@ -619,8 +622,8 @@
                     self.end(old);
                 }
             }
-            FaultKind::WatchesSilent if begins => self.agent.silence(),
-            FaultKind::WatchesSilent => {}
+            FaultKind::SilentWatches if begins => self.agent.silence(),
+            FaultKind::SilentWatches => {}
             FaultKind::LateSessions(n, ms) => {
                 self.fleet.hosts.borrow_mut()[host(n)].late = if begins { ms * 1_000 } else { 0 };
             }
@@ -636,16 +639,16 @@
             FaultKind::RoleOnlyAnswers(n, percent) => {
                 self.fault_answers(host(n), begins, (AnswerFault::RoleOnly, percent));
             }
-            FaultKind::ByHand(p, n) => self.by_hand(p % proxies, host(n), begins),
+            FaultKind::HostOverride(p, n) => self.by_hand(p % proxies, host(n), begins),
             FaultKind::DiskFull(p) => self.world.set_disk_full(p % proxies, begins),
-            FaultKind::TornFile(p) if begins => {
+            FaultKind::TruncatedFile(p) if begins => {
                 let torn = self.world.truncate_random_file(p % proxies);
                 self.world.trace(|| format!("{torn:?} is torn"));
                 // Whatever it said, the next process may not know it.
                 self.out[p % proxies].clear();
             }
-            FaultKind::TornFile(_) => {}
-            FaultKind::Rude(p, n) if begins => {
+            FaultKind::TruncatedFile(_) => {}
+            FaultKind::MisbehavingClients(p, n) if begins => {
                 let machine = self.world.add_machine(MANY);
                 let (_, executor) = self.process(machine);
                 let until = (fault.at_ms + fault.for_ms) * 1_000;
@@ -654,7 +657,7 @@
                     executor.spawn(client::rude(fleet, target, until)).detach();
                 }
             }
-            FaultKind::Rude(..) => {}
+            FaultKind::MisbehavingClients(..) => {}
             FaultKind::ForgedPeer(p) if begins && self.plan.peer_messages => {
                 let machine = self.world.add_machine(MANY);
                 let (_, executor) = self.process(machine);
--- a/crates/lab/src/sim/plan.rs
+++ b/crates/lab/src/sim/plan.rs
@@ -92,46 +92,60 @@
 /// The kinds of fault. Hosts are numbered through all groups; the first host of a group is its primary at the start.
 /// In most variants the first number is that of the host or proxy, the second a delay, a percentage or a factor.
 ///
-/// The variants' names are part of the trace and so of its hash.
+/// The trace shows the names of the variants, so its hash depends on them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
     /// All hosts of a zone lose power, and return cold.
-    Room(u8),
+    #[serde(rename = "room")]
+    ZonePowerLoss(u8),
     /// The host's process is killed, and starts again cold.
     HostKilled(usize),
     /// The host accepts connections but sends nothing.
-    Hung(usize),
+    #[serde(rename = "hung")]
+    HostHung(usize),
     /// The group's primary is demoted; the group has no primary for the duration of the fault.
-    Handover(usize),
+    #[serde(rename = "handover")]
+    PrimaryHandover(usize),
     /// The replica applies the log with this delay, in milliseconds.
-    Lag(usize, u64),
+    #[serde(rename = "lag")]
+    ReplicaLag(usize, u64),
     /// The host fails requests at once.
-    Errors(usize),
+    #[serde(rename = "errors")]
+    HostErrors(usize),
     /// The host works slower by this factor.
-    Slow(usize, u64),
+    #[serde(rename = "slow")]
+    SlowHost(usize, u64),
     /// The host sends bytes that are not a valid answer, or an incomplete one.
-    Garbage(usize),
+    #[serde(rename = "garbage")]
+    InvalidAnswers(usize),
     /// The host drains, is then killed, and starts again cold.
-    Drain(usize),
+    #[serde(rename = "drain")]
+    HostDrain(usize),
     /// Nothing that the proxy (first) sends reaches the host (second).
-    CutThere(usize, usize),
+    #[serde(rename = "cut_there")]
+    ProxyToHostCut(usize, usize),
     /// Nothing that the host (second) sends reaches the proxy (first).
-    CutBack(usize, usize),
+    #[serde(rename = "cut_back")]
+    HostToProxyCut(usize, usize),
     /// Nothing that discovery sends reaches the proxy.
-    AgentSilent(usize),
+    #[serde(rename = "agent_silent")]
+    DiscoveryUnreachable(usize),
     /// Discovery serves the same list of hosts, whatever changes.
-    AgentStale,
+    #[serde(rename = "agent_stale")]
+    DiscoveryStale,
     /// The proxy's wall clock is stepped by this many milliseconds, also for processes that start meanwhile.
     ClockStep(usize, i64),
     /// Signals interrupt some of the proxy's reads and writes, and some of its accepts return a connection that the
     /// client has aborted.
     Interruptions(usize),
     /// This percentage of the proxy's dials and accepts fails because the machine lacks a resource.
-    Shortage(usize, u64),
+    #[serde(rename = "shortage")]
+    ResourceShortage(usize, u64),
     /// One in this many writes of the proxy reaches the network up to 150 ms after the proxy read the clock; the whole
     /// process pauses meanwhile.
-    HoldUps(usize, u64),
+    #[serde(rename = "hold_ups")]
+    WriteDelays(usize, u64),
     /// The files of the proxy's disk cannot be read.
     DiskUnreadable(usize),
     /// The proxy's process is killed after this many steps of its tasks, and starts again at the end of the fault.
@@ -139,16 +153,19 @@
     /// A new version of the proxy starts beside the old one, which is told to stop at the end of the fault.
     ProxyReplaced(usize),
     /// Operators leave the host (second) out at the proxy (first), and use it again at the end of the fault.
-    ByHand(usize, usize),
+    #[serde(rename = "by_hand")]
+    HostOverride(usize, usize),
     /// The proxy's disk is full.
     DiskFull(usize),
     /// One of the files on the proxy's disk is truncated.
-    TornFile(usize),
+    #[serde(rename = "torn_file")]
+    TruncatedFile(usize),
     /// This many misbehaving clients connect to the proxy: they write incomplete or invalid messages, or read nothing.
-    Rude(usize, u64),
+    #[serde(rename = "rude")]
+    MisbehavingClients(usize, u64),
     /// All open watches of discovery stop sending, but stay open.
-    #[serde(alias = "watches_hushed")]
-    WatchesSilent,
+    #[serde(rename = "watches_silent", alias = "watches_hushed")]
+    SilentWatches,
     /// Half of the host's sessions open late, by this many milliseconds.
     LateSessions(usize, u64),
     /// A forged peer sends false updates to all proxies under the address of this proxy.
@@ -178,12 +195,20 @@
     for _ in 0..below(3) {
         let at_ms = 1_000 + below(22_000);
         let for_ms = 20 + below(800);
-        faults.push(Fault { at_ms, for_ms, kind: FaultKind::Shortage(draw_proxy(below), 30 + below(71)) });
+        faults.push(Fault {
+            at_ms,
+            for_ms,
+            kind: FaultKind::ResourceShortage(draw_proxy(below), 30 + below(71)),
+        });
     }
     if below(3) == 0 {
         let at_ms = 1_000 + below(15_000);
         let for_ms = 1_000 + below(10_000);
-        faults.push(Fault { at_ms, for_ms, kind: FaultKind::HoldUps(draw_proxy(below), 20 + below(200)) });
+        faults.push(Fault {
+            at_ms,
+            for_ms,
+            kind: FaultKind::WriteDelays(draw_proxy(below), 20 + below(200)),
+        });
     }
     if below(3) == 0 {
         // After the clock step the process is replaced, and a host restarts around the same time.
@@ -237,20 +262,20 @@
             let host = below(hosts) as usize;
             let proxy = below(proxies as u64) as usize;
             let kind = match below(24) {
-                0 => FaultKind::Room(below(2) as u8),
+                0 => FaultKind::ZonePowerLoss(below(2) as u8),
                 1 => FaultKind::HostKilled(host),
-                2 => FaultKind::Hung(host),
-                3 => FaultKind::Hung(host / members * members),
-                4 | 5 => FaultKind::Handover(host / members),
-                6 => FaultKind::Lag(host, 200 + below(4_000)),
-                7 => FaultKind::Errors(host),
-                8 => FaultKind::Slow(host, 2 + below(20)),
-                9 => FaultKind::Garbage(host),
-                10 | 11 => FaultKind::Drain(host),
-                12 => FaultKind::CutThere(proxy, host),
-                13 => FaultKind::CutBack(proxy, host),
-                14 => FaultKind::AgentSilent(proxy),
-                15 => FaultKind::AgentStale,
+                2 => FaultKind::HostHung(host),
+                3 => FaultKind::HostHung(host / members * members),
+                4 | 5 => FaultKind::PrimaryHandover(host / members),
+                6 => FaultKind::ReplicaLag(host, 200 + below(4_000)),
+                7 => FaultKind::HostErrors(host),
+                8 => FaultKind::SlowHost(host, 2 + below(20)),
+                9 => FaultKind::InvalidAnswers(host),
+                10 | 11 => FaultKind::HostDrain(host),
+                12 => FaultKind::ProxyToHostCut(proxy, host),
+                13 => FaultKind::HostToProxyCut(proxy, host),
+                14 => FaultKind::DiscoveryUnreachable(proxy),
+                15 => FaultKind::DiscoveryStale,
                 16 => FaultKind::ClockStep(proxy, below(4_000) as i64 - 2_000),
                 17 => {
                     if below(2) == 0 {
@@ -260,15 +285,15 @@
                     }
                 }
                 18 | 19 => FaultKind::ProxyReplaced(proxy),
-                20 | 21 => FaultKind::ByHand(proxy, host),
+                20 | 21 => FaultKind::HostOverride(proxy, host),
                 22 => {
                     if below(2) == 0 {
                         FaultKind::DiskFull(proxy)
                     } else {
-                        FaultKind::TornFile(proxy)
+                        FaultKind::TruncatedFile(proxy)
                     }
                 }
-                _ => FaultKind::Rude(proxy, 1 + below(6)),
+                _ => FaultKind::MisbehavingClients(proxy, 1 + below(6)),
             };
             faults.push(Fault { at_ms, for_ms, kind });
         }
@@ -286,9 +311,9 @@
         if below(3) == 0 {
             let host = below(hosts) as usize;
             let at_ms = 1_000 + below(18_000);
-            faults.push(Fault { at_ms, for_ms: 0, kind: FaultKind::WatchesSilent });
+            faults.push(Fault { at_ms, for_ms: 0, kind: FaultKind::SilentWatches });
             let at_ms = at_ms + below(3_000);
-            faults.push(Fault { at_ms, for_ms: 4_000 + below(8_000), kind: FaultKind::Drain(host) });
+            faults.push(Fault { at_ms, for_ms: 4_000 + below(8_000), kind: FaultKind::HostDrain(host) });
         }
         if below(3) == 0 {
             let host = below(hosts) as usize;
--- a/crates/lab/tests/invariants.rs
+++ b/crates/lab/tests/invariants.rs
@@ -81,7 +81,7 @@
 #[test]
 fn an_attempt_that_starts_for_a_client_that_left() {
     let late = (0..3).map(|host| fault(0, 8_000, FaultKind::LateSessions(host, 400)));
-    let held_up = (0..2).map(|proxy| fault(0, 8_000, FaultKind::HoldUps(proxy, 8)));
+    let held_up = (0..2).map(|proxy| fault(0, 8_000, FaultKind::WriteDelays(proxy, 8)));
     let plan = Plan { rest_ms: 20, clients: 40, ..day(101, late.chain(held_up).collect()) };
     counted("departures are not asked for", Violation::StartedForDeparted, &plan);
 }
@@ -90,7 +90,7 @@
 #[test]
 fn an_attempt_that_starts_at_a_host_that_drains() {
     let late = (0..3).map(|host| fault(0, 8_000, FaultKind::LateSessions(host, 1_500)));
-    let drains = (0..3u64).map(|n| fault(1_500 + 1_500 * n, 1_300, FaultKind::Drain(1 + n as usize % 2)));
+    let drains = (0..3u64).map(|n| fault(1_500 + 1_500 * n, 1_300, FaultKind::HostDrain(1 + n as usize % 2)));
     let plan = day(102, late.chain(drains).collect());
     counted("drains are not asked for", Violation::StartedAtDraining, &plan);
 }
@@ -99,7 +99,7 @@
 #[test]
 fn a_repeat_that_starts_when_its_key_is_forgotten() {
     let late = fault(0, 8_000, FaultKind::LateSessions(0, 1_200));
-    let nonsense = (0..12u64).map(|n| fault(500 + 600 * n, 100, FaultKind::Garbage(0)));
+    let nonsense = (0..12u64).map(|n| fault(500 + 600 * n, 100, FaultKind::InvalidAnswers(0)));
     let plan = Plan { clients: 40, ..day(103, nonsense.chain([late]).collect()) };
     counted("attempts begin unchecked", Violation::RepeatedTooLate, &plan);
 }
@@ -117,7 +117,7 @@
 /// Writes that must not run twice fail, and are refused.
 #[test]
 fn a_refusal_of_what_may_have_run() {
-    let faults = vec![fault(1_000, 6_000, FaultKind::Errors(0))];
+    let faults = vec![fault(1_000, 6_000, FaultKind::HostErrors(0))];
     counted("refusals promise anything", Violation::RefusedAfterRun, &day(106, faults));
 }
 
--- a/crates/lab/tests/mutants.rs
+++ b/crates/lab/tests/mutants.rs
@@ -53,7 +53,10 @@
 
 #[test]
 fn a_request_without_its_final_answer() {
-    let faults = vec![fault(2_000, 3_000, FaultKind::Handover(0)), fault(2_000, 3_000, FaultKind::Errors(0))];
+    let faults = vec![
+        fault(2_000, 3_000, FaultKind::PrimaryHandover(0)),
+        fault(2_000, 3_000, FaultKind::HostErrors(0)),
+    ];
     caught("no final answer", "one final answer in time", &day(1, Family::Wait, faults));
 }
 
@@ -65,15 +68,17 @@
 
 #[test]
 fn an_attempt_that_is_out_beside_another() {
-    let faults =
-        vec![fault(2_000, 3_000, FaultKind::Slow(1, 20)), fault(2_000, 3_000, FaultKind::Slow(0, 20))];
+    let faults = vec![
+        fault(2_000, 3_000, FaultKind::SlowHost(1, 20)),
+        fault(2_000, 3_000, FaultKind::SlowHost(0, 20)),
+    ];
     caught("an attempt is left behind", "one attempt out", &day(3, Family::Wait, faults));
 }
 
 #[test]
 fn a_write_that_may_have_run_and_is_sent_again() {
     let faults =
-        vec![fault(1_500, 3_000, FaultKind::Slow(0, 10)), fault(2_000, 200, FaultKind::HostKilled(0))];
+        vec![fault(1_500, 3_000, FaultKind::SlowHost(0, 10)), fault(2_000, 200, FaultKind::HostKilled(0))];
     caught("a reset never ran", "no repeat beyond the class", &day(4, Family::Wait, faults));
 }
 
@@ -81,9 +86,9 @@
 fn a_write_whose_key_is_forgotten_and_is_sent_again() {
     // Writes that the old primary had in work when it died, and a new one that comes when keys are forgotten.
     let faults = vec![
-        fault(1_000, 950, FaultKind::Slow(0, 6)),
+        fault(1_000, 950, FaultKind::SlowHost(0, 6)),
         fault(1_950, 250, FaultKind::HostKilled(0)),
-        fault(1_950, 900, FaultKind::Handover(0)),
+        fault(1_950, 900, FaultKind::PrimaryHandover(0)),
     ];
     let plan = Plan { clients: 30, ..day(5, Family::Wait, faults) };
     caught("keys are kept longer", "no repeat beyond the class", &plan);
@@ -91,7 +96,7 @@
 
 #[test]
 fn work_for_a_host_that_drains() {
-    let faults = vec![fault(2_000, 3_000, FaultKind::Drain(1))];
+    let faults = vec![fault(2_000, 3_000, FaultKind::HostDrain(1))];
     caught("deaf to drains", "nothing new to a draining host", &day(6, Family::Wait, faults));
 }
 
@@ -99,8 +104,10 @@
 /// version beside hears of it by the line (`orders_by_hand_that_are_not_told`).
 #[test]
 fn work_for_a_host_left_out_by_hand() {
-    let faults =
-        vec![fault(1_500, 4_500, FaultKind::ByHand(0, 1)), fault(3_000, 300, FaultKind::ProxyKilled(0, 5))];
+    let faults = vec![
+        fault(1_500, 4_500, FaultKind::HostOverride(0, 1)),
+        fault(3_000, 300, FaultKind::ProxyKilled(0, 5)),
+    ];
     caught("files are not read", "nothing new to a draining host", &day(13, Family::Wait, faults));
 }
 
@@ -130,12 +137,15 @@
 
 #[test]
 fn a_read_that_is_too_old() {
-    let faults =
-        vec![fault(2_000, 4_000, FaultKind::Lag(1, 3_000)), fault(2_000, 4_000, FaultKind::Lag(2, 3_000))];
+    let faults = vec![
+        fault(2_000, 4_000, FaultKind::ReplicaLag(1, 3_000)),
+        fault(2_000, 4_000, FaultKind::ReplicaLag(2, 3_000)),
+    ];
     caught("positions run ahead", "no stale read", &day(8, Family::Unchecked, faults));
     // The program's own fault once, found by seed 1955: a primary that handed over is read from as one.
-    let handovers = (0..16u64).map(|n| fault(1_000 + 400 * n, 300, FaultKind::Handover(n as usize % 4)));
-    let lags = (0..12).map(|host| fault(900, 7_000, FaultKind::Lag(host, 2_000)));
+    let handovers =
+        (0..16u64).map(|n| fault(1_000 + 400 * n, 300, FaultKind::PrimaryHandover(n as usize % 4)));
+    let lags = (0..12).map(|host| fault(900, 7_000, FaultKind::ReplicaLag(host, 2_000)));
     let faults = lags.chain(handovers).collect();
     let plan = Plan { proxies: 3, groups: 4, rest_ms: 400, clients: 4, ..day(14, Family::Unchecked, faults) };
     caught("stale answers pass", "no stale read", &plan);
@@ -145,8 +155,8 @@
 #[test]
 fn a_peer_s_word_that_loosens_a_rule() {
     let faults = vec![
-        fault(1_000, 6_000, FaultKind::Lag(1, 3_000)),
-        fault(1_000, 6_000, FaultKind::Lag(2, 3_000)),
+        fault(1_000, 6_000, FaultKind::ReplicaLag(1, 3_000)),
+        fault(1_000, 6_000, FaultKind::ReplicaLag(2, 3_000)),
         fault(1_500, 5_000, FaultKind::ForgedPeer(1)),
     ];
     let plan =
@@ -156,8 +166,10 @@
 
 #[test]
 fn an_answer_to_another_request() {
-    let faults =
-        vec![fault(2_000, 3_000, FaultKind::Slow(1, 30)), fault(2_000, 3_000, FaultKind::Slow(2, 30))];
+    let faults = vec![
+        fault(2_000, 3_000, FaultKind::SlowHost(1, 30)),
+        fault(2_000, 3_000, FaultKind::SlowHost(2, 30)),
+    ];
     caught("late answers stay", "no answer nobody made", &day(9, Family::Wait, faults));
 }
 
@@ -178,7 +190,8 @@
 /// All watches fall silent, and a host drains behind them.
 #[test]
 fn a_watch_that_is_silent_and_kept() {
-    let faults = vec![fault(1_000, 0, FaultKind::WatchesSilent), fault(1_500, 12_000, FaultKind::Drain(1))];
+    let faults =
+        vec![fault(1_000, 0, FaultKind::SilentWatches), fault(1_500, 12_000, FaultKind::HostDrain(1))];
     let plan = Plan { for_ms: 14_000, ..day(17, Family::Wait, faults) };
     caught("silent watches are kept", "nothing new to a draining host", &plan);
 }
@@ -187,9 +200,9 @@
 #[test]
 fn a_call_that_waits_for_a_long_turn() {
     let faults = vec![
-        fault(1_000, 6_000, FaultKind::AgentSilent(0)),
-        fault(1_000, 6_000, FaultKind::AgentSilent(1)),
-        fault(7_500, 9_000, FaultKind::Drain(1)),
+        fault(1_000, 6_000, FaultKind::DiscoveryUnreachable(0)),
+        fault(1_000, 6_000, FaultKind::DiscoveryUnreachable(1)),
+        fault(7_500, 9_000, FaultKind::HostDrain(1)),
     ];
     let plan = Plan { for_ms: 18_000, ..day(18, Family::Wait, faults) };
     caught("turns are long", "nothing new to a draining host", &plan);
@@ -198,8 +211,10 @@
 /// Writes wait for a primary, and their clients leave.
 #[test]
 fn an_attempt_for_a_client_that_left() {
-    let faults =
-        vec![fault(1_500, 1_500, FaultKind::Handover(0)), fault(4_500, 1_500, FaultKind::Handover(0))];
+    let faults = vec![
+        fault(1_500, 1_500, FaultKind::PrimaryHandover(0)),
+        fault(4_500, 1_500, FaultKind::PrimaryHandover(0)),
+    ];
     let plan = Plan { clients: 40, rest_ms: 20, ..day(19, Family::Wait, faults) };
     caught("departures are not seen", "nothing begun for a client that left", &plan);
 }
@@ -223,7 +238,7 @@
 /// A host that works slowly holds requests for longer than a stop may take.
 #[test]
 fn a_stop_that_leaves_requests_open() {
-    let slow = (0..3).map(|host| fault(1_500, 5_000, FaultKind::Slow(host, 400)));
+    let slow = (0..3).map(|host| fault(1_500, 5_000, FaultKind::SlowHost(host, 400)));
     let replaced = (0..6).map(|proxy| fault(2_500, 500, FaultKind::ProxyReplaced(proxy)));
     let plan = Plan { proxies: 6, clients: 40, ..day(22, Family::Wait, slow.chain(replaced).collect()) };
     caught("stops with requests open", "everything is given back", &plan);
@@ -295,9 +310,9 @@
 #[test]
 fn a_note_that_waits_for_the_end_of_its_answer() {
     let faults = vec![
-        fault(2_900, 5_000, FaultKind::Lag(0, 5_000)),
+        fault(2_900, 5_000, FaultKind::ReplicaLag(0, 5_000)),
         fault(2_950, 350, FaultKind::RoleOnlyAnswers(0, 100)),
-        fault(3_000, 5_000, FaultKind::Handover(0)),
+        fault(3_000, 5_000, FaultKind::PrimaryHandover(0)),
         fault(3_300, 3_000, FaultKind::CutAnswers(0, 100)),
     ];
     caught("notes wait for the answer's end", "no stale read", &day_of(27, remembered(1_000), faults));
@@ -316,7 +331,7 @@
 #[test]
 fn orders_by_hand_that_are_not_told() {
     let faults = vec![
-        fault(1_000, 6_000, FaultKind::ByHand(0, 1)),
+        fault(1_000, 6_000, FaultKind::HostOverride(0, 1)),
         fault(2_000, 2_500, FaultKind::DiskUnreadable(0)),
         fault(2_200, 3_000, FaultKind::ProxyReplaced(0)),
     ];
--- a/crates/lab/tests/sim.rs
+++ b/crates/lab/tests/sim.rs
@@ -29,13 +29,13 @@
     for seed in 1..=6 {
         let fault = |at_ms, for_ms, kind| Fault { at_ms, for_ms, kind };
         let faults = vec![
-            fault(1_000, 2_000, FaultKind::Room(1)),
-            fault(1_500, 1_500, FaultKind::Hung(0)),
-            fault(1_800, 2_500, FaultKind::Drain(0)),
+            fault(1_000, 2_000, FaultKind::ZonePowerLoss(1)),
+            fault(1_500, 1_500, FaultKind::HostHung(0)),
+            fault(1_800, 2_500, FaultKind::HostDrain(0)),
             fault(2_000 + seed * 130, 300, FaultKind::ProxyKilled(0, seed * 3)),
             fault(2_500, 1_000, FaultKind::ProxyReplaced(1)),
-            fault(2_000, 3_000, FaultKind::Rude(1, 4)),
-            fault(3_000, 1_500, FaultKind::Handover(0)),
+            fault(2_000, 3_000, FaultKind::MisbehavingClients(1, 4)),
+            fault(3_000, 1_500, FaultKind::PrimaryHandover(0)),
         ];
         let family = [Family::Unchecked, Family::Reject, Family::Wait][seed as usize % 3];
         let (proxies, groups, members, clients, rest_ms) = (2, 2, 4, 12, 80);
@@ -152,7 +152,7 @@
         "rest_ms": 60, "for_ms": 3000, "choppy": false, "blind": true,
         "faults": [{"at_ms": 500, "what": "watches_hushed"}, {"at_ms": 600, "for_ms": 9, "what": {"liar": 1}}]}"#;
     let plan = sillfold_conf::parse::<Plan>("plan", text).expect("it is read");
-    assert_eq!(plan.faults[0].kind, FaultKind::WatchesSilent);
+    assert_eq!(plan.faults[0].kind, FaultKind::SilentWatches);
     assert_eq!(plan.faults[1].kind, FaultKind::ForgedPeer(1));
     let d = plan.deployment();
     assert_eq!(
@@ -168,8 +168,8 @@
 /// must not run twice, is not sent again.
 #[test]
 fn a_read_whose_answer_is_too_old_does_not_run_twice() {
-    let handovers = (0..10u64).map(|n| (700 + 700 * n, 500, FaultKind::Handover(0)));
-    let lags = (0..3).map(|host| (600, 7_000, FaultKind::Lag(host, 2_000)));
+    let handovers = (0..10u64).map(|n| (700 + 700 * n, 500, FaultKind::PrimaryHandover(0)));
+    let lags = (0..3).map(|host| (600, 7_000, FaultKind::ReplicaLag(host, 2_000)));
     let faults: Vec<Fault> =
         handovers.chain(lags).map(|(at_ms, for_ms, kind)| Fault { at_ms, for_ms, kind }).collect();
     let mut deployment = Deployment {
@@ -202,7 +202,7 @@
 fn an_order_by_hand_binds_a_version_that_starts_while_the_folder_cannot_be_read() {
     let fault = |at_ms, for_ms, kind| Fault { at_ms, for_ms, kind };
     let faults = vec![
-        fault(1_000, 6_000, FaultKind::ByHand(0, 1)),
+        fault(1_000, 6_000, FaultKind::HostOverride(0, 1)),
         fault(2_000, 2_500, FaultKind::DiskUnreadable(0)),
         fault(2_200, 3_000, FaultKind::ProxyReplaced(0)),
     ];
