--- a/crates/lab/src/sim/mod.rs
+++ b/crates/lab/src/sim/mod.rs
@@ -582,14 +582,17 @@
                 self.world.change_call_faults(p % proxies, |f| f.interrupted = begins)
             }
             FaultKind::ResourceShortage(p, percent) => {
-                self.world.change_call_faults(p % proxies, |f| f.shortage = if begins { percent } else { 0 });
+                self.world.change_call_faults(p % proxies, |f| {
+                    f.shortage_percent = if begins { percent } else { 0 }
+                });
             }
             FaultKind::WriteDelays(p, one_in) => {
-                self.world
-                    .change_call_faults(p % proxies, |f| f.held_up_one_in = if begins { one_in } else { 0 });
+                self.world.change_call_faults(p % proxies, |f| {
+                    f.delayed_write_one_in = if begins { one_in } else { 0 }
+                });
             }
             FaultKind::DiskUnreadable(p) => {
-                self.world.change_call_faults(p % proxies, |f| f.unreadable = begins)
+                self.world.change_call_faults(p % proxies, |f| f.unreadable_files = begins)
             }
             FaultKind::ProxyKilled(p, steps) if begins => {
                 if let Some(run) = &self.proxies[p % proxies] {
