--- a/crates/lab/src/sim/mod.rs
+++ b/crates/lab/src/sim/mod.rs
@@ -1,6 +1,7 @@
-//! A whole fleet in one thread and in virtual time: the proxy's own network code, among simulated hosts, discovery
-//! and clients. It owns the day: machines, their processes, what fails, and the order of steps. It must never let
-//! anything of the machine it runs on in: one seed is one day, to the byte.
+//! Simulation of a whole deployment in one thread and in virtual time: the proxies run their own network code, among
+//! simulated hosts, discovery and clients. This module sets up the machines and their processes, applies the faults of
+//! the plan, decides the order of steps and checks the rules that no host, agent or client can check. It must not depend
+//! on anything of the machine it runs on: one seed gives the same run, to the byte.
 
 pub mod agent;
 pub mod check;
@@ -26,7 +27,7 @@
 use sillfold::net::events::Events;
 use sillfold::net::proxy::Proxy;
 use sillfold::net::upgrade::Upgrade;
-use sillfold::net::world::{self as seam, Listener, Spawner};
+use sillfold::net::world::{self as net_world, Listener, Spawner};
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::future::Future;
@@ -38,25 +39,28 @@
 use std::task::{Context, Wake, Waker};
 use world::{Machine, Micros, World};
 
-/// Descriptors of a proxy, as its settings have it, and of other machines.
-const SOCKETS: usize = 192;
-const MANY: usize = 4_096;
-/// So many steps of tasks without time moving on: something spins.
-const SPINS: u64 = 400_000;
-/// After the last request, how long answers may take; then how long a stop may take.
-const REST: Micros = 7_000_000;
-const STOP: Micros = 4_500_000;
-/// Clients of a proxy that share each of its sessions, and one client in so many that roams over all proxies.
-const CLIENTS_OF_A_SESSION: usize = 3;
-const ROAMS_ONE_IN: usize = 6;
-/// A process that starts is ready by then, where discovery can be reached.
-const READY: Micros = 10_000_000;
-
-/// The figures of the rules on a day of this deployment.
-fn figures(plan: &Plan, deployment: &Deployment) -> Figures {
-    let holds_up = plan.faults.iter().any(|f| matches!(f.kind, FaultKind::WriteDelays(..)));
+/// Largest number of open descriptors of a proxy, on its machine and in its settings.
+const PROXY_DESCRIPTORS: usize = 192;
+/// Largest number of open descriptors of any other machine.
+const MACHINE_DESCRIPTORS: usize = 4_096;
+/// Steps of tasks without progress of time after which the simulation reports a busy loop.
+const MAX_STEPS_AT_ONE_TIME: u64 = 400_000;
+/// How long answers may take after the last request, in microseconds.
+const ANSWER_TIMEOUT_US: Micros = 7_000_000;
+/// How long a proxy may take to stop, in microseconds.
+const STOP_TIMEOUT_US: Micros = 4_500_000;
+/// Clients of a proxy that share each of its sessions.
+const CLIENTS_PER_SESSION: usize = 3;
+/// One client in this many sends requests to all proxies.
+const ROAMING_CLIENT_ONE_IN: usize = 6;
+/// How long a process may take until it is ready, while it can reach discovery, in microseconds.
+const READY_TIMEOUT_US: Micros = 10_000_000;
+
+/// The bounds of the rules for a run of this plan and deployment.
+fn rule_figures(plan: &Plan, deployment: &Deployment) -> Figures {
+    let has_write_delays = plan.faults.iter().any(|f| matches!(f.kind, FaultKind::WriteDelays(..)));
     Figures {
-        held_up: if holds_up { world::MAX_WRITE_DELAY_US } else { 0 },
+        held_up: if has_write_delays { world::MAX_WRITE_DELAY_US } else { 0 },
         grace: deployment::DRAIN_GRACE_US,
         start_capacity: deployment::COLD_START_CAPACITY,
         cold: deployment::COLD_DURATION_US,
@@ -71,120 +75,131 @@
     }
 }
 
-/// What came of a day.
+/// The result of a simulation run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Outcome {
-    /// The hash of the trace, and its lines.
+    /// Hash of the trace.
     pub hash: u64,
-    /// See there.
+    /// Number of lines of the trace.
     pub lines: u64,
-    /// Steps of tasks.
+    /// Number of steps of tasks.
     pub steps: u64,
-    /// What happened.
+    /// Counts of requests, results and attempts.
     pub counts: Counts,
-    /// Invariants that the proxies themselves found broken, and how often.
+    /// Violations that the proxies themselves reported, with their number.
     pub violations: BTreeMap<Violation, u64>,
-    /// The first broken rule, with the step, and the lines of the trace about it.
+    /// The first violated rule, the step at which it was violated, and the lines of the trace about it.
     pub broken: Option<(Broken, u64, Vec<String>)>,
-    /// The whole trace, where it was asked for.
+    /// The whole trace, if it was requested.
     pub trace: Vec<String>,
 }
 
 /// A process on a machine.
 struct Process {
     machine: Machine,
+    /// Runs the tasks of the process; none once the process has been killed.
     executor: Option<Rc<LocalExecutor<'static>>>,
+    /// The process hangs: none of its tasks runs.
     frozen: bool,
-    /// To be killed after so many more steps.
-    dying: Option<u64>,
-    /// Waits for a task that can run, while there is none.
-    idle: Option<Pin<Box<dyn Future<Output = ()>>>>,
-    is_awake: Arc<Awake>,
+    /// The number of steps after which the process is killed, if it is to be killed.
+    kill_after_steps: Option<u64>,
+    /// Completes once a task can run; set while no task can run.
+    next_task: Option<Pin<Box<dyn Future<Output = ()>>>>,
+    is_runnable: Arc<Runnable>,
 }
 
-/// Whether a process may have a task that can run.
-struct Awake(AtomicBool);
+/// A flag that is set while a process may have a task that can run.
+struct Runnable(AtomicBool);
 
-impl Wake for Awake {
+impl Wake for Runnable {
     fn wake(self: Arc<Self>) {
         self.0.store(true, Ordering::Relaxed);
     }
 }
 
 impl Process {
-    /// Whether a task of it may run: guards against asking every process after every step of the world.
-    fn is_awake(&self) -> bool {
-        self.is_awake.0.load(Ordering::Relaxed) && self.executor.is_some() && !self.frozen
+    /// Whether a task of the process may be able to run. Most processes are skipped by this check after each step of the
+    /// world.
+    fn is_runnable(&self) -> bool {
+        self.is_runnable.0.load(Ordering::Relaxed) && self.executor.is_some() && !self.frozen
     }
 
-    /// No task of it can run: it is asked again once one can.
-    fn sleeps(&mut self) {
+    /// Marks the process as not runnable until one of its tasks can run.
+    fn wait_for_task(&mut self) {
         let Some(executor) = self.executor.clone() else { return };
-        self.is_awake.0.store(false, Ordering::Relaxed);
-        let mut idle: Pin<Box<dyn Future<Output = ()>>> = Box::pin(async move { executor.tick().await });
-        let waker = Waker::from(self.is_awake.clone());
-        if idle.as_mut().poll(&mut Context::from_waker(&waker)).is_ready() {
-            self.is_awake.0.store(true, Ordering::Relaxed);
+        self.is_runnable.0.store(false, Ordering::Relaxed);
+        let mut next_task: Pin<Box<dyn Future<Output = ()>>> = Box::pin(async move { executor.tick().await });
+        let waker = Waker::from(self.is_runnable.clone());
+        if next_task.as_mut().poll(&mut Context::from_waker(&waker)).is_ready() {
+            self.is_runnable.0.store(true, Ordering::Relaxed);
             return;
         }
-        self.idle = Some(idle);
+        self.next_task = Some(next_task);
     }
 }
 
-/// A proxy's process, as the day knows it.
-struct Runs {
+/// A running process of a proxy.
+struct RunningProxy {
     process: usize,
     machine: Machine,
-    /// Since when it is to be ready, and could be.
-    waits: Cell<Option<Micros>>,
+    /// Since when the process is not ready although it could reach discovery; none once it is ready.
+    unready_since: Cell<Option<Micros>>,
     core: Rc<Core>,
     upgrade: Rc<Upgrade>,
     clients: Rc<sillfold::net::client::Clients>,
     hosts: Rc<sillfold::net::hosts::Hosts>,
+    /// Tells the process to stop.
     stop: Sender<()>,
+    /// Whether the process has stopped.
     done: Rc<Cell<bool>>,
 }
 
-struct Day {
+/// The state of a simulation run.
+struct Simulation {
     world: Rc<World>,
     fleet: Rc<Fleet>,
     agent: Rc<Agent>,
+    /// The machine and the address of discovery.
     agent_at: (Machine, SocketAddr),
     processes: Vec<Process>,
-    /// Process of each host.
+    /// Index of the process of each host.
     hosts: Vec<usize>,
-    /// Processes of each proxy: the present one, and those that stop.
-    proxies: Vec<Option<Runs>>,
-    /// Old versions that run beside them.
-    beside: Vec<Vec<Runs>>,
-    /// Hosts that operators leave out at each proxy, as its files tell.
-    out: Vec<BTreeSet<usize>>,
-    stopping: Vec<(Runs, Micros)>,
+    /// The current process of each proxy; none while the proxy is down.
+    proxies: Vec<Option<RunningProxy>>,
+    /// Replaced processes of each proxy that still run beside the current one.
+    replaced: Vec<Vec<RunningProxy>>,
+    /// Hosts that operators leave out at each proxy, as the proxy's files say.
+    overridden: Vec<BTreeSet<usize>>,
+    /// Processes that were told to stop, with the time by which they must have stopped.
+    stopping: Vec<(RunningProxy, Micros)>,
+    /// Each proxy as its clients know it.
     targets: Vec<Rc<Target>>,
-    /// Machines of clients that behave.
-    askers: BTreeSet<Machine>,
+    /// Machines of well-behaved clients.
+    client_machines: BTreeSet<Machine>,
     /// Machines whose process was killed.
     killed: BTreeSet<Machine>,
+    /// Number of well-behaved clients so far.
     clients: usize,
-    /// What each process counted, also of those that have ended.
+    /// Event counters of each process of a proxy, also of those that have ended.
     events: Vec<Rc<Events>>,
     plan: Plan,
     steps: u64,
 }
 
+/// The address of the `n`th machine of a kind: 1 discovery, 2 hosts, 3 proxies, 4 the proxies' peer sockets.
 fn address(kind: u8, n: usize, port: u16) -> SocketAddr {
     SocketAddr::new(IpAddr::V4(Ipv4Addr::new(10, kind, (n / 250) as u8, (n % 250) as u8 + 1)), port)
 }
 
-/// Runs a day.
+/// Runs a simulation. With `whole_trace`, the outcome holds the whole trace.
 pub fn run(plan: &Plan, whole_trace: bool) -> Outcome {
     let world = World::new(plan.seed, plan.partial_io, whole_trace);
     let deployment = plan.deployment();
-    let book = Book::new(figures(plan, &deployment));
+    let book = Book::new(rule_figures(plan, &deployment));
     let fleet = Rc::new(Fleet::new(world.clone(), book, deployment));
-    let machine = world.add_machine(MANY);
+    let machine = world.add_machine(MACHINE_DESCRIPTORS);
     let agent = Rc::new(Agent::new(fleet.clone(), machine));
-    let mut day = Day {
+    let mut simulation = Simulation {
         agent_at: (machine, address(1, 0, 80)),
         world,
         fleet,
@@ -192,38 +207,46 @@
         processes: Vec::new(),
         hosts: Vec::new(),
         proxies: Vec::new(),
-        beside: Vec::new(),
-        out: Vec::new(),
+        replaced: Vec::new(),
+        overridden: Vec::new(),
         stopping: Vec::new(),
         targets: Vec::new(),
-        askers: BTreeSet::new(),
+        client_machines: BTreeSet::new(),
         killed: BTreeSet::new(),
         clients: 0,
         events: Vec::new(),
         plan: plan.clone(),
         steps: 0,
     };
-    day.begin();
-    day.go();
-    let broken = day.fleet.book.borrow_mut().broken.take();
+    simulation.set_up();
+    simulation.run();
+    let broken = simulation.fleet.book.borrow_mut().broken.take();
     let broken = broken.map(|b| {
-        let about = day.world.trace_tail(&b.about);
-        (b, day.steps, about)
+        let about = simulation.world.trace_tail(&b.about);
+        (b, simulation.steps, about)
     });
-    let ((hash, lines), counts) = (day.world.trace_hash(), day.fleet.book.borrow().counts);
-    let violations = day.violations();
-    Outcome { hash, lines, steps: day.steps, counts, violations, broken, trace: day.world.take_trace() }
+    let ((hash, lines), counts) = (simulation.world.trace_hash(), simulation.fleet.book.borrow().counts);
+    let violations = simulation.violations();
+    Outcome {
+        hash,
+        lines,
+        steps: simulation.steps,
+        counts,
+        violations,
+        broken,
+        trace: simulation.world.take_trace(),
+    }
 }
 
-/// Smaller plans that break the same rule, as far as so many tries find.
+/// Looks for the smallest plan that violates the same rule, with at most `tries` runs.
 pub fn shrink(plan: &Plan, rule: &str, tries: usize) -> Plan {
-    let (mut best, mut left) = (plan.clone(), tries);
+    let (mut best, mut tries_left) = (plan.clone(), tries);
     'smaller: loop {
         for next in best.smaller() {
-            if left == 0 {
+            if tries_left == 0 {
                 return best;
             }
-            left -= 1;
+            tries_left -= 1;
             if run(&next, false).broken.is_some_and(|b| b.0.rule == rule) {
                 best = next;
                 continue 'smaller;
@@ -233,240 +256,252 @@
     }
 }
 
-impl Day {
-    fn process(&mut self, machine: Machine) -> (usize, Rc<LocalExecutor<'static>>) {
+impl Simulation {
+    /// Adds a process on a machine. Returns its index and its executor.
+    fn add_process(&mut self, machine: Machine) -> (usize, Rc<LocalExecutor<'static>>) {
         let executor = Rc::new(LocalExecutor::new());
         self.processes.push(Process {
             machine,
             executor: Some(executor.clone()),
             frozen: false,
-            dying: None,
-            idle: None,
-            is_awake: Arc::new(Awake(AtomicBool::new(true))),
+            kill_after_steps: None,
+            next_task: None,
+            is_runnable: Arc::new(Runnable(AtomicBool::new(true))),
         });
         (self.processes.len() - 1, executor)
     }
 
-    fn listens<F: Future<Output = ()> + 'static>(
+    /// Adds a process that serves connections at an address.
+    fn start_server<F: Future<Output = ()> + 'static>(
         &mut self, machine: Machine, at: SocketAddr, serve: impl FnOnce(Listener, Spawner) -> F,
     ) -> usize {
-        let (process, executor) = self.process(machine);
-        let seat = self.world.view_from(machine);
-        let listener = seam::with(seat, || Listener::alone(at));
+        let (process, executor) = self.add_process(machine);
+        let view = self.world.view_from(machine);
+        let listener = net_world::with(view, || Listener::alone(at));
         if let Ok(listener) = listener {
             executor.spawn(serve(listener, Spawner::of(&executor))).detach();
         }
         process
     }
 
-    fn begin(&mut self) {
+    /// Starts discovery, the hosts, the proxies and the clients.
+    fn set_up(&mut self) {
         let (groups, members) = (self.plan.groups, self.plan.members);
-        for n in 0..groups * members {
-            let at = address(2, n, 5432);
-            let zone = self.fleet.deployment.zone_of(n);
-            self.fleet.add(n / members, zone, at, n % members == 0);
+        for host in 0..groups * members {
+            let at = address(2, host, 5432);
+            let zone = self.fleet.deployment.zone_of(host);
+            self.fleet.add(host / members, zone, at, host % members == 0);
         }
         let agent = self.agent.clone();
         let (machine, at) = self.agent_at;
-        self.listens(machine, at, |listener, spawner| {
+        self.start_server(machine, at, |listener, spawner| {
             spawner.spawn(agent.clone().counts());
             agent.serve(listener, spawner)
         });
-        for n in 0..groups * members {
-            let machine = self.world.add_machine(MANY);
-            let process = self.host(n, machine);
+        for host in 0..groups * members {
+            let machine = self.world.add_machine(MACHINE_DESCRIPTORS);
+            let process = self.start_host_process(host, machine);
             self.hosts.push(process);
         }
-        for p in 0..self.plan.proxies {
+        for proxy in 0..self.plan.proxies {
             let until = self.plan.for_ms * 1_000;
             let (killed, out) = (Cell::new(None), Cell::new(0));
-            self.targets.push(Rc::new(Target { address: address(3, p, 5433), killed, until, out }));
+            self.targets.push(Rc::new(Target { address: address(3, proxy, 5433), killed, until, out }));
             self.proxies.push(None);
-            self.beside.push(Vec::new());
-            self.out.push(BTreeSet::new());
-            self.proxy(p);
+            self.replaced.push(Vec::new());
+            self.overridden.push(BTreeSet::new());
+            self.start_proxy(proxy);
         }
-        for p in 0..self.plan.proxies {
-            let machine = self.world.add_machine(MANY);
-            self.askers.insert(machine);
-            let (_, executor) = self.process(machine);
+        for proxy in 0..self.plan.proxies {
+            let machine = self.world.add_machine(MACHINE_DESCRIPTORS);
+            self.client_machines.insert(machine);
+            let (_, executor) = self.add_process(machine);
             for _ in 0..self.plan.clients {
-                let client = self.client(p);
+                let client = self.new_client(proxy);
                 executor.spawn(client::asks(self.fleet.clone(), client)).detach();
             }
         }
     }
 
-    /// One more client of a proxy; some roam over all of them.
-    fn client(&mut self, p: usize) -> Client {
+    /// Creates a client of a proxy, or of all proxies for some clients.
+    fn new_client(&mut self, proxy: usize) -> Client {
         self.clients += 1;
         let (number, rest_ms, groups) = (self.clients, self.plan.rest_ms, self.plan.groups);
-        let shared = self.plan.clients.div_ceil(CLIENTS_OF_A_SESSION) as u64;
-        let roams = number.is_multiple_of(ROAMS_ONE_IN);
-        let targets = if roams { self.targets.clone() } else { vec![self.targets[p].clone()] };
-        Client { number, targets, sessions: (p as u64 * shared, shared), groups, rest_ms }
+        let shared = self.plan.clients.div_ceil(CLIENTS_PER_SESSION) as u64;
+        let roams = number.is_multiple_of(ROAMING_CLIENT_ONE_IN);
+        let targets = if roams { self.targets.clone() } else { vec![self.targets[proxy].clone()] };
+        Client { number, targets, sessions: (proxy as u64 * shared, shared), groups, rest_ms }
     }
 
     /// Starts a host's process on its machine.
-    fn host(&mut self, n: usize, machine: Machine) -> usize {
-        let at = self.fleet.hosts.borrow()[n].address;
+    fn start_host_process(&mut self, host: usize, machine: Machine) -> usize {
+        let at = self.fleet.hosts.borrow()[host].address;
         let fleet = self.fleet.clone();
-        self.listens(machine, at, |listener, spawner| fleet.serve(n, listener, spawner))
+        self.start_server(machine, at, |listener, spawner| fleet.serve(host, listener, spawner))
     }
 
-    /// Starts a proxy's process on a machine of its own; where one was there before, beside it.
-    fn proxy(&mut self, p: usize) {
-        let machine = self.world.add_machine_with_disk(SOCKETS, p);
-        let (process, executor) = self.process(machine);
-        let settings = self.fleet.deployment.settings(p, self.plan.proxies, self.plan.peer_messages);
+    /// Starts a process of a proxy, on a machine of its own with the proxy's disk. A running process keeps running.
+    fn start_proxy(&mut self, ordinal: usize) {
+        let machine = self.world.add_machine_with_disk(PROXY_DESCRIPTORS, ordinal);
+        let (process, executor) = self.add_process(machine);
+        let settings = self.fleet.deployment.settings(ordinal, self.plan.proxies, self.plan.peer_messages);
         let mut text = serde_json::json!({
-            "name": format!("p{p}"), "listen": self.targets[p].address.to_string(),
+            "name": format!("p{ordinal}"), "listen": self.targets[ordinal].address.to_string(),
             "discovery": self.agent_at.1.to_string(),
             "seed": format!("{:x}", self.world.draw_below(u64::MAX)),
-            "limits": {"sockets": SOCKETS, "memory_mb": 48},
+            "limits": {"sockets": PROXY_DESCRIPTORS, "memory_mb": 48},
             "linger_ms": 300, "settings": settings,
         });
         if self.plan.peer_messages {
-            text["peer_listen"] = address(4, p, 7946).to_string().into();
-            text["peers"] = (0..self.plan.proxies).map(|q| address(4, q, 7946).to_string()).collect();
+            text["peer_listen"] = address(4, ordinal, 7946).to_string().into();
+            text["peers"] = (0..self.plan.proxies).map(|peer| address(4, peer, 7946).to_string()).collect();
         }
-        let started = seam::with(self.world.view_from(machine), || {
+        let started = net_world::with(self.world.view_from(machine), || {
             let mut config = Config::from_text(text.to_string().as_bytes(), Some("/tmp/proxy".into()))?;
             Proxy::start(&mut config, &Default::default(), &Spawner::of(&executor))
         });
         let proxy = match started {
             Ok(proxy) => proxy,
-            Err(what) => return self.breaks("it starts", what),
+            Err(what) => return self.report_violation("it starts", what),
         };
         let (stop, stopped) = async_channel::bounded(1);
         let done = Rc::new(Cell::new(false));
         let (core, clients, hosts) = (proxy.core.clone(), proxy.clients.clone(), proxy.hosts.clone());
         let upgrade = proxy.upgrade.clone();
         self.events.push(core.events.clone());
-        // What was done by hand outlasts the process that was told.
-        for host in &self.out[p] {
+        // Manual overrides of hosts outlast the process that received them.
+        for host in &self.overridden[ordinal] {
             self.fleet.book.borrow_mut().by_hand(machine, *host, true, self.world.now());
         }
-        let told = done.clone();
+        let has_stopped = done.clone();
         let run = async move {
             let _ = proxy.run(stopped).await;
-            told.set(true);
+            has_stopped.set(true);
         };
         executor.spawn(run).detach();
         self.agent.serves(machine);
-        let waits = Cell::new(Some(self.world.now()));
-        self.proxies[p] = Some(Runs { process, machine, waits, core, upgrade, clients, hosts, stop, done });
+        let unready_since = Cell::new(Some(self.world.now()));
+        self.proxies[ordinal] =
+            Some(RunningProxy { process, machine, unready_since, core, upgrade, clients, hosts, stop, done });
     }
 
-    fn breaks(&self, rule: &'static str, what: String) {
+    /// Records the violation of a rule.
+    fn report_violation(&self, rule: &'static str, what: String) {
         self.fleet.book.borrow_mut().breaks(rule, self.world.now(), what, &[]);
     }
 
+    /// Whether a rule was violated.
     fn is_broken(&self) -> bool {
         self.fleet.book.borrow().broken.is_some()
     }
 
-    fn go(&mut self) {
-        // What begins and what ends, in time.
+    /// Runs the simulation until a rule is violated or the time is over.
+    fn run(&mut self) {
+        // The begin and the end of each fault, by time and order; the flag is true for the begin.
         let mut script: BTreeMap<(Micros, usize), (Fault, bool)> = BTreeMap::new();
         for (i, f) in self.plan.faults.iter().enumerate() {
             script.insert((f.at_ms * 1_000, 2 * i), (f.clone(), true));
             script.insert(((f.at_ms + f.for_ms) * 1_000, 2 * i + 1), (f.clone(), false));
         }
-        let asked = self.plan.for_ms * 1_000;
-        let (rested, end) = (asked + REST, asked + REST + STOP);
-        let (mut stops, mut ended) = (false, false);
+        let last_request = self.plan.for_ms * 1_000;
+        let stop_time = last_request + ANSWER_TIMEOUT_US;
+        let end = last_request + ANSWER_TIMEOUT_US + STOP_TIMEOUT_US;
+        let (mut are_stopped, mut ended) = (false, false);
         while !self.is_broken() {
-            self.settle();
-            self.looks();
+            self.run_tasks();
+            self.check_world();
             let next = script.first_key_value().map_or(end, |(key, _)| key.0.min(end));
-            let next = if stops { next } else { next.min(rested) };
+            let next = if are_stopped { next } else { next.min(stop_time) };
             if self.world.step(next) {
                 continue;
             }
             if let Some(entry) = script.first_entry().filter(|e| e.key().0 <= next) {
                 let (fault, begins) = entry.remove();
-                self.fault(&fault, begins);
-            } else if !stops {
-                stops = true;
-                self.rested();
+                self.apply_fault(&fault, begins);
+            } else if !are_stopped {
+                are_stopped = true;
+                self.stop_all();
             } else if self.world.now() >= end {
                 ended = true;
                 break;
             }
-            self.stopped();
+            self.check_stopping();
         }
         if ended && !self.is_broken() {
-            self.over();
+            self.check_end();
         }
     }
 
-    /// What no host, agent or client sees: connections closed over what was sent, and processes that are not ready.
-    fn looks(&self) {
+    /// Checks the rules that no host, agent or client can check: connections closed while sent bytes were unread, and
+    /// processes that do not become ready.
+    fn check_world(&self) {
         for (from, to) in self.world.take_closed_with_unread_data() {
-            // Whoever is killed does not choose when.
-            if self.askers.contains(&from) && !self.killed.contains(&to) {
-                let what = format!("machine {to} closed a connection over what machine {from} had sent");
-                self.breaks("no close over what was sent", what);
+            // A killed process cannot choose when it closes its connections.
+            if self.client_machines.contains(&from) && !self.killed.contains(&to) {
+                let what =
+                    format!("machine {to} closed a connection while bytes from machine {from} were unread");
+                self.report_violation("no close over what was sent", what);
             }
         }
         let now = self.world.now();
-        for run in self.proxies.iter().flatten() {
-            let Some(since) = run.waits.get() else { continue };
-            let ready = seam::with(self.world.view_from(run.machine), || run.core.is_ready());
+        for running in self.proxies.iter().flatten() {
+            let Some(since) = running.unready_since.get() else { continue };
+            let ready = net_world::with(self.world.view_from(running.machine), || running.core.is_ready());
             let since = Some(since).filter(|_| !ready);
-            // While nobody could tell it, it cannot know.
-            let cut = self.world.is_blocked(self.agent_at.0, run.machine);
-            run.waits.set(since.map(|since| if cut { now } else { since }));
-            if since.is_some_and(|since| !cut && now > since + READY) {
-                self.breaks(
+            // The process cannot learn the list of hosts while discovery cannot reach it.
+            let is_blocked = self.world.is_blocked(self.agent_at.0, running.machine);
+            running.unready_since.set(since.map(|since| if is_blocked { now } else { since }));
+            if since.is_some_and(|since| !is_blocked && now > since + READY_TIMEOUT_US) {
+                self.report_violation(
                     "ready in time",
-                    format!("machine {} is not ready after {READY} us", run.machine),
+                    format!("machine {} is not ready after {READY_TIMEOUT_US} us", running.machine),
                 );
             }
         }
     }
 
-    /// Lets every task run that can.
-    fn settle(&mut self) {
-        let mut spins = 0;
+    /// Runs all tasks that can run at the present time.
+    fn run_tasks(&mut self) {
+        let mut steps_at_one_time = 0;
         loop {
             let before = self.steps;
-            for i in 0..self.processes.len() {
-                let p = &mut self.processes[i];
-                if !p.is_awake() || self.world.is_delayed(p.machine) {
+            for index in 0..self.processes.len() {
+                let process = &mut self.processes[index];
+                if !process.is_runnable() || self.world.is_delayed(process.machine) {
                     continue;
                 }
-                p.idle = None;
-                let Some(executor) = p.executor.clone() else { continue };
-                let (seat, dying) = (self.world.view_from(p.machine), p.dying);
-                let most = dying.unwrap_or(u64::MAX).min(1_000);
-                let ticks = seam::with(seat, || {
+                process.next_task = None;
+                let Some(executor) = process.executor.clone() else { continue };
+                let (view, kill_after_steps) =
+                    (self.world.view_from(process.machine), process.kill_after_steps);
+                let max_ticks = kill_after_steps.unwrap_or(u64::MAX).min(1_000);
+                let ticks = net_world::with(view, || {
                     let mut ticks = 0;
-                    while ticks < most && executor.try_tick() {
+                    while ticks < max_ticks && executor.try_tick() {
                         ticks += 1;
                     }
                     ticks
                 });
-                if ticks < most {
-                    p.sleeps();
+                if ticks < max_ticks {
+                    process.wait_for_task();
                 }
                 drop(executor);
                 self.steps += ticks;
-                if let Some(left) = dying {
+                if let Some(left) = kill_after_steps {
                     if left <= ticks {
-                        self.kill(i);
+                        self.kill(index);
                     } else {
-                        self.processes[i].dying = Some(left - ticks);
+                        self.processes[index].kill_after_steps = Some(left - ticks);
                     }
                 }
                 if self.is_broken() {
                     return;
                 }
             }
-            spins += self.steps - before;
-            if spins > SPINS {
-                return self.breaks("nothing waits for ever", "tasks run on and on in one instant".into());
+            steps_at_one_time += self.steps - before;
+            if steps_at_one_time > MAX_STEPS_AT_ONE_TIME {
+                return self
+                    .report_violation("nothing waits for ever", "tasks keep running at one time".into());
             }
             if self.steps == before {
                 return;
@@ -474,10 +509,10 @@
         }
     }
 
-    /// Ends a process where it stands; its machine closes what it had open.
+    /// Kills a process at once; its machine closes the connections that it had open.
     fn kill(&mut self, process: usize) {
         let p = &mut self.processes[process];
-        (p.dying, p.idle) = (None, None);
+        (p.kill_after_steps, p.next_task) = (None, None);
         let (executor, machine) = (p.executor.take(), p.machine);
         let killed: Vec<usize> = (0..self.proxies.len())
             .filter(|n| self.proxies[*n].as_ref().is_some_and(|r| r.process == process))
@@ -487,318 +522,337 @@
             self.targets[n].killed.set(Some(self.world.now()));
             self.proxies[n] = None;
         }
-        for n in 0..self.beside.len() {
-            let before = self.beside[n].len();
-            self.beside[n].retain(|r| r.process != process);
-            if self.beside[n].len() < before {
+        for n in 0..self.replaced.len() {
+            let before = self.replaced[n].len();
+            self.replaced[n].retain(|r| r.process != process);
+            if self.replaced[n].len() < before {
                 self.targets[n].killed.set(Some(self.world.now()));
             }
         }
         self.killed.insert(machine);
-        seam::with(self.world.view_from(machine), || drop(executor));
+        net_world::with(self.world.view_from(machine), || drop(executor));
     }
 
-    fn fault(&mut self, fault: &Fault, begins: bool) {
+    /// Applies the begin or the end of a fault.
+    fn apply_fault(&mut self, fault: &Fault, begins: bool) {
         self.world.trace(|| format!("{:?} {}", fault.kind, if begins { "begins" } else { "ends" }));
         let (hosts, members) = (self.hosts.len(), self.plan.members);
-        let host = |n: usize| n % hosts;
+        let host_index = |number: usize| number % hosts;
         let proxies = self.plan.proxies;
         match fault.kind {
             FaultKind::ZonePowerLoss(zone) => {
-                for n in 0..hosts {
-                    if self.fleet.hosts.borrow()[n].zone == zone {
-                        if begins { self.lose(n) } else { self.start_host(n) }
+                for host in 0..hosts {
+                    if self.fleet.hosts.borrow()[host].zone == zone {
+                        if begins { self.power_off_host(host) } else { self.restart_host(host) }
                     }
                 }
             }
-            FaultKind::HostKilled(n) if begins => {
-                let process = self.hosts[host(n)];
+            FaultKind::HostKilled(host) if begins => {
+                let process = self.hosts[host_index(host)];
                 self.kill(process);
             }
-            FaultKind::HostKilled(n) => self.start_host(host(n)),
-            FaultKind::HostHung(n) => {
-                let process = self.hosts[host(n)];
+            FaultKind::HostKilled(host) => self.restart_host(host_index(host)),
+            FaultKind::HostHung(host) => {
+                let process = self.hosts[host_index(host)];
                 self.processes[process].frozen = begins;
             }
             FaultKind::PrimaryHandover(group) => {
                 let first = group % self.plan.groups * members;
-                let present = (first..first + members).find(|n| self.fleet.hosts.borrow()[*n].primary);
+                let present = (first..first + members).find(|host| self.fleet.hosts.borrow()[*host].primary);
                 match (begins, present) {
                     (true, Some(old)) => self.fleet.set_role(old, false),
                     (false, None) => {
-                        // Never one that is behind what was committed: it has caught up.
-                        let n = first + self.world.draw_below(members as u64) as usize;
-                        self.fleet.set_role(n, true);
+                        // Any host of the group may become the primary: a primary has applied addresses commits, whatever its lag was.
+                        let host = first + self.world.draw_below(members as u64) as usize;
+                        self.fleet.set_role(host, true);
                     }
                     _ => {}
                 }
             }
-            FaultKind::ReplicaLag(n, ms) => {
+            FaultKind::ReplicaLag(host, ms) => {
                 let lag = if begins { ms * 1_000 } else { self.fleet.usual_lag() };
-                self.fleet.lags(host(n), lag);
+                self.fleet.lags(host_index(host), lag);
             }
-            FaultKind::HostErrors(n) | FaultKind::InvalidAnswers(n) => {
+            FaultKind::HostErrors(host) | FaultKind::InvalidAnswers(host) => {
                 let mode = match fault.kind {
                     _ if !begins => Mode::Well,
                     FaultKind::HostErrors(_) => Mode::Errors,
                     _ => Mode::Garbage,
                 };
-                self.fleet.hosts.borrow_mut()[host(n)].mode = mode;
+                self.fleet.hosts.borrow_mut()[host_index(host)].mode = mode;
+            }
+            FaultKind::SlowHost(host, times) => {
+                self.fleet.hosts.borrow_mut()[host_index(host)].slow = if begins { times } else { 1 };
             }
-            FaultKind::SlowHost(n, times) => {
-                self.fleet.hosts.borrow_mut()[host(n)].slow = if begins { times } else { 1 };
+            FaultKind::HostDrain(host) if begins => {
+                self.fleet.change(host_index(host), |h| h.status = "DRAINING")
             }
-            FaultKind::HostDrain(n) if begins => self.fleet.change(host(n), |h| h.status = "DRAINING"),
-            FaultKind::HostDrain(n) => {
-                self.kill(self.hosts[host(n)]);
-                self.start_host(host(n));
-                self.fleet.change(host(n), |h| h.status = "SERVING");
+            FaultKind::HostDrain(host) => {
+                self.kill(self.hosts[host_index(host)]);
+                self.restart_host(host_index(host));
+                self.fleet.change(host_index(host), |h| h.status = "SERVING");
             }
-            FaultKind::ProxyToHostCut(p, n) | FaultKind::HostToProxyCut(p, n) => {
-                let Some(run) = &self.proxies[p % proxies] else { return };
-                let (there, here) =
-                    (self.processes[self.hosts[host(n)]].machine, self.processes[run.process].machine);
+            FaultKind::ProxyToHostCut(proxy, host) | FaultKind::HostToProxyCut(proxy, host) => {
+                let Some(running) = &self.proxies[proxy % proxies] else { return };
+                let (host_machine, proxy_machine) = (
+                    self.processes[self.hosts[host_index(host)]].machine,
+                    self.processes[running.process].machine,
+                );
                 let (from, to) = if matches!(fault.kind, FaultKind::ProxyToHostCut(..)) {
-                    (here, there)
+                    (proxy_machine, host_machine)
                 } else {
-                    (there, here)
+                    (host_machine, proxy_machine)
                 };
                 self.world.set_blocked(from, to, begins);
             }
-            FaultKind::DiscoveryUnreachable(p) => {
-                let Some(run) = &self.proxies[p % proxies] else { return };
-                let here = self.processes[run.process].machine;
-                self.world.set_blocked(self.agent_at.0, here, begins);
-                // What is held back may come, or never: nobody can say what it knows until it hears a list again.
+            FaultKind::DiscoveryUnreachable(proxy) => {
+                let Some(running) = &self.proxies[proxy % proxies] else { return };
+                let proxy_machine = self.processes[running.process].machine;
+                self.world.set_blocked(self.agent_at.0, proxy_machine, begins);
+                // The proxy may or may not receive what is held back, so the rules assume nothing about what it knows
+                // until it receives a list again.
                 let after = if begins { self.world.now() } else { 0 };
-                self.fleet.book.borrow_mut().untells(here, after);
+                self.fleet.book.borrow_mut().untells(proxy_machine, after);
             }
             FaultKind::DiscoveryStale => self.agent.stale.set(begins.then(|| self.fleet.index.get())),
-            FaultKind::ClockStep(p, ms) => {
+            FaultKind::ClockStep(proxy, ms) => {
                 let by = if begins { ms } else { -ms } * 1_000;
-                self.world.step_clock(p % proxies, by);
+                self.world.step_clock(proxy % proxies, by);
             }
-            FaultKind::Interruptions(p) => {
-                self.world.change_call_faults(p % proxies, |f| f.interrupted = begins)
+            FaultKind::Interruptions(proxy) => {
+                self.world.change_call_faults(proxy % proxies, |f| f.interrupted = begins)
             }
-            FaultKind::ResourceShortage(p, percent) => {
-                self.world.change_call_faults(p % proxies, |f| {
+            FaultKind::ResourceShortage(proxy, percent) => {
+                self.world.change_call_faults(proxy % proxies, |f| {
                     f.shortage_percent = if begins { percent } else { 0 }
                 });
             }
-            FaultKind::WriteDelays(p, one_in) => {
-                self.world.change_call_faults(p % proxies, |f| {
+            FaultKind::WriteDelays(proxy, one_in) => {
+                self.world.change_call_faults(proxy % proxies, |f| {
                     f.delayed_write_one_in = if begins { one_in } else { 0 }
                 });
             }
-            FaultKind::DiskUnreadable(p) => {
-                self.world.change_call_faults(p % proxies, |f| f.unreadable_files = begins)
+            FaultKind::DiskUnreadable(proxy) => {
+                self.world.change_call_faults(proxy % proxies, |f| f.unreadable_files = begins)
             }
-            FaultKind::ProxyKilled(p, steps) if begins => {
-                if let Some(run) = &self.proxies[p % proxies] {
-                    self.processes[run.process].dying = Some(steps.max(1));
+            FaultKind::ProxyKilled(proxy, steps) if begins => {
+                if let Some(running) = &self.proxies[proxy % proxies] {
+                    self.processes[running.process].kill_after_steps = Some(steps.max(1));
                 }
             }
-            FaultKind::ProxyKilled(p, _) => {
-                if let Some(run) = &self.proxies[p % proxies] {
-                    // It had too little to do to die in the middle of it.
-                    let process = run.process;
-                    if self.processes[process].dying.is_some() {
+            FaultKind::ProxyKilled(proxy, _) => {
+                if let Some(running) = &self.proxies[proxy % proxies] {
+                    // The process had fewer steps to do than the fault waits for, so it is killed now.
+                    let process = running.process;
+                    if self.processes[process].kill_after_steps.is_some() {
                         self.kill(process);
                     }
                 }
-                if self.proxies[p % proxies].is_none() {
-                    self.proxy(p % proxies);
+                if self.proxies[proxy % proxies].is_none() {
+                    self.start_proxy(proxy % proxies);
                 }
             }
-            FaultKind::ProxyReplaced(p) if begins => {
-                // Two versions at a time, no more.
-                if self.beside[p % proxies].is_empty()
-                    && let Some(old) = self.proxies[p % proxies].take()
+            FaultKind::ProxyReplaced(proxy) if begins => {
+                // At most two versions of a proxy run at a time.
+                if self.replaced[proxy % proxies].is_empty()
+                    && let Some(old) = self.proxies[proxy % proxies].take()
                 {
-                    self.proxy(p % proxies);
-                    self.beside[p % proxies].push(old);
+                    self.start_proxy(proxy % proxies);
+                    self.replaced[proxy % proxies].push(old);
                 }
             }
-            FaultKind::ProxyReplaced(p) => {
-                for old in std::mem::take(&mut self.beside[p % proxies]) {
-                    self.end(old);
+            FaultKind::ProxyReplaced(proxy) => {
+                for old in std::mem::take(&mut self.replaced[proxy % proxies]) {
+                    self.stop_proxy(old);
                 }
             }
             FaultKind::SilentWatches if begins => self.agent.silence(),
             FaultKind::SilentWatches => {}
-            FaultKind::LateSessions(n, ms) => {
-                self.fleet.hosts.borrow_mut()[host(n)].late = if begins { ms * 1_000 } else { 0 };
+            FaultKind::LateSessions(host, ms) => {
+                self.fleet.hosts.borrow_mut()[host_index(host)].late = if begins { ms * 1_000 } else { 0 };
             }
-            FaultKind::CutAnswers(n, percent) => {
-                self.fault_answers(host(n), begins, (AnswerFault::Cut, percent));
+            FaultKind::CutAnswers(host, percent) => {
+                self.set_answer_fault(host_index(host), begins, (AnswerFault::Cut, percent));
             }
-            FaultKind::LostAnswers(n, percent) => {
-                self.fault_answers(host(n), begins, (AnswerFault::Lost, percent));
+            FaultKind::LostAnswers(host, percent) => {
+                self.set_answer_fault(host_index(host), begins, (AnswerFault::Lost, percent));
             }
-            FaultKind::DelayedAnswers(n, percent, ms) => {
-                self.fault_answers(host(n), begins, (AnswerFault::Delayed(ms * 1_000), percent));
+            FaultKind::DelayedAnswers(host, percent, ms) => {
+                self.set_answer_fault(host_index(host), begins, (AnswerFault::Delayed(ms * 1_000), percent));
             }
-            FaultKind::RoleOnlyAnswers(n, percent) => {
-                self.fault_answers(host(n), begins, (AnswerFault::RoleOnly, percent));
+            FaultKind::RoleOnlyAnswers(host, percent) => {
+                self.set_answer_fault(host_index(host), begins, (AnswerFault::RoleOnly, percent));
             }
-            FaultKind::HostOverride(p, n) => self.by_hand(p % proxies, host(n), begins),
-            FaultKind::DiskFull(p) => self.world.set_disk_full(p % proxies, begins),
-            FaultKind::TruncatedFile(p) if begins => {
-                let torn = self.world.truncate_random_file(p % proxies);
-                self.world.trace(|| format!("{torn:?} is torn"));
-                // Whatever it said, the next process may not know it.
-                self.out[p % proxies].clear();
+            FaultKind::HostOverride(proxy, host) => {
+                self.override_host(proxy % proxies, host_index(host), begins)
+            }
+            FaultKind::DiskFull(proxy) => self.world.set_disk_full(proxy % proxies, begins),
+            FaultKind::TruncatedFile(proxy) if begins => {
+                let truncated = self.world.truncate_random_file(proxy % proxies);
+                self.world.trace(|| format!("{truncated:?} is truncated"));
+                // The next process may not know the override that the file held.
+                self.overridden[proxy % proxies].clear();
             }
             FaultKind::TruncatedFile(_) => {}
-            FaultKind::MisbehavingClients(p, n) if begins => {
-                let machine = self.world.add_machine(MANY);
-                let (_, executor) = self.process(machine);
+            FaultKind::MisbehavingClients(proxy, count) if begins => {
+                let machine = self.world.add_machine(MACHINE_DESCRIPTORS);
+                let (_, executor) = self.add_process(machine);
                 let until = (fault.at_ms + fault.for_ms) * 1_000;
-                for _ in 0..n {
-                    let (fleet, target) = (self.fleet.clone(), self.targets[p % proxies].clone());
+                for _ in 0..count {
+                    let (fleet, target) = (self.fleet.clone(), self.targets[proxy % proxies].clone());
                     executor.spawn(client::rude(fleet, target, until)).detach();
                 }
             }
             FaultKind::MisbehavingClients(..) => {}
-            FaultKind::ForgedPeer(p) if begins && self.plan.peer_messages => {
-                let machine = self.world.add_machine(MANY);
-                let (_, executor) = self.process(machine);
+            FaultKind::ForgedPeer(proxy) if begins && self.plan.peer_messages => {
+                let machine = self.world.add_machine(MACHINE_DESCRIPTORS);
+                let (_, executor) = self.add_process(machine);
                 let until = (fault.at_ms + fault.for_ms) * 1_000;
-                let all = (0..proxies).map(|q| address(4, q, 7946)).collect();
-                executor.spawn(forged_peer::run(self.fleet.clone(), all, p % proxies, until)).detach();
+                let addresses = (0..proxies).map(|peer| address(4, peer, 7946)).collect();
+                executor
+                    .spawn(forged_peer::run(self.fleet.clone(), addresses, proxy % proxies, until))
+                    .detach();
             }
             FaultKind::ForgedPeer(_) => {}
         }
     }
 
-    /// Something becomes of so many percent of a host's answers, or nothing any more.
-    fn fault_answers(&self, host: usize, begins: bool, fault: (AnswerFault, u64)) {
+    /// Applies or ends a fault of a percentage of a host's answers.
+    fn set_answer_fault(&self, host: usize, begins: bool, fault: (AnswerFault, u64)) {
         self.fleet.hosts.borrow_mut()[host].answers = if begins { fault } else { Default::default() };
     }
 
-    /// Operators leave a host out at a proxy, or take it back; both versions of it are bound.
-    fn by_hand(&mut self, p: usize, host: usize, out: bool) {
-        let Some(run) = &self.proxies[p] else { return };
+    /// Operators leave a host out at a proxy, or use it again. Both versions of the proxy must follow.
+    fn override_host(&mut self, proxy: usize, host: usize, out: bool) {
+        let Some(running) = &self.proxies[proxy] else { return };
         let name = self.fleet.hosts.borrow()[host].name.clone();
-        // Before the list has come nobody knows the name.
-        if !run.core.knows_host(&name) {
+        // The proxy does not know the name before it has received a list.
+        if !running.core.knows_host(&name) {
             return;
         }
-        let told = seam::with(self.world.view_from(run.machine), || run.upgrade.set_override(&name, out));
-        self.world.trace(|| format!("proxy {p}: host {host} by hand, out {out}: {told:?}"));
-        if told.is_err() {
+        let result = net_world::with(self.world.view_from(running.machine), || {
+            running.upgrade.set_override(&name, out)
+        });
+        self.world.trace(|| format!("proxy {proxy}: host {host} is overridden, out {out}: {result:?}"));
+        if result.is_err() {
             return;
         }
         let (now, mut book) = (self.world.now(), self.fleet.book.borrow_mut());
-        book.by_hand(run.machine, host, out, now);
-        for other in &self.beside[p] {
-            // It looks for what the other was told every 50 ms, where the two have met.
+        book.by_hand(running.machine, host, out, now);
+        for other in &self.replaced[proxy] {
+            // Connected versions look for each other's overrides every 50 ms, so the other one counts as notified after
+            // 60 ms.
             if !out || other.upgrade.has_other_process() {
                 book.by_hand(other.machine, host, out, now + 60_000);
             }
         }
-        // One that stops hears of it as long as it lives.
+        // A stopping process learns that a host is used again for as long as it runs.
         for (other, _) in self.stopping.iter().filter(|_| !out) {
             book.by_hand(other.machine, host, false, now);
         }
         if out {
-            self.out[p].insert(host);
+            self.overridden[proxy].insert(host);
         } else {
-            self.out[p].remove(&host);
+            self.overridden[proxy].remove(&host);
         }
     }
 
-    /// A host's machine loses power.
-    fn lose(&mut self, n: usize) {
-        let process = self.hosts[n];
+    /// Switches off the power of a host's machine, and kills its process.
+    fn power_off_host(&mut self, host: usize) {
+        let process = self.hosts[host];
         self.world.set_powered(self.processes[process].machine, false);
         self.kill(process);
     }
 
-    /// A host that lost its process, or its power, has it again, and is cold.
-    fn start_host(&mut self, n: usize) {
-        let process = self.hosts[n];
+    /// Starts a cold process on the machine of a host that lost its process or its power. Does nothing if it runs.
+    fn restart_host(&mut self, host: usize) {
+        let process = self.hosts[host];
         let machine = self.processes[process].machine;
         if self.processes[process].executor.is_some() {
             return;
         }
         self.world.set_powered(machine, true);
         let now = self.world.now();
-        self.fleet.begins(n, now);
-        self.fleet.change(n, |_| {});
-        self.hosts[n] = self.host(n, machine);
+        self.fleet.begins(host, now);
+        self.fleet.change(host, |_| {});
+        self.hosts[host] = self.start_host_process(host, machine);
     }
 
-    /// Tells a proxy to stop.
-    fn end(&mut self, run: Runs) {
-        let _ = run.stop.try_send(());
-        let by = self.world.now() + STOP;
-        self.stopping.push((run, by));
+    /// Tells a process of a proxy to stop.
+    fn stop_proxy(&mut self, running: RunningProxy) {
+        let _ = running.stop.try_send(());
+        let by = self.world.now() + STOP_TIMEOUT_US;
+        self.stopping.push((running, by));
     }
 
-    /// Looks after proxies that stop: what is over goes, what takes too long breaks a rule.
-    fn stopped(&mut self) {
+    /// Checks the stopping processes: removes those that have stopped, and reports those that take too long.
+    fn check_stopping(&mut self) {
         let now = self.world.now();
-        for (run, by) in std::mem::take(&mut self.stopping) {
-            if run.done.get() {
-                if let Err(what) = self.given_back(&run) {
-                    self.breaks("everything is given back", format!("after its stop: {what}"));
+        for (running, by) in std::mem::take(&mut self.stopping) {
+            if running.done.get() {
+                if let Err(what) = self.check_released(&running) {
+                    self.report_violation("everything is given back", format!("after its stop: {what}"));
                 }
-                self.kill(run.process);
-                // It ended by itself.
-                self.killed.remove(&run.machine);
+                self.kill(running.process);
+                // The process stopped by itself: the rules for killed processes do not apply to it.
+                self.killed.remove(&running.machine);
             } else if now >= by {
-                self.breaks("nothing waits for ever", "a proxy does not stop".into());
+                self.report_violation("nothing waits for ever", "a proxy has not stopped in time".into());
             } else {
-                self.stopping.push((run, by));
+                self.stopping.push((running, by));
             }
         }
     }
 
-    /// Whether a proxy holds nothing but what rests.
-    fn given_back(&self, run: &Runs) -> Result<(), String> {
-        let (clients, bytes) = run.clients.admission.usage();
-        let figures = serde_json::to_value(run.core.figures()).unwrap_or_default();
-        let out = figures["inflight"].as_u64().unwrap_or(u64::MAX);
-        let machine = self.processes[run.process].machine;
-        let (open, hosts) = (self.world.open_descriptors(machine), run.hosts.open_connections());
-        let all = clients + hosts;
+    /// Checks that an idle proxy holds nothing but idle connections. The error says what it holds.
+    fn check_released(&self, running: &RunningProxy) -> Result<(), String> {
+        let (clients, bytes) = running.clients.admission.usage();
+        let figures = serde_json::to_value(running.core.figures()).unwrap_or_default();
+        let in_flight = figures["inflight"].as_u64().unwrap_or(u64::MAX);
+        let machine = self.processes[running.process].machine;
+        let (open, hosts) = (self.world.open_descriptors(machine), running.hosts.open_connections());
+        let counted = clients + hosts;
         match () {
-            () if out > 0 => Err(format!("{out} requests are still open")),
+            () if in_flight > 0 => Err(format!("{in_flight} requests are still open")),
             () if bytes > 0 => Err(format!("{bytes} bytes of clients are still counted")),
-            // A dial has its descriptor counted before it is open.
-            () if all > open + 2 => Err(format!("{all} descriptors are counted, {open} are open")),
-            // Beside them, a watch of discovery, what versions say to each other, and the talk.
+            // A connect attempt is counted before its descriptor is open.
+            () if counted > open + 2 => Err(format!("{counted} descriptors are counted, {open} are open")),
+            // Besides the counted ones: a watch of discovery, the connections between versions, and the peer socket.
             () if open
-                > all + 1 + run.upgrade.connections().max(2) + usize::from(self.plan.peer_messages) =>
+                > counted
+                    + 1
+                    + running.upgrade.connections().max(2)
+                    + usize::from(self.plan.peer_messages) =>
             {
-                Err(format!("{open} descriptors are open, {all} of them accounted for"))
+                Err(format!("{open} descriptors are open, {counted} of them accounted for"))
             }
             () => Ok(()),
         }
     }
 
-    /// No request is made any more, and all have had their time.
-    fn rested(&mut self) {
-        for p in 0..self.proxies.len() {
-            let out = self.targets[p].out.get();
+    /// Stops all proxies once clients send no requests and all answers are due, and checks what the proxies hold.
+    fn stop_all(&mut self) {
+        for proxy in 0..self.proxies.len() {
+            let out = self.targets[proxy].out.get();
             if out > 0 {
-                self.breaks("nothing waits for ever", format!("{out} requests at proxy {p} have no end"));
+                self.report_violation(
+                    "nothing waits for ever",
+                    format!("{out} requests at proxy {proxy} have not ended"),
+                );
             }
-            for old in std::mem::take(&mut self.beside[p]) {
-                self.end(old);
+            for old in std::mem::take(&mut self.replaced[proxy]) {
+                self.stop_proxy(old);
             }
-            if let Some(run) = self.proxies[p].take() {
-                if let Err(what) = self.given_back(&run) {
-                    self.breaks("everything is given back", format!("proxy {p}, at rest: {what}"));
+            if let Some(running) = self.proxies[proxy].take() {
+                if let Err(what) = self.check_released(&running) {
+                    self.report_violation("everything is given back", format!("proxy {proxy}, idle: {what}"));
                 }
-                self.end(run);
+                self.stop_proxy(running);
             }
         }
     }
 
-    /// Invariants that proxies found broken, and how often.
+    /// Violations that the proxies themselves reported, with their number.
     fn violations(&self) -> BTreeMap<Violation, u64> {
         let mut all = BTreeMap::new();
         for events in &self.events {
@@ -808,15 +862,18 @@
         all
     }
 
-    /// The day is over: everything has ended.
-    fn over(&mut self) {
-        self.stopped();
+    /// Checks that everything has ended at the end of the run.
+    fn check_end(&mut self) {
+        self.check_stopping();
         if self.events.iter().any(|events| events.is_violated()) {
-            self.breaks("the proxies' own invariants hold", format!("{:?}", self.violations()));
+            self.report_violation("the proxies' own invariants hold", format!("{:?}", self.violations()));
         }
         let counts = self.fleet.book.borrow().counts;
         if counts.asked != counts.served + counts.errors + counts.excused {
-            self.breaks("one final answer in time", format!("requests and their ends differ: {counts:?}"));
+            self.report_violation(
+                "one final answer in time",
+                format!("the numbers of requests and of results differ: {counts:?}"),
+            );
         }
     }
 }
