--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -9,8 +9,8 @@
     Agent, Capacity, Client, Group, Host, HostEntry, Options, Proxy, loopback_address, settings,
 };
 use sillfold_plan::answers::max_load_multiple;
-use sillfold_plan::fleet::{Fleet, Load, Need};
-use sillfold_plan::model::Change;
+use sillfold_plan::fleet::{Access, Fleet, Load};
+use sillfold_plan::model::Scenario;
 use std::collections::BTreeMap;
 use std::io;
 use std::net::SocketAddr;
@@ -55,17 +55,17 @@
     let mut s = settings();
     let (mut classes, mut reads, mut bounds) = (Vec::new(), Vec::new(), Vec::new());
     for (name, c) in &fleet.classes {
-        let effect = if c.need == Need::Write { "dedup" } else { "retryable" };
+        let effect = if c.access == Access::Write { "dedup" } else { "retryable" };
         classes.push(serde_json::json!({
             "name": name, "deadlineUs": c.goal_ms * 2e3, "effect": effect, "dedupScope": "cell",
             "dedupWindowUs": 1.2e6, "sloUs": c.goal_ms * 1e3, "worth": c.worth
         }));
-        reads.push(match c.need {
-            Need::Write => "mutate",
-            Need::Bounded => "lag_bound",
-            Need::Any => "eventual",
+        reads.push(match c.access {
+            Access::Write => "mutate",
+            Access::Bounded => "lag_bound",
+            Access::Any => "eventual",
         });
-        bounds.push(if c.need == Need::Bounded { c.bound_ms * 1e3 } else { 0.0 });
+        bounds.push(if c.access == Access::Bounded { c.bound_ms * 1e3 } else { 0.0 });
     }
     s["classes"] = classes.into();
     s["familyInfo"]["classRead"] = serde_json::json!(reads);
@@ -111,7 +111,7 @@
 /// All arrivals of a run, drawn from a seed: at random, of all classes and groups by their shares.
 fn arrivals(fleet: &Fleet, load: &Load, times: f64, plan: &Plan) -> Vec<(f64, String, u32)> {
     let mut rng = StdRng::seed_from_u64(plan.seed);
-    let shares = sillfold_plan::model::shares(fleet, load);
+    let shares = sillfold_plan::model::group_shares(fleet, load);
     let mut out = Vec::new();
     for (name, c) in &load.classes {
         let Ok(gaps) = Exp::new(c.per_s * times) else { continue };
@@ -139,8 +139,8 @@
     for n in 0..=class.retries {
         let left = (begun + goal).saturating_duration_since(Instant::now());
         let terms = format!("id=i{}x{n},c={},d={}", due.number, due.class, left.as_millis().max(1));
-        let text = match class.need {
-            Need::Write => format!(
+        let text = match class.access {
+            Access::Write => format!(
                 "/* {terms},k=k{},cluster={group} */ INSERT INTO entries (ref, payload) VALUES ('r{}', 'p') \
                  RETURNING payload",
                 due.number, due.number
@@ -212,7 +212,7 @@
     let fleet: Fleet = read(&path.join("fleet.json5"))?;
     let load: Load = read(&path.join("load.json5"))?;
     let each =
-        (0..fleet.groups.len()).map(|i| max_load_multiple(&fleet, &load, i, plan.goal, &Change::default()));
+        (0..fleet.groups.len()).map(|i| max_load_multiple(&fleet, &load, i, plan.goal, &Scenario::default()));
     let told = each.fold(f64::INFINITY, f64::min);
     // Far enough round what is told that it would be seen to be wrong.
     let (mut low, mut high) = (told * 0.5, told * 1.6);
--- a/crates/plan/src/answers.rs
+++ b/crates/plan/src/answers.rs
@@ -1,8 +1,8 @@
 //! The questions that the planner answers: what saturates first, how many hosts a goal needs, what an outage does, and
 //! what-if questions. Every figure comes with its interval and the input to which it is most sensitive.
 
-use crate::fleet::{Fleet, Group, Load, Member, Need};
-use crate::model::{Change, Resource, SteadyStates, shares, steady_states, utilizations};
+use crate::fleet::{Access, Fleet, Group, HostSet, Load};
+use crate::model::{Resource, Scenario, SteadyStates, group_shares, steady_states, utilizations};
 use serde::Serialize;
 
 /// Groups that are looked at closely where there are very many: those that are busiest.
@@ -136,13 +136,13 @@
 /// One limit, without its interval: resource, group by place if it is one's, multiple.
 type Bare = (Resource, Option<usize>, f64);
 
-fn limits(fleet: &Fleet, load: &Load, change: &Change) -> Vec<Bare> {
+fn limits(fleet: &Fleet, load: &Load, scenario: &Scenario) -> Vec<Bare> {
     let mut out = Vec::new();
-    for (i, (g, share)) in fleet.groups.iter().zip(shares(fleet, load)).enumerate() {
-        let found = utilizations(fleet, g, load, share, change);
+    for (i, (g, share)) in fleet.groups.iter().zip(group_shares(fleet, load)).enumerate() {
+        let found = utilizations(fleet, g, load, share, scenario);
         out.extend(found.into_iter().filter(|b| b.1 > 0.0).map(|(r, b)| (r, Some(i), 1.0 / b)));
     }
-    let all: f64 = load.classes.values().map(|c| c.per_s).sum::<f64>() * change.load;
+    let all: f64 = load.classes.values().map(|c| c.per_s).sum::<f64>() * scenario.load;
     let proxies = f64::from(fleet.proxies.count) * fleet.proxies.cores * 1e6 / fleet.proxies.cpu_us;
     if all > 0.0 {
         out.push((Resource::ProxyCores, None, proxies / all));
@@ -154,26 +154,26 @@
     out
 }
 
-fn one_limit(fleet: &Fleet, load: &Load, change: &Change, which: &Bare) -> f64 {
+fn one_limit(fleet: &Fleet, load: &Load, scenario: &Scenario, which: &Bare) -> f64 {
     let found = match which.1 {
         Some(i) => {
-            let share = shares(fleet, load)[i];
-            utilizations(fleet, &fleet.groups[i], load, share, change)
+            let share = group_shares(fleet, load)[i];
+            utilizations(fleet, &fleet.groups[i], load, share, scenario)
                 .into_iter()
                 .find(|b| b.0 == which.0)
                 .map(|b| 1.0 / b.1.max(1e-12))
         }
-        None => limits(fleet, load, change).into_iter().find(|l| l.0 == which.0).map(|l| l.2),
+        None => limits(fleet, load, scenario).into_iter().find(|l| l.0 == which.0).map(|l| l.2),
     };
     found.unwrap_or(MOST_TIMES).min(MOST_TIMES)
 }
 
 /// The greatest multiple of the load at which this share of each class of a group is served in time; 0 if none is.
-pub fn max_load_multiple(fleet: &Fleet, load: &Load, group: usize, goal: f64, change: &Change) -> f64 {
-    let share = shares(fleet, load)[group];
+pub fn max_load_multiple(fleet: &Fleet, load: &Load, group: usize, goal: f64, scenario: &Scenario) -> f64 {
+    let share = group_shares(fleet, load)[group];
     let met = |times: f64| {
-        let change = Change { load: change.load * times, ..change.clone() };
-        steady_states(fleet, &fleet.groups[group], load, share, &change).better.worst() >= goal
+        let scenario = Scenario { load: scenario.load * times, ..scenario.clone() };
+        steady_states(fleet, &fleet.groups[group], load, share, &scenario).better.worst() >= goal
     };
     if !met(1e-3) {
         return 0.0;
@@ -190,16 +190,16 @@
 }
 
 /// The groups that are busiest, by their places.
-fn busiest(fleet: &Fleet, load: &Load, change: &Change) -> Vec<usize> {
+fn busiest(fleet: &Fleet, load: &Load, scenario: &Scenario) -> Vec<usize> {
     let mut seen = Vec::new();
-    for (_, group, _) in limits(fleet, load, change) {
+    for (_, group, _) in limits(fleet, load, scenario) {
         if let Some(i) = group.filter(|i| !seen.contains(i)) {
             seen.push(i);
         }
     }
     // Alike ones have the same answer.
-    let mut kinds: Vec<(&[Member], u64)> = Vec::new();
-    let all = shares(fleet, load);
+    let mut kinds: Vec<(&[HostSet], u64)> = Vec::new();
+    let all = group_shares(fleet, load);
     seen.retain(|&i| {
         let key = (fleet.groups[i].members.as_slice(), all[i].to_bits());
         let new = !kinds.contains(&key);
@@ -211,9 +211,9 @@
 }
 
 /// What saturates first, and the next three; and when the goal is missed, that share of each class in time.
-pub fn saturate(fleet: &Fleet, load: &Load, goal: f64, change: &Change) -> Saturation {
+pub fn saturate(fleet: &Fleet, load: &Load, goal: f64, scenario: &Scenario) -> Saturation {
     let mut chosen: Vec<Bare> = Vec::new();
-    for limit in limits(fleet, load, change) {
+    for limit in limits(fleet, load, scenario) {
         // One line for each kind of resource: the first of its kind is the one that matters.
         if chosen.iter().all(|c| c.0 != limit.0) {
             chosen.push(limit);
@@ -227,17 +227,17 @@
     let limits = chosen.iter().map(|which| Limit {
         resource: which.0.name(),
         of: of(which),
-        times: figure(fleet, load, |f, l| one_limit(f, l, change, which)),
+        times: figure(fleet, load, |f, l| one_limit(f, l, scenario, which)),
     });
     let limits = limits.collect();
-    let near = busiest(fleet, load, change);
-    let least = near.iter().map(|&i| (i, max_load_multiple(fleet, load, i, goal, change)));
+    let near = busiest(fleet, load, scenario);
+    let least = near.iter().map(|&i| (i, max_load_multiple(fleet, load, i, goal, scenario)));
     let (at, times) = least.min_by(|a, b| a.1.total_cmp(&b.1)).unwrap_or((0, 0.0));
-    let goal_at = figure(fleet, load, |f, l| max_load_multiple(f, l, at, goal, change));
-    let share = shares(fleet, load)[at];
+    let goal_at = figure(fleet, load, |f, l| max_load_multiple(f, l, at, goal, scenario));
+    let share = group_shares(fleet, load)[at];
     let trap = (1..=40).map(|k| times * f64::from(k) / 20.0).find(|&t| {
-        let change = Change { load: change.load * t, ..change.clone() };
-        steady_states(fleet, &fleet.groups[at], load, share, &change).worse.is_some()
+        let scenario = Scenario { load: scenario.load * t, ..scenario.clone() };
+        steady_states(fleet, &fleet.groups[at], load, share, &scenario).worse.is_some()
     });
     Saturation { limits, goal: goal_at, goal_group: fleet.groups[at].id, trap }
 }
@@ -276,11 +276,11 @@
     fleet
 }
 
-fn fewest(fleet: &Fleet, load: &Load, group: usize, goal: f64, change: &Change) -> Option<u32> {
+fn fewest(fleet: &Fleet, load: &Load, group: usize, goal: f64, scenario: &Scenario) -> Option<u32> {
     let met = |replicas: u32| {
         let fleet = resized(fleet, group, replicas);
-        let share = shares(&fleet, load)[group];
-        steady_states(&fleet, &fleet.groups[group], load, share, change).better.worst() >= goal
+        let share = group_shares(&fleet, load)[group];
+        steady_states(&fleet, &fleet.groups[group], load, share, scenario).better.worst() >= goal
     };
     let mut high = 1;
     if met(0) {
@@ -301,13 +301,13 @@
 }
 
 /// The fewest hosts of each group, its primary included, that serve this share of each class in time.
-pub fn size(fleet: &Fleet, load: &Load, goal: f64, change: &Change) -> Vec<Size> {
+pub fn size(fleet: &Fleet, load: &Load, goal: f64, scenario: &Scenario) -> Vec<Size> {
     let one = |i: usize, g: &Group| {
-        let needs = fewest(fleet, load, i, goal, change);
+        let needs = fewest(fleet, load, i, goal, scenario);
         let asked =
-            |f: &Fleet, l: &Load| fewest(f, l, i, goal, change).map_or(f64::from(MOST_REPLICAS), f64::from);
+            |f: &Fleet, l: &Load| fewest(f, l, i, goal, scenario).map_or(f64::from(MOST_REPLICAS), f64::from);
         let range = figure(fleet, load, asked);
-        let bound_by = needs.is_none().then(|| why_not(fleet, load, i, change));
+        let bound_by = needs.is_none().then(|| why_not(fleet, load, i, scenario));
         let whole = |x: f64| (x < f64::from(MOST_REPLICAS)).then_some(x.round().max(1.0) as u32);
         Size {
             group: g.id,
@@ -323,10 +323,10 @@
 }
 
 /// What no number of replicas changes.
-fn why_not(fleet: &Fleet, load: &Load, group: usize, change: &Change) -> String {
+fn why_not(fleet: &Fleet, load: &Load, group: usize, scenario: &Scenario) -> String {
     let fleet = resized(fleet, group, MOST_REPLICAS);
-    let share = shares(&fleet, load)[group];
-    let found = utilizations(&fleet, &fleet.groups[group], load, share, change);
+    let share = group_shares(&fleet, load)[group];
+    let found = utilizations(&fleet, &fleet.groups[group], load, share, scenario);
     let primary = found.iter().find(|b| b.0 == Resource::PrimaryCores).map_or(0.0, |b| b.1);
     let apply = found.iter().find(|b| b.0 == Resource::ApplyThread).map_or(0.0, |b| b.1);
     if primary >= 0.6 || apply >= 0.6 {
@@ -367,16 +367,16 @@
     pub back_after_s: Option<f64>,
 }
 
-fn worth(fleet: &Fleet, load: &Load, change: &Change, gone: f64) -> f64 {
-    let all = shares(fleet, load);
-    let mut memo: Vec<(&[Member], u64, f64)> = Vec::new();
+fn worth(fleet: &Fleet, load: &Load, scenario: &Scenario, gone: f64) -> f64 {
+    let all = group_shares(fleet, load);
+    let mut memo: Vec<(&[HostSet], u64, f64)> = Vec::new();
     let mut sum = 0.0;
     for (g, share) in fleet.groups.iter().zip(&all).filter(|g| *g.1 > 0.0) {
         let known = memo.iter().find(|m| m.0 == g.members.as_slice() && m.1 == share.to_bits());
         let one = match known {
             Some(m) => m.2,
             None => {
-                let one = steady_states(fleet, g, load, *share, change).better.worth();
+                let one = steady_states(fleet, g, load, *share, scenario).better.worth();
                 memo.push((&g.members, share.to_bits(), one));
                 one
             }
@@ -387,11 +387,11 @@
 }
 
 /// What is served when something is lost, and whether all is as before once it is back.
-pub fn lose(fleet: &Fleet, load: &Load, lost: &Lost, change: &Change) -> Loss {
-    let first = limits(fleet, load, change);
+pub fn lose(fleet: &Fleet, load: &Load, lost: &Lost, scenario: &Scenario) -> Loss {
+    let first = limits(fleet, load, scenario);
     let busiest = first.iter().find(|l| l.0 == Resource::PrimaryCores).and_then(|l| l.1);
     let busiest = busiest.map(|i| fleet.groups[i].id);
-    let hit = |g: &Group, m: &Member| match lost {
+    let hit = |g: &Group, m: &HostSet| match lost {
         Lost::Room(room) => m.room == *room,
         Lost::Kind(kind) => m.kind == *kind,
         Lost::BusiestPrimary => m.primary && Some(g.id) == busiest,
@@ -401,7 +401,7 @@
     let hosts = count(fleet) - count(&left);
     let primaries = fleet.groups.iter().filter(|g| g.members.iter().any(|m| m.primary && hit(g, m)));
     let primaries_gone: Vec<u32> = primaries.map(|g| g.id).filter(|id| !groups_gone.contains(id)).collect();
-    let all = shares(fleet, load);
+    let all = group_shares(fleet, load);
     let parts = fleet.groups.iter().zip(&all);
     let gone: f64 = parts.filter(|(g, _)| groups_gone.contains(&g.id)).map(|(_, s)| s).sum();
     // The load of groups that are gone goes nowhere: the others keep theirs.
@@ -412,26 +412,26 @@
     };
     let served = figure(fleet, load, |f, l| {
         let (left, _) = f.without(hit);
-        worth(&left, &keep(l), change, gone)
+        worth(&left, &keep(l), scenario, gone)
     });
-    Loss { hosts, groups_gone, primaries_gone, served, back_after_s: back_after(fleet, load, change, hit) }
+    Loss { hosts, groups_gone, primaries_gone, served, back_after_s: back_after(fleet, load, scenario, hit) }
 }
 
 /// Seconds until a group whose lost members return cold serves nine tenths of what it did, from the state of a
 /// group that was failing: the slowest group counts.
 fn back_after(
-    fleet: &Fleet, load: &Load, change: &Change, hit: impl Fn(&Group, &Member) -> bool,
+    fleet: &Fleet, load: &Load, scenario: &Scenario, hit: impl Fn(&Group, &HostSet) -> bool,
 ) -> Option<f64> {
-    let all = shares(fleet, load);
+    let all = group_shares(fleet, load);
     let mut slowest: f64 = 0.0;
     for (i, g) in fleet.groups.iter().enumerate() {
-        let members: Vec<&Member> = g.members.iter().filter(|m| hit(g, m)).collect();
+        let members: Vec<&HostSet> = g.members.iter().filter(|m| hit(g, m)).collect();
         let Some(warm) =
             members.iter().filter_map(|m| fleet.kinds.get(&m.kind)).map(|k| k.warm_s).reduce(f64::max)
         else {
             continue;
         };
-        let before = steady_states(fleet, g, load, all[i], change).better.worth();
+        let before = steady_states(fleet, g, load, all[i], scenario).better.worth();
         let lost = fleet.cores(g, false) - {
             let mut left = g.clone();
             left.members.retain(|m| !hit(g, m));
@@ -442,8 +442,8 @@
         let whole = fleet.cores(g, false).max(1e-9);
         let back = (0..=40).map(|k| f64::from(k) / 40.0).find(|at| {
             let warmth = 1.0 - lost / whole * (1.0 - (cold + (1.0 - cold) * at));
-            let change = Change { warmth, ..change.clone() };
-            let found: SteadyStates = steady_states(fleet, g, load, all[i], &change);
+            let scenario = Scenario { warmth, ..scenario.clone() };
+            let found: SteadyStates = steady_states(fleet, g, load, all[i], &scenario);
             // A group that was failing stays in the worse state as long as there is one.
             found.worse.unwrap_or(found.better).worth() >= 0.9 * before
         });
@@ -470,12 +470,12 @@
 }
 
 /// What the fleet does under a change.
-pub fn what_if(fleet: &Fleet, load: &Load, change: &Change) -> WhatIf {
-    let all = shares(fleet, load);
+pub fn what_if(fleet: &Fleet, load: &Load, scenario: &Scenario) -> WhatIf {
+    let all = group_shares(fleet, load);
     let mut classes: Vec<(String, f64)> = Vec::new();
     let (mut out_of_bound, mut amplification, mut trapped) = (0.0f64, 1.0f64, Vec::new());
-    for i in busiest(fleet, load, change) {
-        let found = steady_states(fleet, &fleet.groups[i], load, all[i], change);
+    for i in busiest(fleet, load, scenario) {
+        let found = steady_states(fleet, &fleet.groups[i], load, all[i], scenario);
         for s in &found.better.served {
             match classes.iter_mut().find(|c| c.0 == s.class) {
                 Some(c) => c.1 = c.1.min(s.in_time),
@@ -486,17 +486,17 @@
         amplification = amplification.max(found.better.amplification);
         trapped.extend(found.worse.map(|_| fleet.groups[i].id));
     }
-    let first = limits(fleet, load, change).into_iter().next();
+    let first = limits(fleet, load, scenario).into_iter().next();
     let busiest = first.map_or(("nothing".into(), "the fleet".into(), 0.0), |(r, i, times)| {
         let of = i.map_or("the fleet".into(), |i| format!("group {}", fleet.groups[i].id));
         (r.name().to_string(), of, 1.0 / times)
     });
-    let worth = figure(fleet, load, |f, l| worth(f, l, change, 0.0));
+    let worth = figure(fleet, load, |f, l| worth(f, l, scenario, 0.0));
     WhatIf { worth, classes, out_of_bound, amplification, busiest, trapped }
 }
 
 /// Whether a load holds any writes at all; a plan without them says nothing of primaries.
 pub fn has_writes(fleet: &Fleet, load: &Load) -> bool {
-    let writes = |n: &String| fleet.classes.get(n).is_some_and(|c| c.need == Need::Write);
+    let writes = |n: &String| fleet.classes.get(n).is_some_and(|c| c.access == Access::Write);
     load.classes.iter().any(|(n, c)| c.per_s > 0.0 && writes(n))
 }
--- a/crates/plan/src/fleet.rs
+++ b/crates/plan/src/fleet.rs
@@ -15,7 +15,7 @@
     pub rooms: Vec<String>,
     /// Machine types, by name.
     #[garde(length(min = 1), dive)]
-    pub kinds: BTreeMap<String, Kind>,
+    pub kinds: BTreeMap<String, HostType>,
     /// Groups of hosts that hold the same data.
     #[garde(length(min = 1, max = 10_000), dive)]
     pub groups: Vec<Group>,
@@ -25,7 +25,7 @@
     /// What goes between rooms.
     #[serde(default)]
     #[garde(dive)]
-    pub crossing: Crossing,
+    pub crossing: CrossZoneTraffic,
     /// Request classes, by name.
     #[garde(length(min = 1), dive)]
     pub classes: BTreeMap<String, Class>,
@@ -42,7 +42,7 @@
 /// A machine type.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
-pub struct Kind {
+pub struct HostType {
     /// Cores, each of which works on one request at a time.
     #[garde(range(min = 1, max = 1_024))]
     pub cores: u32,
@@ -90,13 +90,13 @@
     pub share: f64,
     /// Its members.
     #[garde(length(min = 1, max = 1_000), dive)]
-    pub members: Vec<Member>,
+    pub members: Vec<HostSet>,
 }
 
 /// Hosts of a group that are alike.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
-pub struct Member {
+pub struct HostSet {
     /// Their machine type.
     #[garde(length(min = 1))]
     pub kind: String,
@@ -135,7 +135,7 @@
 /// What goes between rooms.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize, Serialize, JsonSchema, Validate)]
 #[serde(default, deny_unknown_fields)]
-pub struct Crossing {
+pub struct CrossZoneTraffic {
     /// One way, in milliseconds.
     #[garde(range(min = 0.0, max = 10_000.0))]
     pub ms: f64,
@@ -150,7 +150,7 @@
 /// How recent a class's data must be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
-pub enum Need {
+pub enum Access {
     /// It writes: only the primary takes it.
     Write,
     /// Data no older than the bound.
@@ -165,7 +165,8 @@
 pub struct Class {
     /// How recent its data must be.
     #[garde(skip)]
-    pub need: Need,
+    #[serde(rename = "need")]
+    pub access: Access,
     /// Wanted within so many milliseconds.
     #[garde(range(min = 1.0, max = 1e6))]
     pub goal_ms: f64,
@@ -285,7 +286,7 @@
     /// Cores of a group in units of the load's; of its replicas alone where wanted.
     pub fn cores(&self, group: &Group, replicas: bool) -> f64 {
         let members = group.members.iter().filter(|m| !(replicas && m.primary));
-        let each = |m: &Member| {
+        let each = |m: &HostSet| {
             self.kinds.get(&m.kind).map_or(0.0, |k| f64::from(k.cores) * k.speed * f64::from(m.count))
         };
         members.map(each).sum()
@@ -298,7 +299,7 @@
 
     /// The fleet without some of its members; groups that lose their primary get a replica in its place, if they
     /// have one. Groups that lose all are gone, and their numbers are returned.
-    pub fn without(&self, lost: impl Fn(&Group, &Member) -> bool) -> (Fleet, Vec<u32>) {
+    pub fn without(&self, lost: impl Fn(&Group, &HostSet) -> bool) -> (Fleet, Vec<u32>) {
         let mut left = self.clone();
         for g in &mut left.groups {
             let whole = g.clone();
--- a/crates/plan/src/model.rs
+++ b/crates/plan/src/model.rs
@@ -2,7 +2,7 @@
 //! the steady state of the loop in which failed requests are retried and add to the load. The loop is solved as a
 //! fixed point; a group may have two, and both are then reported.
 
-use crate::fleet::{ClassLoad, Fleet, Group, Load, Need};
+use crate::fleet::{Access, ClassLoad, Fleet, Group, Load};
 use crate::queue::{Service, Station, mixed};
 use std::collections::BTreeMap;
 
@@ -20,7 +20,7 @@
 
 /// Changes to the fleet and its load, for questions that begin with "what if".
 #[derive(Clone, Debug, PartialEq)]
-pub struct Change {
+pub struct Scenario {
     /// All of the load, this many times.
     pub load: f64,
     /// Some classes, this many times.
@@ -31,9 +31,9 @@
     pub warmth: f64,
 }
 
-impl Default for Change {
-    fn default() -> Change {
-        Change { load: 1.0, classes: BTreeMap::new(), apply: 1.0, warmth: 1.0 }
+impl Default for Scenario {
+    fn default() -> Scenario {
+        Scenario { load: 1.0, classes: BTreeMap::new(), apply: 1.0, warmth: 1.0 }
     }
 }
 
@@ -119,7 +119,7 @@
 /// One class as a group sees it.
 struct ClassDemand<'a> {
     name: &'a str,
-    need: Need,
+    access: Access,
     /// First tries a second in this group.
     asked: f64,
     /// Seconds of a core of speed 1.
@@ -152,7 +152,7 @@
 }
 
 /// Shares of the groups in the load, by their place.
-pub fn shares(fleet: &Fleet, load: &Load) -> Vec<f64> {
+pub fn group_shares(fleet: &Fleet, load: &Load) -> Vec<f64> {
     let of =
         |g: &Group| if load.groups.is_empty() { g.share } else { *load.groups.get(&g.id).unwrap_or(&0.0) };
     let all: f64 = fleet.groups.iter().map(of).sum();
@@ -195,14 +195,16 @@
     h
 }
 
-fn class_demands<'a>(fleet: &'a Fleet, load: &'a Load, share: f64, change: &Change) -> Vec<ClassDemand<'a>> {
+fn class_demands<'a>(
+    fleet: &'a Fleet, load: &'a Load, share: f64, scenario: &Scenario,
+) -> Vec<ClassDemand<'a>> {
     let part = |(name, c): (&'a String, &'a ClassLoad)| {
         let class = fleet.classes.get(name)?;
-        let times = change.load * change.classes.get(name).copied().unwrap_or(1.0);
+        let times = scenario.load * scenario.classes.get(name).copied().unwrap_or(1.0);
         let mean = c.mean_ms / 1e3;
         Some(ClassDemand {
             name,
-            need: class.need,
+            access: class.access,
             asked: c.per_s * share * times,
             mean,
             cv2: c.cv2,
@@ -233,13 +235,14 @@
 
 fn iterate(parts: &[ClassDemand], h: &HostCapacity, apply: f64, fails: &[f64]) -> Iteration {
     let worked: Vec<f64> = parts.iter().zip(fails).map(|(p, f)| attempt_rates(p, *f).1).collect();
-    let writes: f64 = parts.iter().zip(&worked).filter(|(p, _)| p.need == Need::Write).map(|(_, r)| *r).sum();
+    let writes: f64 =
+        parts.iter().zip(&worked).filter(|(p, _)| p.access == Access::Write).map(|(_, r)| *r).sum();
     // A replica that is cold applies no slower: the thread is one, and the log comes first.
     let log = Station { servers: 1, rate: writes, mean: apply / h.speed, cv2: 1.0 };
     let lag = Service::new(log.mean, 0.5);
-    let behind = |p: &ClassDemand| match p.need {
-        Need::Bounded if h.replicas == 0 || log.utilisation() >= MAX_UTILIZATION => 1.0,
-        Need::Bounded if apply > 0.0 => log.late(&lag, p.bound),
+    let behind = |p: &ClassDemand| match p.access {
+        Access::Bounded if h.replicas == 0 || log.utilisation() >= MAX_UTILIZATION => 1.0,
+        Access::Bounded if apply > 0.0 => log.late(&lag, p.bound),
         _ => 0.0,
     };
     let out: Vec<f64> = parts.iter().map(behind).collect();
@@ -247,9 +250,9 @@
     let (mut bound, mut free) = (0.0, 0.0);
     for ((p, r), o) in parts.iter().zip(&worked).zip(&out) {
         let work = r * p.mean;
-        match p.need {
-            Need::Write => bound += work,
-            Need::Bounded | Need::Any => {
+        match p.access {
+            Access::Write => bound += work,
+            Access::Bounded | Access::Any => {
                 bound += work * o;
                 free += work * (1.0 - o);
             }
@@ -260,7 +263,7 @@
     let at_primary = if cr > 0.0 { ((free * cp - cr * bound) / (cr + cp)).clamp(0.0, free) } else { free };
     let split = if free > 0.0 { at_primary / free } else { 0.0 };
     let primary_share =
-        |p: &ClassDemand, o: f64| if p.need == Need::Write { 1.0 } else { o + (1.0 - o) * split };
+        |p: &ClassDemand, o: f64| if p.access == Access::Write { 1.0 } else { o + (1.0 - o) * split };
     let speed = |cores: f64, servers: u32| cores / f64::from(servers.max(1));
     let (sp, sr) =
         (speed(cp, h.primary_servers), speed(cr / f64::from(h.replicas.max(1)), h.replica_servers).max(1e-9));
@@ -295,7 +298,7 @@
         })
         .collect();
     let written: f64 =
-        parts.iter().zip(&worked).filter(|(p, _)| p.need == Need::Write).map(|(p, r)| p.mean * r).sum();
+        parts.iter().zip(&worked).filter(|(p, _)| p.access == Access::Write).map(|(p, r)| p.mean * r).sum();
     let in_host = |s: &Station| {
         let s = Station {
             rate: s.rate.min(s.rate * MAX_UTILIZATION / s.utilisation().max(MAX_UTILIZATION)),
@@ -312,7 +315,7 @@
         busy.push((Resource::ApplyThread, log.utilisation()));
     }
     let bounded: Vec<f64> =
-        parts.iter().zip(&out).filter(|(p, _)| p.need == Need::Bounded).map(|(_, o)| *o).collect();
+        parts.iter().zip(&out).filter(|(p, _)| p.access == Access::Bounded).map(|(_, o)| *o).collect();
     let out_of_bound = bounded.iter().copied().fold(0.0, f64::max);
     Iteration { fails, busy, out_of_bound }
 }
@@ -348,10 +351,12 @@
 }
 
 /// The steady states of a group under its share of a load.
-pub fn steady_states(fleet: &Fleet, group: &Group, load: &Load, share: f64, change: &Change) -> SteadyStates {
-    let parts = class_demands(fleet, load, share, change);
-    let h = host_capacity(fleet, group, change.warmth);
-    let apply = load.apply_ms / 1e3 * change.apply;
+pub fn steady_states(
+    fleet: &Fleet, group: &Group, load: &Load, share: f64, scenario: &Scenario,
+) -> SteadyStates {
+    let parts = class_demands(fleet, load, share, scenario);
+    let h = host_capacity(fleet, group, scenario.warmth);
+    let apply = load.apply_ms / 1e3 * scenario.apply;
     let better = find_fixed_point(&parts, &h, apply, 0.0);
     let worse = find_fixed_point(&parts, &h, apply, 1.0);
     let apart = (better.worth() - worse.worth()).abs() > DISTINCT_STATES;
@@ -360,15 +365,15 @@
 
 /// The utilization of each resource without queues, failures or retries: what is in proportion to the load.
 pub fn utilizations(
-    fleet: &Fleet, group: &Group, load: &Load, share: f64, change: &Change,
+    fleet: &Fleet, group: &Group, load: &Load, share: f64, scenario: &Scenario,
 ) -> Vec<(Resource, f64)> {
-    let parts = class_demands(fleet, load, share, change);
-    let h = host_capacity(fleet, group, change.warmth);
-    let work = |need: fn(Need) -> bool| -> f64 {
-        parts.iter().filter(|p| need(p.need)).map(|p| p.asked * p.mean).sum()
+    let parts = class_demands(fleet, load, share, scenario);
+    let h = host_capacity(fleet, group, scenario.warmth);
+    let work = |wanted: fn(Access) -> bool| -> f64 {
+        parts.iter().filter(|p| wanted(p.access)).map(|p| p.asked * p.mean).sum()
     };
-    let written = work(|n| n == Need::Write);
-    let writes: f64 = parts.iter().filter(|p| p.need == Need::Write).map(|p| p.asked).sum();
+    let written = work(|n| n == Access::Write);
+    let writes: f64 = parts.iter().filter(|p| p.access == Access::Write).map(|p| p.asked).sum();
     let all = work(|_| true);
     let part = |work: f64, of: f64| work / of.max(1e-9);
     let mut out = vec![
@@ -378,7 +383,7 @@
         (Resource::Connections, part(written, h.reach.0).max(part(all, h.reach.1))),
     ];
     if h.replicas > 0 {
-        out.push((Resource::ApplyThread, writes * load.apply_ms / 1e3 * change.apply / h.speed));
+        out.push((Resource::ApplyThread, writes * load.apply_ms / 1e3 * scenario.apply / h.speed));
     }
     out
 }
--- a/crates/plan/tests/plan.rs
+++ b/crates/plan/tests/plan.rs
@@ -4,7 +4,7 @@
 use proptest::test_runner::RngSeed;
 use sillfold_plan::answers::*;
 use sillfold_plan::fleet::*;
-use sillfold_plan::model::{Change, steady_states, utilizations};
+use sillfold_plan::model::{Scenario, steady_states, utilizations};
 use sillfold_plan::queue::{Service, Station, mixed};
 use std::collections::BTreeMap;
 
@@ -50,15 +50,15 @@
     assert_eq!(Station { servers: 2, rate: 30.0, mean: 0.1, cv2: 1.0 }.mean_wait(), f64::INFINITY);
 }
 
-fn class(need: Need, goal_ms: f64) -> Class {
-    Class { need, goal_ms, bound_ms: 800.0, worth: 1.0, retries: 0, wasted: 0.0 }
+fn class(access: Access, goal_ms: f64) -> Class {
+    Class { access, goal_ms, bound_ms: 800.0, worth: 1.0, retries: 0, wasted: 0.0 }
 }
 
 /// Groups of one primary and some replicas, each of 4 cores, in two rooms.
 fn fleet(groups: u32, replicas: u32) -> Fleet {
-    let kind = Kind { cores: 4, connections: 1_000, speed: 1.0, cold_share: 0.2, warm_s: 15.0 };
+    let kind = HostType { cores: 4, connections: 1_000, speed: 1.0, cold_share: 0.2, warm_s: 15.0 };
     let member =
-        |room: &str, count, primary| Member { kind: "std".into(), room: room.into(), count, primary };
+        |room: &str, count, primary| HostSet { kind: "std".into(), room: room.into(), count, primary };
     let group = |id| {
         let mut members = vec![member("a", 1, true)];
         if replicas > 0 {
@@ -71,11 +71,11 @@
         kinds: [("std".to_string(), kind)].into(),
         groups: (0..groups).map(group).collect(),
         proxies: Proxies { count: 4, cores: 1.0, cpu_us: 50.0 },
-        crossing: Crossing::default(),
+        crossing: CrossZoneTraffic::default(),
         classes: [
-            ("browse".to_string(), class(Need::Bounded, 200.0)),
-            ("history".to_string(), class(Need::Any, 300.0)),
-            ("ingest".to_string(), class(Need::Write, 750.0)),
+            ("browse".to_string(), class(Access::Bounded, 200.0)),
+            ("history".to_string(), class(Access::Any, 300.0)),
+            ("ingest".to_string(), class(Access::Write, 750.0)),
         ]
         .into(),
         error: 0.1,
@@ -97,8 +97,8 @@
     }
 }
 
-fn quiet() -> Change {
-    Change::default()
+fn quiet() -> Scenario {
+    Scenario::default()
 }
 
 #[test]
@@ -125,7 +125,7 @@
     assert_eq!((proxies.limits[0].resource, proxies.limits[0].of.as_str()), ("proxy cores", "the fleet"));
     near(proxies.limits[0].times.value, 250.0 / 205.0);
     let mut apart = fleet(4, 5);
-    apart.crossing = Crossing { ms: 2.0, share: 0.5, most_per_s: Some(50.0) };
+    apart.crossing = CrossZoneTraffic { ms: 2.0, share: 0.5, most_per_s: Some(50.0) };
     assert_eq!(saturate(&apart, &load(150.0, 50.0, 5.0), 0.95, &quiet()).limits[0].resource, "crossing");
     // The goal is missed before anything is wholly busy, and not at a fraction of it.
     for s in [&writes, &reads] {
@@ -162,7 +162,7 @@
 fn apply_that_slows_everywhere_turns_bounded_reads_onto_the_primary() {
     let (f, l) = (fleet(1, 5), load(200.0, 100.0, 15.0));
     let before = what_if(&f, &l, &quiet());
-    let slow = what_if(&f, &l, &Change { apply: 20.0, ..quiet() });
+    let slow = what_if(&f, &l, &Scenario { apply: 20.0, ..quiet() });
     assert!(before.out_of_bound < 0.01 && before.worth.value > 0.98, "{before:?}");
     assert!(slow.out_of_bound > 0.99, "{slow:?}");
     let of = |w: &WhatIf, name: &str| w.classes.iter().find(|c| c.0 == name).expect("a class").1;
@@ -170,7 +170,7 @@
     assert!(of(&slow, "browse") < 0.6 && of(&slow, "history") > 0.7, "{slow:?}");
     assert_eq!(slow.busiest.0, "apply thread");
     // Three times as slow is within the bound here.
-    assert!(what_if(&f, &l, &Change { apply: 3.0, ..quiet() }).worth.value > 0.95);
+    assert!(what_if(&f, &l, &Scenario { apply: 3.0, ..quiet() }).worth.value > 0.95);
 }
 
 #[test]
@@ -194,12 +194,12 @@
     let trapped = saturate(&f, &l, 0.95, &quiet());
     let trap = trapped.trap.expect("two states");
     assert!(trap < trapped.goal.value, "{trap} under {}", trapped.goal.value);
-    let change = Change { load: trap.max(trapped.goal.value * 0.9), ..quiet() };
-    let found = steady_states(&f, &f.groups[0], &l, 1.0, &change);
+    let scenario = Scenario { load: trap.max(trapped.goal.value * 0.9), ..quiet() };
+    let found = steady_states(&f, &f.groups[0], &l, 1.0, &scenario);
     let worse = found.worse.expect("a worse state");
     assert!(found.better.worth() > 0.9 && worse.worth() < 0.6, "{} {}", found.better.worth(), worse.worth());
     assert!(worse.amplification > 2.0);
-    assert_eq!(what_if(&f, &l, &change).trapped, [0]);
+    assert_eq!(what_if(&f, &l, &scenario).trapped, [0]);
     // Where the proxy refuses in time, the work of failed tries is not done, and there is one state.
     f.classes.values_mut().for_each(|c| c.wasted = 0.0);
     assert_eq!(saturate(&f, &l, 0.95, &quiet()).trap, None);
@@ -297,7 +297,7 @@
         prop_assert_eq!(primary(replicas), primary(replicas + 1));
         // More load never serves more of it, and everything stays a share.
         let f = fleet(1, replicas);
-        let at = |load| steady_states(&f, &f.groups[0], &l, 1.0, &Change { load, ..quiet() }).better;
+        let at = |load| steady_states(&f, &f.groups[0], &l, 1.0, &Scenario { load, ..quiet() }).better;
         let (light, heavy) = (at(0.5), at(2.0));
         prop_assert!(light.worth() >= heavy.worth() - 1e-6);
         prop_assert!(heavy.served.iter().all(|s| (0.0..=1.0 + 1e-9).contains(&s.in_time)));
--- a/crates/planner/src/main.rs
+++ b/crates/planner/src/main.rs
@@ -10,7 +10,7 @@
     Figure, Loss, Lost, Saturation, Size, WhatIf, has_writes, lose, saturate, size, what_if,
 };
 use sillfold_plan::fleet::{ClassLoad, Fleet, Load};
-use sillfold_plan::model::Change;
+use sillfold_plan::model::Scenario;
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -131,7 +131,7 @@
 struct Read {
     fleet: Fleet,
     load: Load,
-    change: Change,
+    scenario: Scenario,
     notes: Vec<String>,
 }
 
@@ -215,20 +215,20 @@
             );
         }
         notes.extend(fleet.contradictions(&load));
-        let mut change = Change { load: self.times, apply: self.apply, ..Change::default() };
+        let mut scenario = Scenario { load: self.times, apply: self.apply, ..Scenario::default() };
         for text in &self.class {
             let parsed = text.split_once('=').and_then(|(n, t)| Some((n, t.parse::<f64>().ok()?)));
             let (name, times) = parsed.ok_or_else(|| one(format!("--class {text:?} is no NAME=TIMES")))?;
             if !load.classes.contains_key(name) {
                 return Err(one(format!("--class {text:?}: the load has no such class")));
             }
-            change.classes.insert(name.into(), times);
+            scenario.classes.insert(name.into(), times);
         }
         let sound = |x: f64| x.is_finite() && x > 0.0;
         if !sound(self.times) || !sound(self.apply) || !(0.0..1.0).contains(&self.goal) {
             return Err(one("--times and --apply are over 0, --goal is under 1"));
         }
-        Ok(Read { fleet, load, change, notes })
+        Ok(Read { fleet, load, scenario, notes })
     }
 
     fn answer<T: Serialize>(&self, read: &Read, answer: &T, text: impl Fn(&T)) -> Result<(), Vec<String>> {
@@ -241,7 +241,7 @@
         }
         if let Some(path) = &self.html {
             let page =
-                page::page(&read.fleet, &read.load, &read.change, self.goal, &read.notes).map_err(one)?;
+                page::page(&read.fleet, &read.load, &read.scenario, self.goal, &read.notes).map_err(one)?;
             std::fs::write(path, page).map_err(|e| one(format!("{}: {e}", path.display())))?;
         }
         Ok(())
@@ -339,12 +339,12 @@
         }
         Command::Saturate(asked) => {
             let read = asked.read()?;
-            let answer = saturate(&read.fleet, &read.load, asked.goal, &read.change);
+            let answer = saturate(&read.fleet, &read.load, asked.goal, &read.scenario);
             asked.answer(&read, &answer, say_saturation)?;
         }
         Command::Size(asked) => {
             let read = asked.read()?;
-            let answer = size(&read.fleet, &read.load, asked.goal, &read.change);
+            let answer = size(&read.fleet, &read.load, asked.goal, &read.scenario);
             asked.answer(&read, &answer, |a| say_sizes(a))?;
         }
         Command::Lose { asked, room, kind, .. } => {
@@ -356,20 +356,20 @@
                 (_, Some(kind)) => return Err(one(format!("the fleet has no kind {kind:?}"))),
                 _ => Lost::BusiestPrimary,
             };
-            let answer = lose(&read.fleet, &read.load, &lost, &read.change);
+            let answer = lose(&read.fleet, &read.load, &lost, &read.scenario);
             asked.answer(&read, &answer, say_loss)?;
         }
         Command::WhatIf(asked) => {
             let read = asked.read()?;
-            let answer = what_if(&read.fleet, &read.load, &read.change);
+            let answer = what_if(&read.fleet, &read.load, &read.scenario);
             asked.answer(&read, &answer, say_what_if)?;
         }
         Command::Compare { asked, other } => {
             let read = asked.read()?;
             let other = read_fleet(&other)?;
             let of = |f: &Fleet| {
-                let s = saturate(f, &read.load, asked.goal, &read.change);
-                (s, what_if(f, &read.load, &read.change))
+                let s = saturate(f, &read.load, asked.goal, &read.scenario);
+                (s, what_if(f, &read.load, &read.scenario))
             };
             let (a, b) = (of(&read.fleet), of(&other));
             let answer = serde_json::json!({
@@ -386,7 +386,7 @@
         }
         Command::View { asked, once } => {
             let read = asked.read()?;
-            view::run(&read.fleet, &read.load, &read.change, once).map_err(one)?;
+            view::run(&read.fleet, &read.load, &read.scenario, once).map_err(one)?;
         }
     }
     Ok(ExitCode::SUCCESS)
--- a/crates/planner/src/page.rs
+++ b/crates/planner/src/page.rs
@@ -4,7 +4,7 @@
 use plotters::prelude::*;
 use sillfold_plan::answers::{saturate, what_if};
 use sillfold_plan::fleet::{Fleet, Load};
-use sillfold_plan::model::Change;
+use sillfold_plan::model::Scenario;
 
 const SIZE: (u32, u32) = (820, 360);
 const POINTS: u32 = 48;
@@ -58,15 +58,15 @@
 
 /// The whole page.
 pub fn page(
-    fleet: &Fleet, load: &Load, change: &Change, goal: f64, notes: &[String],
+    fleet: &Fleet, load: &Load, scenario: &Scenario, goal: f64, notes: &[String],
 ) -> Result<String, String> {
-    let answer = saturate(fleet, load, goal, change);
+    let answer = saturate(fleet, load, goal, scenario);
     let far = (answer.limits.first().map_or(1.0, |l| l.times.value) * 1.6).clamp(0.1, 1_000.0);
     let mut classes: Vec<Line> = Vec::new();
     let mut tries: Line = ("tries for each first one, a tenth".into(), Vec::new());
     for k in 1..=POINTS {
         let times = far * f64::from(k) / f64::from(POINTS);
-        let at = Change { load: change.load * times, ..change.clone() };
+        let at = Scenario { load: scenario.load * times, ..scenario.clone() };
         let found = what_if(fleet, load, &at);
         for (name, share) in found.classes {
             match classes.iter_mut().find(|c| c.0 == name) {
--- a/crates/planner/src/view.rs
+++ b/crates/planner/src/view.rs
@@ -9,7 +9,7 @@
 use ratatui::widgets::{Block, Gauge, Paragraph};
 use sillfold_plan::answers::{saturate, what_if};
 use sillfold_plan::fleet::{Fleet, Load};
-use sillfold_plan::model::Change;
+use sillfold_plan::model::Scenario;
 use std::io;
 
 /// What is shown.
@@ -19,8 +19,8 @@
     text: String,
 }
 
-fn picture(fleet: &Fleet, load: &Load, change: &Change, limits: &[(String, f64)], times: f64) -> Picture {
-    let at = Change { load: change.load * times, ..change.clone() };
+fn picture(fleet: &Fleet, load: &Load, scenario: &Scenario, limits: &[(String, f64)], times: f64) -> Picture {
+    let at = Scenario { load: scenario.load * times, ..scenario.clone() };
     let found = what_if(fleet, load, &at);
     let bars = limits.iter().map(|(name, most)| (name.clone(), times / most)).collect();
     let classes: Vec<String> = found.classes.iter().map(|(n, s)| format!("{n} {:.1} %", 100.0 * s)).collect();
@@ -58,8 +58,8 @@
 }
 
 /// Shows the view until it is ended, or one picture of it.
-pub fn run(fleet: &Fleet, load: &Load, change: &Change, once: bool) -> io::Result<()> {
-    let limits: Vec<(String, f64)> = saturate(fleet, load, 0.95, change)
+pub fn run(fleet: &Fleet, load: &Load, scenario: &Scenario, once: bool) -> io::Result<()> {
+    let limits: Vec<(String, f64)> = saturate(fleet, load, 0.95, scenario)
         .limits
         .into_iter()
         .map(|l| (format!("{} of {}", l.resource, l.of), l.times.value))
@@ -67,7 +67,7 @@
     let mut times = 1.0;
     if once {
         let mut terminal = ratatui::Terminal::new(TestBackend::new(100, 18))?;
-        let p = picture(fleet, load, change, &limits, times);
+        let p = picture(fleet, load, scenario, &limits, times);
         terminal.draw(|f| draw(f, &p))?;
         let buffer = terminal.backend().buffer();
         for row in buffer.content().chunks(100) {
@@ -78,7 +78,7 @@
     }
     let mut terminal = ratatui::try_init()?;
     let ended = loop {
-        let p = picture(fleet, load, change, &limits, times);
+        let p = picture(fleet, load, scenario, &limits, times);
         if let Err(e) = terminal.draw(|f| draw(f, &p)) {
             break Err(e);
         }
