--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -10,8 +10,8 @@
     Agent, Capacity, Client, Group, Host, HostEntry, Options, Proxy, loopback_address, settings,
 };
 use sillfold_plan::answers::max_load_multiple;
-use sillfold_plan::fleet::{Fleet, Load, Need};
-use sillfold_plan::model::Change;
+use sillfold_plan::fleet::{Access, Fleet, Load};
+use sillfold_plan::model::Scenario;
 use std::collections::BTreeMap;
 use std::io;
 use std::net::SocketAddr;
@@ -65,17 +65,17 @@
     let mut class_reads = Vec::new();
     let mut staleness_bounds = Vec::new();
     for (name, class) in &fleet.classes {
-        let effect = if class.need == Need::Write { "dedup" } else { "retryable" };
+        let effect = if class.access == Access::Write { "dedup" } else { "retryable" };
         classes.push(serde_json::json!({
             "name": name, "deadlineUs": class.goal_ms * 2e3, "effect": effect, "dedupScope": "cell",
             "dedupWindowUs": 1.2e6, "sloUs": class.goal_ms * 1e3, "worth": class.worth
         }));
-        class_reads.push(match class.need {
-            Need::Write => "mutate",
-            Need::Bounded => "lag_bound",
-            Need::Any => "eventual",
+        class_reads.push(match class.access {
+            Access::Write => "mutate",
+            Access::Bounded => "lag_bound",
+            Access::Any => "eventual",
         });
-        staleness_bounds.push(if class.need == Need::Bounded { class.bound_ms * 1e3 } else { 0.0 });
+        staleness_bounds.push(if class.access == Access::Bounded { class.bound_ms * 1e3 } else { 0.0 });
     }
     settings["classes"] = classes.into();
     settings["familyInfo"]["classRead"] = serde_json::json!(class_reads);
@@ -127,7 +127,7 @@
 /// Poisson process; groups are drawn by their shares.
 fn arrivals(fleet: &Fleet, load: &Load, times: f64, plan: &Plan) -> Vec<(f64, String, u32)> {
     let mut rng = StdRng::seed_from_u64(plan.seed);
-    let shares = sillfold_plan::model::shares(fleet, load);
+    let shares = sillfold_plan::model::group_shares(fleet, load);
     let mut arrivals = Vec::new();
     for (name, class) in &load.classes {
         let Ok(gaps) = Exp::new(class.per_s * times) else { continue };
@@ -158,8 +158,8 @@
         let time_left = (started + goal).saturating_duration_since(Instant::now());
         let comment =
             format!("id=i{}x{retry},c={},d={}", due.number, due.class, time_left.as_millis().max(1));
-        let text = match class.need {
-            Need::Write => format!(
+        let text = match class.access {
+            Access::Write => format!(
                 "/* {comment},k=k{},cluster={group} */ INSERT INTO entries (ref, payload) VALUES ('r{}', 'p') \
                  RETURNING payload",
                 due.number, due.number
@@ -243,7 +243,7 @@
     let fleet: Fleet = read(&path.join("fleet.json5"))?;
     let load: Load = read(&path.join("load.json5"))?;
     let multiples =
-        (0..fleet.groups.len()).map(|i| max_load_multiple(&fleet, &load, i, plan.goal, &Change::default()));
+        (0..fleet.groups.len()).map(|i| max_load_multiple(&fleet, &load, i, plan.goal, &Scenario::default()));
     let predicted = multiples.fold(f64::INFINITY, f64::min);
     // The interval around the prediction is wide enough to show that the prediction is wrong.
     let (mut low, mut high) = (predicted * 0.5, predicted * 1.6);
