--- a/crates/lab/src/sim/deployment.rs
+++ b/crates/lab/src/sim/deployment.rs
@@ -14,7 +14,7 @@
 pub const MAX_ZONES: usize = 6;
 /// Largest number of proxies in a plan, and in the settings of a deployment.
 pub const MAX_PROXIES: usize = 350;
-/// For how long a proxy may still send new requests to a draining host, in microseconds.
+/// How long a proxy may still send new requests to a draining host after it learns of the drain, in microseconds.
 pub const DRAIN_GRACE_US: u64 = 500_000;
 /// A cold host's share of its warm capacity right after its start.
 pub const COLD_START_CAPACITY: f64 = 0.2;
--- a/crates/lab/src/sim/mod.rs
+++ b/crates/lab/src/sim/mod.rs
@@ -398,10 +398,11 @@
     /// Runs the simulation until a rule is violated or the time is over.
     fn run(&mut self) {
         // The begin and the end of each fault, by time and order; the flag is true for the begin.
-        let mut script: BTreeMap<(Micros, usize), (Fault, bool)> = BTreeMap::new();
-        for (i, f) in self.plan.faults.iter().enumerate() {
-            script.insert((f.at_ms * 1_000, 2 * i), (f.clone(), true));
-            script.insert(((f.at_ms + f.for_ms) * 1_000, 2 * i + 1), (f.clone(), false));
+        let mut fault_schedule: BTreeMap<(Micros, usize), (Fault, bool)> = BTreeMap::new();
+        for (number, fault) in self.plan.faults.iter().enumerate() {
+            fault_schedule.insert((fault.at_ms * 1_000, 2 * number), (fault.clone(), true));
+            fault_schedule
+                .insert(((fault.at_ms + fault.for_ms) * 1_000, 2 * number + 1), (fault.clone(), false));
         }
         let last_request = self.plan.for_ms * 1_000;
         let stop_time = last_request + ANSWER_TIMEOUT_US;
@@ -410,12 +411,12 @@
         while !self.is_broken() {
             self.run_tasks();
             self.check_world();
-            let next = script.first_key_value().map_or(end, |(key, _)| key.0.min(end));
-            let next = if are_stopped { next } else { next.min(stop_time) };
-            if self.world.step(next) {
+            let next_time = fault_schedule.first_key_value().map_or(end, |(key, _)| key.0.min(end));
+            let next_time = if are_stopped { next_time } else { next_time.min(stop_time) };
+            if self.world.step(next_time) {
                 continue;
             }
-            if let Some(entry) = script.first_entry().filter(|e| e.key().0 <= next) {
+            if let Some(entry) = fault_schedule.first_entry().filter(|e| e.key().0 <= next_time) {
                 let (fault, begins) = entry.remove();
                 self.apply_fault(&fault, begins);
             } else if !are_stopped {
--- a/crates/lab/src/sim/plan.rs
+++ b/crates/lab/src/sim/plan.rs
@@ -380,8 +380,8 @@
         sillfold_conf::parse(&path.display().to_string(), &text).map_err(|e| e.join("; "))
     }
 
-    /// Smaller variants of this plan, most of them the smallest first: with a part of the faults, fewer clients, whole
-    /// reads and writes, or no peer messages.
+    /// Smaller variants of this plan, the largest reductions first: a half of the faults, half the clients, one fault
+    /// less, whole reads and writes, no peer messages, or one client less. Variants equal to this plan are left out.
     pub fn smaller(&self) -> Vec<Plan> {
         let mut plans = Vec::new();
         let mut add = |plan: Plan| {
