--- a/crates/lab/src/days.rs
+++ b/crates/lab/src/days.rs
@@ -11,7 +11,7 @@
 use std::time::Instant;
 
 /// Prints a seed's day as a plan.
-pub fn show(seed: u64) -> io::Result<()> {
+pub fn print_plan(seed: u64) -> io::Result<()> {
     println!("{}", serde_json::to_string_pretty(&Plan::from_seed(seed))?);
     Ok(())
 }
@@ -30,20 +30,23 @@
         None => Ok(()),
         Some((b, step, _)) => {
             let at = b.at as f64 / 1e6;
-            Err(io::Error::other(format!("rule broken at {at:.6} s, step {step}: {}: {}", b.rule, b.what)))
+            Err(io::Error::other(format!(
+                "rule broken at {at:.6} s, step {step}: {}: {}",
+                b.rule, b.description
+            )))
         }
     }
 }
 
 /// The seeds from the first to before the second of a text such as `1..101`.
-pub fn range(seeds: &str) -> io::Result<(u64, u64)> {
+pub fn parse_seed_range(seeds: &str) -> io::Result<(u64, u64)> {
     let ends = seeds.split_once("..").and_then(|(from, to)| Some((from.parse().ok()?, to.parse().ok()?)));
     ends.ok_or_else(|| io::Error::other(format!("seeds: {seeds:?} is no A..B")))
 }
 
 /// Simulates a day for each seed; the first that breaks a rule is made smaller and told.
-pub fn many(seeds: &str, jobs: usize, shrink: usize) -> io::Result<()> {
-    let (from, to) = range(seeds)?;
+pub fn run_seeds(seeds: &str, jobs: usize, shrink: usize) -> io::Result<()> {
+    let (from, to) = parse_seed_range(seeds)?;
     let (next, done) = (AtomicU64::new(from), Mutex::new(Vec::<(u64, Outcome)>::new()));
     let begun = Instant::now();
     let shows = io::stderr().is_terminal();
@@ -82,7 +85,7 @@
         hash = (hash ^ o.hash).wrapping_mul(0x0100_0000_01b3);
         steps += o.steps;
         if let Some((b, ..)) = &o.broken {
-            println!("seed {seed}: {} at {:.6} s: {}", b.rule, b.at as f64 / 1e6, b.what);
+            println!("seed {seed}: {} at {:.6} s: {}", b.rule, b.at as f64 / 1e6, b.description);
         }
     }
     println!(
@@ -98,7 +101,7 @@
     println!("{}", serde_json::to_string_pretty(&small)?);
     if let Some((b, step, about)) = sim::run(&small, false).broken {
         about.iter().for_each(|line| println!("  {line}"));
-        println!("  {:.6} step {step}: {}: {}", b.at as f64 / 1e6, b.rule, b.what);
+        println!("  {:.6} step {step}: {}: {}", b.at as f64 / 1e6, b.rule, b.description);
     }
     Err(io::Error::other(format!("{} of {} days broke a rule", failing.len(), done.len())))
 }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -200,10 +200,10 @@
             experiment::saturate(&cases, &program, &experiment::Plan { goal, seconds, steps, seed })
         }
         Command::Sim { seeds, jobs, replay, plan, show, shrink } => match (replay, plan) {
-            (Some(seed), _) if show => days::show(seed),
+            (Some(seed), _) if show => days::print_plan(seed),
             (Some(seed), _) => days::replay(&Plan::from_seed(seed)),
             (None, Some(file)) => Plan::read(&file).map_err(io::Error::other).and_then(|p| days::replay(&p)),
-            (None, None) => days::many(&seeds, jobs, shrink),
+            (None, None) => days::run_seeds(&seeds, jobs, shrink),
         },
         Command::Soak { seeds, jobs, proxies, program } => {
             soaks::many(&seeds, jobs, &soak::Options { program, proxies })
--- a/crates/lab/src/sim/agent.rs
+++ b/crates/lab/src/sim/agent.rs
@@ -14,7 +14,7 @@
 const LOOK: Duration = Duration::from_millis(10);
 const BEAT: Micros = 2_000_000;
 /// What is told is there by then, unless the way is cut.
-pub const THERE: Micros = 15_000;
+pub const LIST_DELIVERY_TIME: Micros = 15_000;
 /// What discovery has and could be heard counts as told after this long, whatever became of watches and calls.
 const TOLD: Micros = 6_000_000;
 
@@ -22,7 +22,7 @@
 pub struct Agent {
     fleet: Rc<Fleet>,
     /// The list stays as it was, for as long as this holds one.
-    pub stale: Cell<Option<u64>>,
+    pub stale_version: Cell<Option<u64>>,
     /// The version, the text, and which hosts it says are off.
     kept: RefCell<(u64, String, Vec<bool>)>,
     /// Which hosts the list calls primary.
@@ -38,23 +38,23 @@
 impl Agent {
     /// An agent of this fleet.
     pub fn new(fleet: Rc<Fleet>, machine: usize) -> Agent {
-        let (stale, kept, machine) = (Cell::new(None), Default::default(), Cell::new(machine));
+        let (stale_version, kept, machine) = (Cell::new(None), Default::default(), Cell::new(machine));
         let (opened, silent, reaches, listed_primaries) = Default::default();
-        Agent { fleet, stale, kept, listed_primaries, machine, opened, silent, reaches }
+        Agent { fleet, stale_version, kept, listed_primaries, machine, opened, silent, reaches }
     }
 
     /// All open watches fall silent, and stay open.
-    pub fn silence(&self) {
+    pub fn silence_watches(&self) {
         self.silent.set(self.opened.get());
     }
 
     /// From now on a proxy's process can ask, on this machine.
-    pub fn serves(&self, peer: usize) {
+    pub fn proxy_started(&self, peer: usize) {
         self.reaches.borrow_mut().insert(peer, self.fleet.world.now());
     }
 
     /// Tells the book what counts as told by and by, whether or not anybody asked.
-    pub async fn counts(self: Rc<Agent>) {
+    pub async fn record_list_deadlines(self: Rc<Agent>) {
         let mut off_since: BTreeMap<usize, Micros> = BTreeMap::new();
         loop {
             let (now, _) = (self.fleet.world.now(), self.list());
@@ -71,7 +71,12 @@
                     continue;
                 }
                 for (host, off) in &off_since {
-                    self.fleet.book.borrow_mut().tells(*peer, *host, true, TOLD + *off.max(since));
+                    self.fleet.checker.borrow_mut().record_host_status(
+                        *peer,
+                        *host,
+                        true,
+                        TOLD + *off.max(since),
+                    );
                 }
             }
             world::after(LOOK).await;
@@ -91,7 +96,7 @@
         for (host, listed) in hosts.iter().zip(listed.iter_mut()) {
             if host.primary != *listed && host.role_since + delay_ms * 1_000 <= now {
                 *listed = host.primary;
-                self.fleet.index.set(self.fleet.index.get() + 1);
+                self.fleet.list_version.set(self.fleet.list_version.get() + 1);
             }
         }
     }
@@ -99,9 +104,9 @@
     /// The list as it is told, and its version.
     fn list(&self) -> (u64, String) {
         self.update_roles();
-        let now = self.fleet.index.get();
+        let now = self.fleet.list_version.get();
         let mut kept = self.kept.borrow_mut();
-        if kept.0 != now && self.stale.get().is_none() {
+        if kept.0 != now && self.stale_version.get().is_none() {
             let unix = self.fleet.world.unix_ms() - self.fleet.world.now() / 1_000;
             let hosts = self.fleet.hosts.borrow();
             let listed = self.listed_primaries.borrow();
@@ -138,9 +143,9 @@
         if world.is_blocked(self.machine.get(), peer) {
             return;
         }
-        let by = world.now() + THERE;
+        let by = world.now() + LIST_DELIVERY_TIME;
         for (i, off) in self.kept.borrow().2.iter().enumerate() {
-            self.fleet.book.borrow_mut().tells(peer, i, *off, by);
+            self.fleet.checker.borrow_mut().record_host_status(peer, i, *off, by);
         }
     }
 
--- a/crates/lab/src/sim/client.rs
+++ b/crates/lab/src/sim/client.rs
@@ -1,9 +1,9 @@
 //! Simulated clients: those that ask as they should and hold the proxy to the rules, and rude ones. They own what
 //! they wait for. They must never forgive what the page on rules does not.
 
-use super::check::Asked;
+use super::check::AnsweredRequest;
 use super::deployment::{Access, Class, Idempotency, SessionTokens};
-use super::host::{Fleet, next};
+use super::host::{Fleet, read_message};
 use super::world::Micros;
 use crate::wire;
 use futures_lite::future;
@@ -21,11 +21,11 @@
     /// Where it listens.
     pub address: SocketAddr,
     /// When a process there was last killed: what was out then has no answer.
-    pub killed: Cell<Option<Micros>>,
+    pub killed_at: Cell<Option<Micros>>,
     /// Until when clients ask.
     pub until: Micros,
     /// Requests that are out.
-    pub out: Cell<usize>,
+    pub in_flight: Cell<usize>,
 }
 
 /// A client that behaves: which proxies it may ask, and in which sessions.
@@ -55,7 +55,7 @@
 }
 
 /// Asks one request after the other, on as few connections as the proxy allows.
-pub async fn asks(fleet: Rc<Fleet>, client: Client) {
+pub async fn run_client(fleet: Rc<Fleet>, client: Client) {
     let w = fleet.world.clone();
     let Client { number, rest_ms, .. } = client;
     let (mut count, mut mark) = (0, 0);
@@ -74,7 +74,7 @@
             // A last error may say why it ends.
             if came.first().is_some_and(|kind| *kind != b'E') {
                 let what = format!("{} bytes that nobody asked for", came.len());
-                fleet.book.borrow_mut().strange(w.now(), &format!("client {number}"), &what);
+                fleet.checker.borrow_mut().unexpected_reply(w.now(), &format!("client {number}"), &what);
             }
             connection = (!ended && came.is_empty()).then_some((stream, came));
         }
@@ -82,7 +82,7 @@
             Some(open) => open,
             None => {
                 target = client.target(&fleet);
-                let Some(stream) = opens(target.address).await else {
+                let Some(stream) = connect(target.address).await else {
                     world::after(Duration::from_millis(50 + w.draw_below(100))).await;
                     continue;
                 };
@@ -90,9 +90,9 @@
             }
         };
         count += 1;
-        target.out.set(target.out.get() + 1);
-        let kept = ask(&fleet, &target, &mut stream, &mut came, (&client, count), &mut mark).await;
-        target.out.set(target.out.get() - 1);
+        target.in_flight.set(target.in_flight.get() + 1);
+        let kept = run_request(&fleet, &target, &mut stream, &mut came, (&client, count), &mut mark).await;
+        target.in_flight.set(target.in_flight.get() - 1);
         if kept && w.draw_below(20) > 0 {
             connection = Some((stream, came));
         }
@@ -100,13 +100,13 @@
 }
 
 /// Opens a session; nothing where that fails in any way.
-async fn opens(address: SocketAddr) -> Option<Stream> {
+async fn connect(address: SocketAddr) -> Option<Stream> {
     let opened = async {
         let stream = Stream::connect(address).await.ok()?;
         stream.write_all(&wire::startup("web", "orders")).await.ok()?;
         let mut came = Vec::new();
         loop {
-            match next(&stream, &mut came).await.ok()?? {
+            match read_message(&stream, &mut came).await.ok()?? {
                 (b'Z', _) => return Some(stream),
                 (b'E', _) => return None,
                 _ => {}
@@ -121,7 +121,7 @@
 }
 
 /// One request up to its answer; whether the connection may serve another.
-async fn ask(
+async fn run_request(
     fleet: &Rc<Fleet>, target: &Target, stream: &mut Stream, came: &mut Vec<u8>,
     (client, count): (&Client, u64), mark: &mut u64,
 ) -> bool {
@@ -144,11 +144,11 @@
     };
     let text = format!("/* id={id},c={name},d={d}{key}{after},cluster={group} */ {verb}");
     let sent = w.now();
-    let brought = if is_marked { fleet.mark(*mark) } else { 0 };
+    let brought = if is_marked { fleet.position_of_mark(*mark) } else { 0 };
     w.trace(|| format!("client {number} asks {id} of {name} in group {group}, session {session} "));
-    fleet.book.borrow_mut().counts.asked += 1;
+    fleet.checker.borrow_mut().counts.asked += 1;
     if stream.write_all(&wire::message(b'Q', &[text.as_bytes(), b"\0"].concat())).await.is_err() {
-        fleet.book.borrow_mut().counts.excused += 1;
+        fleet.checker.borrow_mut().counts.excused += 1;
         return false;
     }
     let (mut value, mut error) = (None, None);
@@ -160,37 +160,37 @@
     };
     loop {
         if w.now() >= leaves {
-            let mut book = fleet.book.borrow_mut();
-            book.leaves(w.now(), &id);
-            book.counts.excused += 1;
-            drop(book);
+            let mut checker = fleet.checker.borrow_mut();
+            checker.client_disconnected(w.now(), &id);
+            checker.counts.excused += 1;
+            drop(checker);
             w.trace(|| format!("client {number} leaves while {id} is open"));
             return false;
         }
-        let message = async { Some(next(stream, came).await) };
+        let message = async { Some(read_message(stream, came).await) };
         let look = Duration::from_micros(leaves.saturating_sub(w.now()).min(500_000));
         let late = async {
             world::after(look).await;
             None
         };
         let message = future::or(message, late).await;
-        let (now, mut book) = (w.now(), fleet.book.borrow_mut());
+        let (now, mut checker) = (w.now(), fleet.checker.borrow_mut());
         match message {
-            None if target.killed.get().is_some_and(|at| at >= sent) => {
-                book.counts.excused += 1;
+            None if target.killed_at.get().is_some_and(|at| at >= sent) => {
+                checker.counts.excused += 1;
                 return false;
             }
             None => {
                 // Nothing came for a while; the wait goes on while it may.
-                book.waits(now, &id, &class, sent, false);
-                if book.broken.is_some() {
+                checker.check_deadline(now, &id, &class, sent, false);
+                if checker.broken.is_some() {
                     return false;
                 }
             }
             Some(Ok(Some((b'D', body)))) => {
                 let text = body.get(6..).map(|v| String::from_utf8_lossy(v).into_owned());
                 if value.replace(text.unwrap_or_default()).is_some() {
-                    book.strange(now, &id, "two rows");
+                    checker.unexpected_reply(now, &id, "two rows");
                 }
             }
             Some(Ok(Some((b'E', body)))) => {
@@ -198,38 +198,42 @@
                     .split('\0')
                     .find_map(|f| f.strip_prefix('C').map(String::from));
                 if error.replace(code.unwrap_or_default()).is_some() {
-                    book.strange(now, &id, "two errors");
+                    checker.unexpected_reply(now, &id, "two errors");
                 }
             }
             Some(Ok(Some((b'Z', _)))) => {
-                book.waits(now, &id, &class, sent, true);
+                checker.check_deadline(now, &id, &class, sent, true);
                 match (value, error) {
                     (Some(value), None) => {
                         let (id, class, session) = (&id, &*class, &session);
-                        book.gets(now, Asked { id, class, session, sent, mark: brought }, &value);
+                        checker.value_received(
+                            now,
+                            AnsweredRequest { id, class, session, sent, mark: brought },
+                            &value,
+                        );
                         if class.access == Access::Write {
                             // It was committed by now.
                             *mark = w.unix_ms();
                         }
                     }
                     (None, Some(code)) => {
-                        book.fails(now, &id, |since, by| w.was_disrupted(since, by));
-                        drop(book);
+                        checker.error_received(now, &id, |since, by| w.was_disrupted(since, by));
+                        drop(checker);
                         w.trace(|| format!("client {number} has {code} for {id}"));
                     }
-                    _ => book.strange(now, &id, "neither a row nor an error"),
+                    _ => checker.unexpected_reply(now, &id, "neither a row nor an error"),
                 }
                 return true;
             }
             Some(Ok(Some(_))) => {}
             Some(Ok(None) | Err(_)) => {
-                if target.killed.get().is_some_and(|at| at + 5_000 >= sent) {
-                    book.counts.excused += 1;
+                if target.killed_at.get().is_some_and(|at| at + 5_000 >= sent) {
+                    checker.counts.excused += 1;
                 } else if error.is_some() || value.is_some() || now > sent + CROSSED {
-                    book.strange(now, &id, "its connection ended before the answer did");
+                    checker.unexpected_reply(now, &id, "its connection ended before the answer did");
                 } else {
                     // The proxy closed before the request was there.
-                    book.counts.excused += 1;
+                    checker.counts.excused += 1;
                 }
                 return false;
             }
@@ -248,7 +252,7 @@
 }
 
 /// A client that does not behave, for so long; what it asks is of no rule's concern but that others are served.
-pub async fn rude(fleet: Rc<Fleet>, target: Rc<Target>, until: Micros) {
+pub async fn run_misbehaving_client(fleet: Rc<Fleet>, target: Rc<Target>, until: Micros) {
     let w = fleet.world.clone();
     while w.now() < until {
         let Ok(stream) = Stream::connect(target.address).await else {
--- a/crates/lab/src/sim/freshness.rs
+++ b/crates/lab/src/sim/freshness.rs
@@ -26,31 +26,31 @@
 
 impl Freshness {
     /// A host is the primary of its group no more.
-    pub fn demotes(&mut self, now: Micros, host: usize) {
+    pub fn primary_demoted(&mut self, now: Micros, host: usize) {
         self.demoted.insert(host, now);
         self.replica_notes.retain(|key, _| key.1 != host);
     }
 
     /// A host writes the answer to a write of this session, which it committed at this position.
-    pub fn commits(&mut self, now: Micros, process: Machine, session: &str, position: Micros) {
+    pub fn commit_reported(&mut self, now: Micros, process: Machine, session: &str, position: Micros) {
         let commits = self.commits.entry((process, session.to_string())).or_default();
         commits.push(Commit { written: now, position });
     }
 
     /// A host writes a note that says it is a replica.
-    pub fn notes_replica(&mut self, now: Micros, process: Machine, host: usize) {
+    pub fn replica_reported(&mut self, now: Micros, process: Machine, host: usize) {
         self.replica_notes.entry((process, host)).or_insert(now);
     }
 
     /// The position that a session's read, sent by this process at this time, must have reached.
-    pub fn must_reflect(&self, process: Machine, session: &str, sent: Micros) -> Micros {
+    pub fn required_position(&self, process: Machine, session: &str, sent: Micros) -> Micros {
         let commits = self.commits.get(&(process, session.to_string()));
         let known = commits.into_iter().flatten().filter(|c| c.written + KNOWN_AFTER <= sent);
         known.map(|c| c.position).max().unwrap_or(0)
     }
 
     /// Whether a read sent at this time may have been meant for a primary that the host no longer is.
-    pub fn is_excused(&self, process: Machine, host: usize, sent: Micros) -> bool {
+    pub fn may_target_former_primary(&self, process: Machine, host: usize, sent: Micros) -> bool {
         let told = self.replica_notes.get(&(process, host));
         self.demoted.contains_key(&host) && told.is_none_or(|told| told + KNOWN_AFTER > sent)
     }
--- a/crates/lab/src/sim/host.rs
+++ b/crates/lab/src/sim/host.rs
@@ -2,7 +2,7 @@
 //! the state of all hosts. It must never be kinder than the real ones: a replica shows no more than it has applied,
 //! and turns writes away.
 
-use super::check::{Book, Origin, Place, State};
+use super::check::{AttemptOrigin, AttemptState, HostLocation, RuleChecker};
 use super::deployment::{Access, Class, DedupScope, Deployment, Idempotency, LagCheck, SessionTokens};
 use super::world::{Micros, World};
 use crate::wire;
@@ -15,21 +15,21 @@
 use std::time::Duration;
 
 /// Cores of a host, and sessions that it takes.
-pub const CORES: usize = 4;
-const SESSIONS: usize = 100;
+pub const CORES_PER_HOST: usize = 4;
+const MAX_SESSIONS: usize = 100;
 /// Work that waits longer than this for a core is turned away.
-const MOST_WAIT: Micros = 600_000;
+const MAX_CORE_WAIT: Micros = 600_000;
 /// A host that waits for what has not been applied looks again this often.
-const LOOK_AGAIN: Duration = Duration::from_millis(5);
+const REPLICATION_POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// A message past this is none.
-const MOST_MESSAGE: usize = 1 << 20;
+const MAX_MESSAGE_BYTES: usize = 1 << 20;
 
 /// What a host does wrong.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum Mode {
+pub enum HostMode {
     /// Nothing.
     #[default]
-    Well,
+    Healthy,
     /// It fails requests at once.
     Errors,
     /// It says what is no answer, or half of one.
@@ -90,17 +90,17 @@
     /// Its state in the list.
     pub status: &'static str,
     /// What it does wrong, and how many times slower it works.
-    pub mode: Mode,
+    pub mode: HostMode,
     /// See there.
-    pub slow: u64,
+    pub slowdown: u64,
     /// Some of its sessions come up so late.
-    pub late: Micros,
+    pub session_delay: Micros,
     /// What becomes of so many percent of its answers.
-    pub answers: (AnswerFault, u64),
+    pub answer_fault: (AnswerFault, u64),
     /// Since when it has its role.
     pub role_since: Micros,
     applied: Micros,
-    busy_until: [Micros; CORES],
+    busy_until: [Micros; CORES_PER_HOST],
     sessions: usize,
 }
 
@@ -111,15 +111,15 @@
     /// All hosts, by number.
     pub hosts: RefCell<Vec<Host>>,
     /// The rules.
-    pub book: RefCell<Book>,
+    pub checker: RefCell<RuleChecker>,
     /// Classes of requests.
     pub classes: Vec<Rc<Class>>,
     /// What the settings say of hosts.
     pub deployment: Deployment,
     /// Grows with each change of the list.
-    pub index: Cell<u64>,
+    pub list_version: Cell<u64>,
     /// Keys of writes, by where their repeats are dropped.
-    keys: RefCell<BTreeMap<(KeyScope, String), Kept>>,
+    keys: RefCell<BTreeMap<(KeyScope, String), KeyedWrite>>,
     /// The latest commit of each session.
     last_commits: RefCell<BTreeMap<String, Micros>>,
     serial: Cell<u64>,
@@ -135,23 +135,23 @@
 
 /// What a key was first used for.
 #[derive(Clone)]
-struct Kept {
+struct KeyedWrite {
     at: Micros,
     value: String,
     position: Micros,
 }
 
 /// A session's place at its host; dropping it gives it back.
-struct Session(Rc<Fleet>, usize);
+struct SessionSlot(Rc<Fleet>, usize);
 
-impl Drop for Session {
+impl Drop for SessionSlot {
     fn drop(&mut self) {
         self.0.hosts.borrow_mut()[self.1].sessions -= 1;
     }
 }
 
 /// What a host knows of a request.
-struct Asked<'a> {
+struct HostRequest<'a> {
     id: &'a str,
     class: Rc<Class>,
     group: usize,
@@ -162,12 +162,12 @@
 
 impl Fleet {
     /// A fleet in this world, of hosts that are well and warm.
-    pub fn new(world: Rc<World>, book: Book, deployment: Deployment) -> Fleet {
+    pub fn new(world: Rc<World>, checker: RuleChecker, deployment: Deployment) -> Fleet {
         let (hosts, keys, last_commits) = Default::default();
         let classes = deployment.classes.iter().cloned().map(Rc::new).collect();
-        let (index, serial) = (Cell::new(1), Cell::new(0));
-        let book = RefCell::new(book);
-        Fleet { world, hosts, book, classes, deployment, index, keys, last_commits, serial }
+        let (list_version, serial) = (Cell::new(1), Cell::new(0));
+        let checker = RefCell::new(checker);
+        Fleet { world, hosts, checker, classes, deployment, list_version, keys, last_commits, serial }
     }
 
     /// How far replicas are behind where nothing is wrong.
@@ -176,7 +176,7 @@
     }
 
     /// One more host.
-    pub fn add(&self, group: usize, zone: u8, address: SocketAddr, primary: bool) {
+    pub fn add_host(&self, group: usize, zone: u8, address: SocketAddr, primary: bool) {
         let mut hosts = self.hosts.borrow_mut();
         let name = format!("s-{}", hosts.len());
         hosts.push(Host {
@@ -188,13 +188,13 @@
             lag: self.usual_lag(),
             started: 0,
             status: "SERVING",
-            mode: Mode::Well,
-            slow: 1,
-            late: 0,
-            answers: Default::default(),
+            mode: HostMode::Healthy,
+            slowdown: 1,
+            session_delay: 0,
+            answer_fault: Default::default(),
             role_since: 0,
             applied: 0,
-            busy_until: [0; CORES],
+            busy_until: [0; CORES_PER_HOST],
             sessions: 0,
         });
     }
@@ -203,7 +203,7 @@
     pub fn change(&self, host: usize, what: impl FnOnce(&mut Host)) {
         self.applied(host);
         what(&mut self.hosts.borrow_mut()[host]);
-        self.index.set(self.index.get() + 1);
+        self.list_version.set(self.list_version.get() + 1);
     }
 
     /// A host becomes the primary of its group, or is it no more.
@@ -211,14 +211,14 @@
         let now = self.world.now();
         self.change(host, |h| (h.primary, h.role_since) = (primary, now));
         if !primary {
-            self.book.borrow_mut().freshness.demotes(now, host);
+            self.checker.borrow_mut().freshness.primary_demoted(now, host);
         }
     }
 
     /// The host's process begins anew, with nothing in hand.
-    pub fn begins(&self, host: usize, started: Micros) {
+    pub fn start_process(&self, host: usize, started: Micros) {
         let h = &mut self.hosts.borrow_mut()[host];
-        (h.busy_until, h.started) = ([0; CORES], started);
+        (h.busy_until, h.started) = ([0; CORES_PER_HOST], started);
     }
 
     /// Up to where a host has applied its group's log; it never takes back what it has.
@@ -229,21 +229,21 @@
     }
 
     /// From now on a host applies so far behind.
-    pub fn lags(&self, host: usize, lag: Micros) {
+    pub fn set_lag(&self, host: usize, lag: Micros) {
         self.applied(host);
         self.hosts.borrow_mut()[host].lag = lag;
     }
 
     /// When so much work, with all before it, is done; nothing where it would wait too long for a core.
-    fn takes(&self, host: usize, work: f64) -> Option<Micros> {
+    fn schedule_work(&self, host: usize, work: f64) -> Option<Micros> {
         let now = self.world.now();
         let h = &mut self.hosts.borrow_mut()[host];
         let core = h.busy_until.iter_mut().min()?;
         let begin = (*core).max(now);
-        if begin > now + MOST_WAIT {
+        if begin > now + MAX_CORE_WAIT {
             return None;
         }
-        *core = begin + (work * h.slow as f64) as Micros;
+        *core = begin + (work * h.slowdown as f64) as Micros;
         Some(*core)
     }
 
@@ -254,14 +254,14 @@
             let fleet = self.clone();
             spawner.spawn(async move {
                 fleet.hosts.borrow_mut()[host].sessions += 1;
-                let session = Session(fleet.clone(), host);
-                let _ = fleet.converse(host, &stream, peer, number).await;
+                let session = SessionSlot(fleet.clone(), host);
+                let _ = fleet.serve_session(host, &stream, peer, number).await;
                 drop(session);
             });
         }
     }
 
-    async fn converse(
+    async fn serve_session(
         self: &Rc<Fleet>, host: usize, stream: &Stream, peer: usize, number: u64,
     ) -> std::io::Result<()> {
         let mut came = Vec::new();
@@ -277,11 +277,11 @@
                 return Ok(());
             }
         }
-        let late = self.hosts.borrow()[host].late;
+        let late = self.hosts.borrow()[host].session_delay;
         if late > 0 && self.world.draw_below(2) == 0 {
             world::after(Duration::from_micros(late)).await;
         }
-        if self.hosts.borrow()[host].sessions > SESSIONS {
+        if self.hosts.borrow()[host].sessions > MAX_SESSIONS {
             return stream.write_all(&wire::error_response("53300", "too many connections")).await;
         }
         let welcome = [
@@ -292,7 +292,7 @@
         .concat();
         stream.write_all(&welcome).await?;
         loop {
-            let Some((kind, body)) = next(stream, &mut came).await? else { return Ok(()) };
+            let Some((kind, body)) = read_message(stream, &mut came).await? else { return Ok(()) };
             if kind != b'Q' {
                 return Ok(());
             }
@@ -322,16 +322,16 @@
     async fn deliver(
         &self, host: usize, (peer, connection): (usize, u64), stream: &Stream, answer: Answer,
     ) -> std::io::Result<bool> {
-        let (fault, percent) = self.hosts.borrow()[host].answers;
+        let (fault, percent) = self.hosts.borrow()[host].answer_fault;
         let fault =
             if percent > 0 && self.world.draw_below(100) < percent { fault } else { AnswerFault::None };
-        self.notes_written(host, peer, &answer, fault);
+        self.record_answer(host, peer, &answer, fault);
         let Answer { body, notes, commit, .. } = answer;
         if let Some(commit) = commit
             && matches!(fault, AnswerFault::None | AnswerFault::Cut)
             && self.world.is_peer_reachable(connection)
         {
-            self.book.borrow_mut().completes(self.world.now(), &commit.id);
+            self.checker.borrow_mut().write_answered(self.world.now(), &commit.id);
         }
         match fault {
             AnswerFault::None => {}
@@ -352,15 +352,15 @@
     }
 
     /// Tells the book of an answer that is written to a process now, whatever becomes of it on its way.
-    fn notes_written(&self, host: usize, peer: usize, answer: &Answer, fault: AnswerFault) {
+    fn record_answer(&self, host: usize, peer: usize, answer: &Answer, fault: AnswerFault) {
         let now = self.world.now();
-        let freshness = &mut self.book.borrow_mut().freshness;
+        let freshness = &mut self.checker.borrow_mut().freshness;
         if answer.role == Some(false) {
-            freshness.notes_replica(now, peer, host);
+            freshness.replica_reported(now, peer, host);
         }
         if let Some(commit) = answer.commit.as_ref().filter(|_| fault != AnswerFault::RoleOnly) {
             let Commit { session, position, .. } = commit;
-            freshness.commits(now, peer, session, *position);
+            freshness.commit_reported(now, peer, session, *position);
             let what =
                 || format!("host {host} tells machine {peer} of a commit of session {session} at {position}");
             self.world.trace(what);
@@ -377,41 +377,41 @@
         let w = &self.world;
         let Some(asked) = self.read(text) else {
             let what = format!("machine {peer} sent host {host} what is no request: {text:?}");
-            self.book.borrow_mut().breaks("no answer nobody made", w.now(), what, &[]);
+            self.checker.borrow_mut().record_broken_rule("no answer nobody made", w.now(), what, &[]);
             return None;
         };
         let (class, id) = (asked.class.clone(), asked.id);
         w.trace(|| format!("host {host} has {id} from machine {peer}, session {} ", asked.session));
         let (sent, issued) = w.last_arrival_times(connection);
-        let origin = Origin { process: peer, connection, sent, issued };
+        let origin = AttemptOrigin { process: peer, connection, sent, issued };
         let (mode, primary, started, place) = {
             let h = &self.hosts.borrow()[host];
-            (h.mode, h.primary, h.started, Place { host, group: h.group, zone: h.zone })
+            (h.mode, h.primary, h.started, HostLocation { host, group: h.group, zone: h.zone })
         };
         if place.group != asked.group {
             let what =
                 format!("{id} is for group {} and came to host {host} of {}", asked.group, place.group);
-            self.book.borrow_mut().breaks("no answer nobody made", w.now(), what, &[id]);
+            self.checker.borrow_mut().record_broken_rule("no answer nobody made", w.now(), what, &[id]);
         }
         let held = |n| w.is_peer_end_open(n);
-        let index = self.book.borrow_mut().attempt(w.now(), id, &class, place, origin, held);
-        let ended = |state| self.book.borrow_mut().ended(id, index, state);
+        let index = self.checker.borrow_mut().attempt_received(w.now(), id, &class, place, origin, held);
+        let ended = |state| self.checker.borrow_mut().attempt_ended(id, index, state);
         let refuse = |code: &str, why: &str| {
-            ended(State::Refused);
+            ended(AttemptState::Rejected);
             w.trace(|| format!("host {host} turns {id} away: {why}"));
             let notes = self.notes(host, self.applied(host), false);
             let role = Some(self.hosts.borrow()[host].primary);
             Some(Answer { body: wire::error_response(code, why), notes, role, commit: None })
         };
         match mode {
-            Mode::Well => {}
-            Mode::Errors => {
-                ended(State::Ran);
+            HostMode::Healthy => {}
+            HostMode::Errors => {
+                ended(AttemptState::MayHaveRun);
                 let body = wire::error_response("XX000", "a fast error");
                 return Some(Answer { body, notes: Vec::new(), role: None, commit: None });
             }
-            Mode::Garbage => {
-                ended(State::Ran);
+            HostMode::Garbage => {
+                ended(AttemptState::MayHaveRun);
                 let whole = [row("half", "SELECT 1"), wire::ready_for_query()].concat();
                 let cut = w.draw_below(40) as usize;
                 let bytes = if w.draw_below(2) == 0 { vec![0xff; 1 + cut] } else { whole[..cut].to_vec() };
@@ -424,32 +424,32 @@
         }
         let work = -class.work_us * (1.0 - w.draw_fraction()).ln();
         if started > 0 {
-            self.book.borrow_mut().works(w.now(), host, started, work);
+            self.checker.borrow_mut().work_received(w.now(), host, started, work);
         }
-        if !self.catches_up(host, &asked).await {
+        if !self.wait_until_fresh(host, &asked).await {
             return refuse("72000", "too far behind");
         }
-        let Some(done) = self.takes(host, work) else { return refuse("53300", "no slot is free") };
+        let Some(done) = self.schedule_work(host, work) else { return refuse("53300", "no slot is free") };
         // What was read is as of the beginning of the work.
         let read_at = self.applied(host);
-        if !self.lasts(stream, done.saturating_sub(w.now())).await {
+        if !self.wait_for_work(stream, done.saturating_sub(w.now())).await {
             // It ran all the same: where nobody waits any more, its work is done.
-            ended(State::Ran);
+            ended(AttemptState::MayHaveRun);
             return None;
         }
-        ended(State::Ran);
+        ended(AttemptState::MayHaveRun);
         self.serial.set(self.serial.get() + 1);
         let value = format!("v{host}.{}", self.serial.get());
         if class.access != Access::Write {
-            self.book.borrow_mut().makes(&value, id, read_at, host, origin);
+            self.checker.borrow_mut().answer_created(&value, id, read_at, host, origin);
             w.trace(|| format!("host {host} answers {id} with {value}, as of {read_at}"));
             let role = Some(self.hosts.borrow()[host].primary);
             let notes = self.notes(host, read_at, false);
             return Some(Answer { body: row(&value, "SELECT 1"), notes, role, commit: None });
         }
-        let Kept { value, position, .. } = self.commit(host, &asked, value);
-        let replicated = self.is_replicated(host, position, stream).await;
-        self.book.borrow_mut().makes(&value, id, position, host, origin);
+        let KeyedWrite { value, position, .. } = self.commit(host, &asked, value);
+        let replicated = self.wait_for_replication(host, position, stream).await;
+        self.checker.borrow_mut().answer_created(&value, id, position, host, origin);
         w.trace(|| format!("host {host} answers {id} with {value}"));
         let role = Some(self.hosts.borrow()[host].primary);
         let notes = self.notes(host, position, true);
@@ -458,25 +458,25 @@
     }
 
     /// Whether a host's data is recent enough for a request, where it checks that; it may wait for it.
-    async fn catches_up(&self, host: usize, asked: &Asked<'_>) -> bool {
+    async fn wait_until_fresh(&self, host: usize, asked: &HostRequest<'_>) -> bool {
         let (w, check) = (&self.world, self.deployment.lag_check);
         let begun = w.now();
         while check != LagCheck::Unchecked && !self.is_fresh(host, asked) {
             if w.now() >= begun + check.wait_ms() * 1_000 {
                 return false;
             }
-            world::after(LOOK_AGAIN).await;
+            world::after(REPLICATION_POLL_INTERVAL).await;
         }
         true
     }
 
-    fn is_fresh(&self, host: usize, asked: &Asked) -> bool {
+    fn is_fresh(&self, host: usize, asked: &HostRequest) -> bool {
         let at = self.applied(host);
         match asked.class.access {
             Access::AnyRead | Access::Write => true,
             Access::BoundedRead(bound_ms) => at + bound_ms * 1_000 >= self.world.now(),
             Access::SessionRead if self.deployment.tokens == SessionTokens::FromClient => {
-                asked.after.is_none_or(|ms| at + 1_000 >= self.mark(ms))
+                asked.after.is_none_or(|ms| at + 1_000 >= self.position_of_mark(ms))
             }
             Access::SessionRead => {
                 self.last_commits.borrow().get(asked.session).is_none_or(|last| at >= *last)
@@ -485,9 +485,9 @@
     }
 
     /// Commits a write, or finds that it is the repeat of one.
-    fn commit(&self, host: usize, asked: &Asked, value: String) -> Kept {
+    fn commit(&self, host: usize, asked: &HostRequest, value: String) -> KeyedWrite {
         let now = self.world.now();
-        let new = Kept { at: now, value, position: self.applied(host) };
+        let new = KeyedWrite { at: now, value, position: self.applied(host) };
         let mut kept = new.clone();
         if let (Idempotency::Keyed(scope, window_ms), Some(key)) = (asked.class.idempotency, asked.key) {
             let scope = match scope {
@@ -510,7 +510,7 @@
 
     /// Waits until another member of the group has a commit, where writes wait for that; false if whoever asked has
     /// left meanwhile.
-    async fn is_replicated(&self, host: usize, position: Micros, stream: &Stream) -> bool {
+    async fn wait_for_replication(&self, host: usize, position: Micros, stream: &Stream) -> bool {
         if !self.deployment.synchronous_commit {
             return true;
         }
@@ -519,7 +519,7 @@
             (0..hosts.len()).filter(|n| *n != host && hosts[*n].group == hosts[host].group).collect()
         };
         while !others.is_empty() && !others.iter().any(|n| self.applied(*n) >= position) {
-            if !self.lasts(stream, LOOK_AGAIN.as_micros() as Micros).await {
+            if !self.wait_for_work(stream, REPLICATION_POLL_INTERVAL.as_micros() as Micros).await {
                 return false;
             }
         }
@@ -527,7 +527,7 @@
     }
 
     /// Waits as long as the work takes; false if whoever asked has left meanwhile.
-    async fn lasts(&self, stream: &Stream, work: Micros) -> bool {
+    async fn wait_for_work(&self, stream: &Stream, work: Micros) -> bool {
         let done = async {
             world::after(Duration::from_micros(work)).await;
             true
@@ -541,7 +541,7 @@
     }
 
     /// A mark in Unix milliseconds as a position.
-    pub fn mark(&self, ms: u64) -> Micros {
+    pub fn position_of_mark(&self, ms: u64) -> Micros {
         let begin = self.world.unix_ms() - self.world.now() / 1_000;
         ms.saturating_sub(begin) * 1_000
     }
@@ -562,7 +562,7 @@
         wire::parameter_status("server_role", if primary { "writer" } else { "reader" })
     }
 
-    fn read<'a>(&self, text: &'a str) -> Option<Asked<'a>> {
+    fn read<'a>(&self, text: &'a str) -> Option<HostRequest<'a>> {
         let (comment, statement) = text.strip_prefix("/*")?.split_once("*/")?;
         let session = statement.split('\'').nth(1)?;
         let get = |name: &str| {
@@ -574,16 +574,16 @@
         };
         let class = self.classes.iter().find(|c| Some(c.name.as_str()) == get("c"))?.clone();
         let (after, key) = (get("after").and_then(|a| a.parse().ok()), get("k"));
-        Some(Asked { id: get("id")?, class, group: get("cluster")?.parse().ok()?, session, after, key })
+        Some(HostRequest { id: get("id")?, class, group: get("cluster")?.parse().ok()?, session, after, key })
     }
 }
 
 /// The next message, or nothing at the end of the connection.
-pub async fn next(stream: &Stream, came: &mut Vec<u8>) -> std::io::Result<Option<(u8, Vec<u8>)>> {
+pub async fn read_message(stream: &Stream, came: &mut Vec<u8>) -> std::io::Result<Option<(u8, Vec<u8>)>> {
     loop {
         if came.len() >= 5 {
             let len = u32::from_be_bytes([came[1], came[2], came[3], came[4]]) as usize;
-            if !(4..MOST_MESSAGE).contains(&len) {
+            if !(4..MAX_MESSAGE_BYTES).contains(&len) {
                 return Err(std::io::Error::other(format!("a message of {len} bytes")));
             }
             if came.len() > len {
--- a/crates/lab/src/sim/mod.rs
+++ b/crates/lab/src/sim/mod.rs
@@ -15,10 +15,10 @@
 use agent::Agent;
 use async_channel::Sender;
 use async_executor::LocalExecutor;
-use check::{Book, Broken, Counts, Figures};
+use check::{BrokenRule, Counts, RuleChecker, RuleLimits};
 use client::{Client, Target};
 use deployment::Deployment;
-use host::{AnswerFault, Fleet, Mode};
+use host::{AnswerFault, Fleet, HostMode};
 use plan::{Fault, FaultKind, Plan};
 use sillfold::config::Config;
 use sillfold::invariants::Violation;
@@ -53,21 +53,21 @@
 const READY: Micros = 10_000_000;
 
 /// The figures of the rules on a day of this deployment.
-fn figures(plan: &Plan, deployment: &Deployment) -> Figures {
+fn rule_limits(plan: &Plan, deployment: &Deployment) -> RuleLimits {
     let holds_up = plan.faults.iter().any(|f| matches!(f.kind, FaultKind::HoldUps(..)));
-    Figures {
-        held_up: if holds_up { world::MAX_WRITE_DELAY_US } else { 0 },
-        grace: deployment::DRAIN_GRACE_US,
-        start_capacity: deployment::COLD_START_CAPACITY,
-        cold: deployment::COLD_DURATION_US,
-        tip_multiple: deployment::OVERLOAD_MULTIPLE,
-        overload_for: deployment::OVERLOAD_DURATION_US,
+    RuleLimits {
+        max_write_delay: if holds_up { world::MAX_WRITE_DELAY_US } else { 0 },
+        drain_grace: deployment::DRAIN_GRACE_US,
+        cold_start_capacity: deployment::COLD_START_CAPACITY,
+        cold_duration: deployment::COLD_DURATION_US,
+        overload_multiple: deployment::OVERLOAD_MULTIPLE,
+        overload_duration: deployment::OVERLOAD_DURATION_US,
         max_attempts: deployment.max_attempts,
         tokens: deployment.tokens,
         answer_positions: deployment.answer_positions,
-        gone: 100_000,
-        way: 20_000,
-        cores: host::CORES as f64,
+        disconnect_grace: 100_000,
+        network_delay: 20_000,
+        cores: host::CORES_PER_HOST as f64,
     }
 }
 
@@ -85,7 +85,7 @@
     /// Invariants that the proxies themselves found broken, and how often.
     pub violations: BTreeMap<Violation, u64>,
     /// The first broken rule, with the step, and the lines of the trace about it.
-    pub broken: Option<(Broken, u64, Vec<String>)>,
+    pub broken: Option<(BrokenRule, u64, Vec<String>)>,
     /// The whole trace, where it was asked for.
     pub trace: Vec<String>,
 }
@@ -180,8 +180,8 @@
 pub fn run(plan: &Plan, whole_trace: bool) -> Outcome {
     let world = World::new(plan.seed, plan.partial_io, whole_trace);
     let deployment = plan.deployment();
-    let book = Book::new(figures(plan, &deployment));
-    let fleet = Rc::new(Fleet::new(world.clone(), book, deployment));
+    let checker = RuleChecker::new(rule_limits(plan, &deployment));
+    let fleet = Rc::new(Fleet::new(world.clone(), checker, deployment));
     let machine = world.add_machine(MANY);
     let agent = Rc::new(Agent::new(fleet.clone(), machine));
     let mut day = Day {
@@ -205,12 +205,12 @@
     };
     day.begin();
     day.go();
-    let broken = day.fleet.book.borrow_mut().broken.take();
+    let broken = day.fleet.checker.borrow_mut().broken.take();
     let broken = broken.map(|b| {
-        let about = day.world.trace_tail(&b.about);
+        let about = day.world.trace_tail(&b.trace_terms);
         (b, day.steps, about)
     });
-    let ((hash, lines), counts) = (day.world.trace_hash(), day.fleet.book.borrow().counts);
+    let ((hash, lines), counts) = (day.world.trace_hash(), day.fleet.checker.borrow().counts);
     let violations = day.violations();
     Outcome { hash, lines, steps: day.steps, counts, violations, broken, trace: day.world.take_trace() }
 }
@@ -264,12 +264,12 @@
         for n in 0..groups * members {
             let at = address(2, n, 5432);
             let zone = self.fleet.deployment.zone_of(n);
-            self.fleet.add(n / members, zone, at, n % members == 0);
+            self.fleet.add_host(n / members, zone, at, n % members == 0);
         }
         let agent = self.agent.clone();
         let (machine, at) = self.agent_at;
         self.listens(machine, at, |listener, spawner| {
-            spawner.spawn(agent.clone().counts());
+            spawner.spawn(agent.clone().record_list_deadlines());
             agent.serve(listener, spawner)
         });
         for n in 0..groups * members {
@@ -279,8 +279,8 @@
         }
         for p in 0..self.plan.proxies {
             let until = self.plan.for_ms * 1_000;
-            let (killed, out) = (Cell::new(None), Cell::new(0));
-            self.targets.push(Rc::new(Target { address: address(3, p, 5433), killed, until, out }));
+            let (killed_at, in_flight) = (Cell::new(None), Cell::new(0));
+            self.targets.push(Rc::new(Target { address: address(3, p, 5433), killed_at, until, in_flight }));
             self.proxies.push(None);
             self.beside.push(Vec::new());
             self.out.push(BTreeSet::new());
@@ -292,7 +292,7 @@
             let (_, executor) = self.process(machine);
             for _ in 0..self.plan.clients {
                 let client = self.client(p);
-                executor.spawn(client::asks(self.fleet.clone(), client)).detach();
+                executor.spawn(client::run_client(self.fleet.clone(), client)).detach();
             }
         }
     }
@@ -345,7 +345,7 @@
         self.events.push(core.events.clone());
         // What was done by hand outlasts the process that was told.
         for host in &self.out[p] {
-            self.fleet.book.borrow_mut().by_hand(machine, *host, true, self.world.now());
+            self.fleet.checker.borrow_mut().record_override(machine, *host, true, self.world.now());
         }
         let told = done.clone();
         let run = async move {
@@ -353,17 +353,17 @@
             told.set(true);
         };
         executor.spawn(run).detach();
-        self.agent.serves(machine);
+        self.agent.proxy_started(machine);
         let waits = Cell::new(Some(self.world.now()));
         self.proxies[p] = Some(Runs { process, machine, waits, core, upgrade, clients, hosts, stop, done });
     }
 
     fn breaks(&self, rule: &'static str, what: String) {
-        self.fleet.book.borrow_mut().breaks(rule, self.world.now(), what, &[]);
+        self.fleet.checker.borrow_mut().record_broken_rule(rule, self.world.now(), what, &[]);
     }
 
     fn is_broken(&self) -> bool {
-        self.fleet.book.borrow().broken.is_some()
+        self.fleet.checker.borrow().broken.is_some()
     }
 
     fn go(&mut self) {
@@ -484,14 +484,14 @@
             .collect();
         self.world.trace(|| format!("the process on machine {machine} is killed"));
         for n in killed {
-            self.targets[n].killed.set(Some(self.world.now()));
+            self.targets[n].killed_at.set(Some(self.world.now()));
             self.proxies[n] = None;
         }
         for n in 0..self.beside.len() {
             let before = self.beside[n].len();
             self.beside[n].retain(|r| r.process != process);
             if self.beside[n].len() < before {
-                self.targets[n].killed.set(Some(self.world.now()));
+                self.targets[n].killed_at.set(Some(self.world.now()));
             }
         }
         self.killed.insert(machine);
@@ -535,18 +535,18 @@
             }
             FaultKind::Lag(n, ms) => {
                 let lag = if begins { ms * 1_000 } else { self.fleet.usual_lag() };
-                self.fleet.lags(host(n), lag);
+                self.fleet.set_lag(host(n), lag);
             }
             FaultKind::Errors(n) | FaultKind::Garbage(n) => {
                 let mode = match fault.kind {
-                    _ if !begins => Mode::Well,
-                    FaultKind::Errors(_) => Mode::Errors,
-                    _ => Mode::Garbage,
+                    _ if !begins => HostMode::Healthy,
+                    FaultKind::Errors(_) => HostMode::Errors,
+                    _ => HostMode::Garbage,
                 };
                 self.fleet.hosts.borrow_mut()[host(n)].mode = mode;
             }
             FaultKind::Slow(n, times) => {
-                self.fleet.hosts.borrow_mut()[host(n)].slow = if begins { times } else { 1 };
+                self.fleet.hosts.borrow_mut()[host(n)].slowdown = if begins { times } else { 1 };
             }
             FaultKind::Drain(n) if begins => self.fleet.change(host(n), |h| h.status = "DRAINING"),
             FaultKind::Drain(n) => {
@@ -568,9 +568,11 @@
                 self.world.set_blocked(self.agent_at.0, here, begins);
                 // What is held back may come, or never: nobody can say what it knows until it hears a list again.
                 let after = if begins { self.world.now() } else { 0 };
-                self.fleet.book.borrow_mut().untells(here, after);
+                self.fleet.checker.borrow_mut().discard_reports_after(here, after);
+            }
+            FaultKind::AgentStale => {
+                self.agent.stale_version.set(begins.then(|| self.fleet.list_version.get()))
             }
-            FaultKind::AgentStale => self.agent.stale.set(begins.then(|| self.fleet.index.get())),
             FaultKind::ClockStep(p, ms) => {
                 let by = if begins { ms } else { -ms } * 1_000;
                 self.world.step_clock(p % proxies, by);
@@ -619,10 +621,10 @@
                     self.end(old);
                 }
             }
-            FaultKind::WatchesSilent if begins => self.agent.silence(),
+            FaultKind::WatchesSilent if begins => self.agent.silence_watches(),
             FaultKind::WatchesSilent => {}
             FaultKind::LateSessions(n, ms) => {
-                self.fleet.hosts.borrow_mut()[host(n)].late = if begins { ms * 1_000 } else { 0 };
+                self.fleet.hosts.borrow_mut()[host(n)].session_delay = if begins { ms * 1_000 } else { 0 };
             }
             FaultKind::CutAnswers(n, percent) => {
                 self.fault_answers(host(n), begins, (AnswerFault::Cut, percent));
@@ -651,7 +653,7 @@
                 let until = (fault.at_ms + fault.for_ms) * 1_000;
                 for _ in 0..n {
                     let (fleet, target) = (self.fleet.clone(), self.targets[p % proxies].clone());
-                    executor.spawn(client::rude(fleet, target, until)).detach();
+                    executor.spawn(client::run_misbehaving_client(fleet, target, until)).detach();
                 }
             }
             FaultKind::Rude(..) => {}
@@ -668,7 +670,7 @@
 
     /// Something becomes of so many percent of a host's answers, or nothing any more.
     fn fault_answers(&self, host: usize, begins: bool, fault: (AnswerFault, u64)) {
-        self.fleet.hosts.borrow_mut()[host].answers = if begins { fault } else { Default::default() };
+        self.fleet.hosts.borrow_mut()[host].answer_fault = if begins { fault } else { Default::default() };
     }
 
     /// Operators leave a host out at a proxy, or take it back; both versions of it are bound.
@@ -684,17 +686,17 @@
         if told.is_err() {
             return;
         }
-        let (now, mut book) = (self.world.now(), self.fleet.book.borrow_mut());
-        book.by_hand(run.machine, host, out, now);
+        let (now, mut checker) = (self.world.now(), self.fleet.checker.borrow_mut());
+        checker.record_override(run.machine, host, out, now);
         for other in &self.beside[p] {
             // It looks for what the other was told every 50 ms, where the two have met.
             if !out || other.upgrade.has_other_process() {
-                book.by_hand(other.machine, host, out, now + 60_000);
+                checker.record_override(other.machine, host, out, now + 60_000);
             }
         }
         // One that stops hears of it as long as it lives.
         for (other, _) in self.stopping.iter().filter(|_| !out) {
-            book.by_hand(other.machine, host, false, now);
+            checker.record_override(other.machine, host, false, now);
         }
         if out {
             self.out[p].insert(host);
@@ -719,7 +721,7 @@
         }
         self.world.set_powered(machine, true);
         let now = self.world.now();
-        self.fleet.begins(n, now);
+        self.fleet.start_process(n, now);
         self.fleet.change(n, |_| {});
         self.hosts[n] = self.host(n, machine);
     }
@@ -776,7 +778,7 @@
     /// No request is made any more, and all have had their time.
     fn rested(&mut self) {
         for p in 0..self.proxies.len() {
-            let out = self.targets[p].out.get();
+            let out = self.targets[p].in_flight.get();
             if out > 0 {
                 self.breaks("nothing waits for ever", format!("{out} requests at proxy {p} have no end"));
             }
@@ -808,7 +810,7 @@
         if self.events.iter().any(|events| events.is_violated()) {
             self.breaks("the proxies' own invariants hold", format!("{:?}", self.violations()));
         }
-        let counts = self.fleet.book.borrow().counts;
+        let counts = self.fleet.checker.borrow().counts;
         if counts.asked != counts.served + counts.errors + counts.excused {
             self.breaks("one final answer in time", format!("requests and their ends differ: {counts:?}"));
         }
--- a/crates/lab/src/soaks.rs
+++ b/crates/lab/src/soaks.rs
@@ -1,6 +1,6 @@
 //! The command `soak`: many runs, a line for each, and their sums. A run that broke a rule leaves its logs behind.
 
-use crate::days::range;
+use crate::days::parse_seed_range;
 use sillfold_lab::soak::{self, Options, Report};
 use std::collections::BTreeMap;
 use std::io;
@@ -14,7 +14,7 @@
 
 /// Runs these seeds, so many at the same time; an error where one broke a rule.
 pub fn many(seeds: &str, jobs: usize, options: &Options) -> io::Result<()> {
-    let (from, to) = range(seeds)?;
+    let (from, to) = parse_seed_range(seeds)?;
     let (next, reports, begun) = (AtomicU64::new(from), Mutex::new(Vec::new()), Instant::now());
     thread::scope(|scope| {
         for _ in 0..jobs.max(1) {
--- a/crates/lab/tests/mutants.rs
+++ b/crates/lab/tests/mutants.rs
@@ -44,9 +44,12 @@
         let outcome = run(&plan, false);
         mutants::set("");
         let Some((broken, step, about)) = outcome.broken else { continue };
-        eprintln!("{name}: seed {seed}, {} at {} us, step {step}: {}", broken.rule, broken.at, broken.what);
+        eprintln!(
+            "{name}: seed {seed}, {} at {} us, step {step}: {}",
+            broken.rule, broken.at, broken.description
+        );
         about.iter().for_each(|line| eprintln!("    {line}"));
-        return assert_eq!(broken.rule, rule, "{name}: {}", broken.what);
+        return assert_eq!(broken.rule, rule, "{name}: {}", broken.description);
     }
     panic!("{name}: no rule was broken");
 }
