--- a/crates/lab/src/sim/client.rs
+++ b/crates/lab/src/sim/client.rs
@@ -208,7 +208,7 @@
                         let (id, class, session) = (&id, &*class, &session);
                         checker.value_received(
                             now,
-                            AnsweredRequest { id, class, session, sent, mark: brought },
+                            AnsweredRequest { id, class, session, sent, write_position: brought },
                             &value,
                         );
                         if class.access == Access::Write {
