--- a/crates/lab/src/sim/agent.rs
+++ b/crates/lab/src/sim/agent.rs
@@ -1,5 +1,6 @@
-//! Simulated discovery: the list of hosts over HTTP, whole or watched. It owns what it has told whom. It must never
-//! tell the book that a proxy knows what could not reach it.
+//! Simulates discovery: an agent that serves the list of hosts over HTTP, as a single response or as a watched stream.
+//! The agent reports to the rule checker which proxies know that a host drains or is gone. It must not report that a
+//! proxy knows a list that could not reach the proxy.
 
 use super::deployment::ListRole;
 use super::host::Fleet;
@@ -10,87 +11,100 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Changes are looked for this often, and a silent watch gets an empty line this often.
-const LOOK: Duration = Duration::from_millis(10);
-const BEAT: Micros = 2_000_000;
-/// What is told is there by then, unless the way is cut.
-pub const LIST_DELIVERY_TIME: Micros = 15_000;
-/// What discovery has and could be heard counts as told after this long, whatever became of watches and calls.
-const TOLD: Micros = 6_000_000;
+/// How often the agent looks for changes of the list.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// How often a watch without changes receives an empty line.
+const KEEPALIVE_INTERVAL_US: Micros = 2_000_000;
+/// A list arrives within this time after it was sent, unless the network is blocked.
+pub const LIST_DELIVERY_US: Micros = 15_000;
+/// A proxy that can reach discovery must know the list after this time, even if its watches and requests failed.
+const LIST_KNOWN_AFTER_US: Micros = 6_000_000;
 
-/// Discovery's agent.
+/// An agent of discovery.
 pub struct Agent {
     fleet: Rc<Fleet>,
-    /// The list stays as it was, for as long as this holds one.
+    /// While this holds a version, the list is stale: it no longer changes.
     pub stale_version: Cell<Option<u64>>,
-    /// The version, the text, and which hosts it says are off.
-    kept: RefCell<(u64, String, Vec<bool>)>,
-    /// Which hosts the list calls primary.
+    /// The served list: its version, its text, and which hosts it reports as draining or gone.
+    served: RefCell<(u64, String, Vec<bool>)>,
+    /// Which hosts the list reports as primary.
     listed_primaries: RefCell<Vec<bool>>,
+    /// The machine on which the agent runs.
     machine: Cell<usize>,
-    /// Watches opened so far, and up to which of them nothing is said any more.
-    opened: Cell<u64>,
-    silent: Cell<u64>,
-    /// Since when each proxy's process could reach this one.
-    reaches: RefCell<BTreeMap<usize, Micros>>,
+    /// The number of watches opened so far.
+    opened_watches: Cell<u64>,
+    /// The number of the last watch that is silent; all watches before it are silent too.
+    last_silent_watch: Cell<u64>,
+    /// By the machine of a proxy process, since when the agent can reach it.
+    reachable_since: RefCell<BTreeMap<usize, Micros>>,
 }
 
 impl Agent {
-    /// An agent of this fleet.
+    /// An agent that lists the hosts of this fleet and runs on this machine.
     pub fn new(fleet: Rc<Fleet>, machine: usize) -> Agent {
-        let (stale_version, kept, machine) = (Cell::new(None), Default::default(), Cell::new(machine));
-        let (opened, silent, reaches, listed_primaries) = Default::default();
-        Agent { fleet, stale_version, kept, listed_primaries, machine, opened, silent, reaches }
+        let (stale_version, served, machine) = (Cell::new(None), Default::default(), Cell::new(machine));
+        let (opened_watches, last_silent_watch, reachable_since, listed_primaries) = Default::default();
+        Agent {
+            fleet,
+            stale_version,
+            served,
+            listed_primaries,
+            machine,
+            opened_watches,
+            last_silent_watch,
+            reachable_since,
+        }
     }
 
-    /// All open watches fall silent, and stay open.
+    /// From now on all open watches receive nothing, and stay open.
     pub fn silence_watches(&self) {
-        self.silent.set(self.opened.get());
+        self.last_silent_watch.set(self.opened_watches.get());
     }
 
-    /// From now on a proxy's process can ask, on this machine.
-    pub fn proxy_started(&self, peer: usize) {
-        self.reaches.borrow_mut().insert(peer, self.fleet.world.now());
+    /// Records that a proxy process, which can now request the list, started on this machine.
+    pub fn proxy_started(&self, machine: usize) {
+        self.reachable_since.borrow_mut().insert(machine, self.fleet.world.now());
     }
 
-    /// Tells the book what counts as told by and by, whether or not anybody asked.
+    /// Reports to the rule checker from when proxies must know that hosts drain or are gone, whether or not they have
+    /// requested the list. Runs until the simulation ends.
     pub async fn record_list_deadlines(self: Rc<Agent>) {
         let mut off_since: BTreeMap<usize, Micros> = BTreeMap::new();
         loop {
             let (now, _) = (self.fleet.world.now(), self.list());
-            for (i, off) in self.kept.borrow().2.iter().enumerate() {
+            for (host, off) in self.served.borrow().2.iter().enumerate() {
                 if *off {
-                    off_since.entry(i).or_insert(now);
+                    off_since.entry(host).or_insert(now);
                 } else {
-                    off_since.remove(&i);
+                    off_since.remove(&host);
                 }
             }
-            for (peer, since) in self.reaches.borrow_mut().iter_mut() {
-                if self.fleet.world.is_blocked(self.machine.get(), *peer) {
+            for (proxy, since) in self.reachable_since.borrow_mut().iter_mut() {
+                if self.fleet.world.is_blocked(self.machine.get(), *proxy) {
                     *since = now;
                     continue;
                 }
                 for (host, off) in &off_since {
                     self.fleet.checker.borrow_mut().record_host_status(
-                        *peer,
+                        *proxy,
                         *host,
                         true,
-                        TOLD + *off.max(since),
+                        LIST_KNOWN_AFTER_US + *off.max(since),
                     );
                 }
             }
-            world::after(LOOK).await;
+            world::after(POLL_INTERVAL).await;
         }
     }
 
-    /// Takes over the roles that are to show in the list by now.
+    /// Updates the roles in the list: each change of a role shows after the delay of the deployment.
     fn update_roles(&self) {
         let now = self.fleet.world.now();
         let role = self.fleet.deployment.list_role;
         let hosts = self.fleet.hosts.borrow();
         let mut listed = self.listed_primaries.borrow_mut();
         if listed.len() < hosts.len() {
-            *listed = hosts.iter().map(|h| h.primary && role != ListRole::Absent).collect();
+            *listed = hosts.iter().map(|host| host.primary && role != ListRole::Absent).collect();
         }
         let ListRole::Delayed(delay_ms) = role else { return };
         for (host, listed) in hosts.iter().zip(listed.iter_mut()) {
@@ -101,66 +115,68 @@
         }
     }
 
-    /// The list as it is told, and its version.
+    /// The version and the text of the list as the agent serves it.
     fn list(&self) -> (u64, String) {
         self.update_roles();
-        let now = self.fleet.list_version.get();
-        let mut kept = self.kept.borrow_mut();
-        if kept.0 != now && self.stale_version.get().is_none() {
-            let unix = self.fleet.world.unix_ms() - self.fleet.world.now() / 1_000;
+        let version = self.fleet.list_version.get();
+        let mut served = self.served.borrow_mut();
+        if served.0 != version && self.stale_version.get().is_none() {
+            let run_start_unix_ms = self.fleet.world.unix_ms() - self.fleet.world.now() / 1_000;
             let hosts = self.fleet.hosts.borrow();
             let listed = self.listed_primaries.borrow();
-            let entries = hosts.iter().zip(listed.iter()).map(|(h, primary)| {
+            let entries = hosts.iter().zip(listed.iter()).map(|(host, primary)| {
                 serde_json::json!({
-                    "name": h.name, "address": h.address.to_string(), "zone": self.fleet.deployment.zone_name(h.zone),
-                    "type": "m", "group": h.group, "status": h.status, "weight": 1.0,
-                    "since_ms": if h.started == 0 { 1 } else { unix + h.started / 1_000 },
+                    "name": host.name, "address": host.address.to_string(), "zone": self.fleet.deployment.zone_name(host.zone),
+                    "type": "m", "group": host.group, "status": host.status, "weight": 1.0,
+                    "since_ms": if host.started == 0 { 1 } else { run_start_unix_ms + host.started / 1_000 },
                     "access": if *primary { "writer" } else { "reader" },
                 })
             });
             let entries: Vec<serde_json::Value> = entries.collect();
-            let text = serde_json::json!({"index": now, "snapshot": true, "endpoints": entries}).to_string();
-            let off = hosts.iter().map(|h| h.status != "SERVING").collect();
-            *kept = (now, text, off);
+            let text =
+                serde_json::json!({"index": version, "snapshot": true, "endpoints": entries}).to_string();
+            let off = hosts.iter().map(|host| host.status != "SERVING").collect();
+            *served = (version, text, off);
         }
-        (kept.0, kept.1.clone())
+        (served.0, served.1.clone())
     }
 
-    /// Serves for as long as its machine lives.
+    /// Accepts connections until the listener fails.
     pub async fn serve(self: Rc<Agent>, listener: Listener, spawner: Spawner) {
         while let Ok(stream) = listener.accept().await {
             let (peer, _) = self.fleet.world.last_accepted();
             let agent = self.clone();
             spawner.spawn(async move {
-                let _ = agent.talk(stream, peer).await;
+                let _ = agent.serve_connection(stream, peer).await;
             });
         }
     }
 
-    /// What a list says of hosts that are off, for the book.
-    fn told(&self, peer: usize) {
+    /// Reports to the rule checker that a proxy is sent the list and so knows which hosts drain or are gone.
+    fn record_sent_list(&self, peer: usize) {
         let world = &self.fleet.world;
         if world.is_blocked(self.machine.get(), peer) {
             return;
         }
-        let by = world.now() + LIST_DELIVERY_TIME;
-        for (i, off) in self.kept.borrow().2.iter().enumerate() {
-            self.fleet.checker.borrow_mut().record_host_status(peer, i, *off, by);
+        let by = world.now() + LIST_DELIVERY_US;
+        for (host, off) in self.served.borrow().2.iter().enumerate() {
+            self.fleet.checker.borrow_mut().record_host_status(peer, host, *off, by);
         }
     }
 
-    async fn talk(&self, stream: Stream, peer: usize) -> std::io::Result<()> {
-        let mut came = Vec::new();
-        while !came.windows(4).any(|w| w == b"\r\n\r\n") {
-            if came.len() > 4096 || stream.read_with(|part| came.extend(part)).await? == 0 {
+    /// Answers one request: with the list, or with a stream that carries each new version of it.
+    async fn serve_connection(&self, stream: Stream, peer: usize) -> std::io::Result<()> {
+        let mut received = Vec::new();
+        while !received.windows(4).any(|w| w == b"\r\n\r\n") {
+            if received.len() > 4096 || stream.read_with(|part| received.extend(part)).await? == 0 {
                 return Ok(());
             }
         }
-        let head = String::from_utf8_lossy(&came).into_owned();
+        let head = String::from_utf8_lossy(&received).into_owned();
         let path = head.split(' ').nth(1).unwrap_or("").to_string();
         if !path.contains("stream=1") {
             let (_, text) = self.list();
-            self.told(peer);
+            self.record_sent_list(peer);
             let head =
                 format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\nConnection: close\r\n\r\n", text.len());
             return stream.write_all([head, text].concat().as_bytes()).await;
@@ -168,26 +184,26 @@
         let known = path.split("index=").nth(1).and_then(|i| i.split('&').next()?.parse::<u64>().ok());
         let mut known = known.unwrap_or(0);
         stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
-        let mut said = self.fleet.world.now();
-        self.opened.set(self.opened.get() + 1);
-        let number = self.opened.get();
+        let mut last_sent = self.fleet.world.now();
+        self.opened_watches.set(self.opened_watches.get() + 1);
+        let number = self.opened_watches.get();
         loop {
-            if self.silent.get() >= number {
-                // It stays open until the other side ends it.
+            if self.last_silent_watch.get() >= number {
+                // The watch stays open until the proxy closes it.
                 while stream.read_with(|_| ()).await? > 0 {}
                 return Ok(());
             }
-            let (index, text) = self.list();
+            let (version, text) = self.list();
             let now = self.fleet.world.now();
-            if index != known || now >= said + BEAT {
-                let line = if index == known { String::new() } else { text };
-                if index != known {
-                    self.told(peer);
+            if version != known || now >= last_sent + KEEPALIVE_INTERVAL_US {
+                let line = if version == known { String::new() } else { text };
+                if version != known {
+                    self.record_sent_list(peer);
                 }
-                (known, said) = (index, now);
+                (known, last_sent) = (version, now);
                 stream.write_all(format!("{:x}\r\n{line}\n\r\n", line.len() + 1).as_bytes()).await?;
             }
-            world::after(LOOK).await;
+            world::after(POLL_INTERVAL).await;
         }
     }
 }
