--- a/crates/lab/src/sim/client.rs
+++ b/crates/lab/src/sim/client.rs
@@ -1,5 +1,5 @@
-//! Simulated clients: those that ask as they should and hold the proxy to the rules, and rude ones. They own what
-//! they wait for. They must never forgive what the page on rules does not.
+//! Simulates clients. Some send valid requests and report every answer to the rule checker; others send broken or
+//! incomplete messages. A client must not excuse a missing or wrong answer where the rules do not excuse it.
 
 use super::check::AnsweredRequest;
 use super::deployment::{Access, Class, Idempotency, SessionTokens};
@@ -13,75 +13,80 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A connection that ends this soon after a request was sent was closed before that was there.
-const CROSSED: Micros = 12_000;
+/// A connection that ends within this time after a request was sent was closed before the request arrived.
+const CLOSED_BEFORE_ARRIVAL_US: Micros = 12_000;
 
-/// A proxy, as its clients know it.
+/// A proxy to which clients send requests.
 pub struct Target {
-    /// Where it listens.
+    /// The address on which the proxy listens.
     pub address: SocketAddr,
-    /// When a process there was last killed: what was out then has no answer.
+    /// When a process of the proxy was last killed: the requests in flight then get no answer.
     pub killed_at: Cell<Option<Micros>>,
-    /// Until when clients ask.
+    /// When clients stop sending requests.
     pub until: Micros,
-    /// Requests that are out.
+    /// The number of requests in flight.
     pub in_flight: Cell<usize>,
 }
 
-/// A client that behaves: which proxies it may ask, and in which sessions.
+/// A client that sends valid requests: to which proxies, and in which sessions.
 pub struct Client {
-    /// Its number.
+    /// The number of the client.
     pub number: usize,
-    /// The proxies that it asks; more than one for a client that roams.
+    /// The proxies that the client uses; more than one for a client that changes between proxies.
     pub targets: Vec<Rc<Target>>,
-    /// The first session that it shares with others, and how many there are.
+    /// The first of the sessions that the client shares with others, and their number.
     pub sessions: (u64, u64),
-    /// Groups of hosts; a session's data are in one of them.
+    /// The number of groups of hosts; a session's data are in one of them.
     pub groups: usize,
-    /// Its mean rest between two requests, in milliseconds.
+    /// The mean pause between two requests, in milliseconds.
     pub rest_ms: u64,
 }
 
 impl Client {
-    /// One of its sessions, by lot.
-    fn session(&self, fleet: &Fleet) -> u64 {
+    /// Draws one of the sessions of the client.
+    fn draw_session(&self, fleet: &Fleet) -> u64 {
         self.sessions.0 + fleet.world.draw_below(self.sessions.1)
     }
 
-    /// One of its proxies, by lot.
-    fn target(&self, fleet: &Fleet) -> Rc<Target> {
+    /// Draws one of the proxies of the client.
+    fn draw_target(&self, fleet: &Fleet) -> Rc<Target> {
         self.targets[fleet.world.draw_below(self.targets.len() as u64) as usize].clone()
     }
 }
 
-/// Asks one request after the other, on as few connections as the proxy allows.
+/// Sends one request after the other until the end of the target, with pauses in between. A connection is used again
+/// as long as the proxy leaves it open, except for one in 20 on average, which the client closes.
 pub async fn run_client(fleet: Rc<Fleet>, client: Client) {
     let w = fleet.world.clone();
     let Client { number, rest_ms, .. } = client;
-    let (mut count, mut mark) = (0, 0);
-    let mut target = client.target(&fleet);
+    let (mut request_number, mut last_write_ms) = (0, 0);
+    let mut target = client.draw_target(&fleet);
     let mut connection: Option<(Stream, Vec<u8>)> = None;
     loop {
-        let rest = (-(rest_ms as f64) * 1e3 * (1.0 - w.draw_fraction()).ln()) as u64;
-        world::after(Duration::from_micros(rest.min(10_000_000))).await;
+        let pause_us = (-(rest_ms as f64) * 1e3 * (1.0 - w.draw_fraction()).ln()) as u64;
+        world::after(Duration::from_micros(pause_us.min(10_000_000))).await;
         if w.now() >= target.until {
             return;
         }
-        // Rested for long, a connection may end at any moment: usual clients look before they ask.
-        if let Some((stream, mut came)) = connection.take() {
+        // The proxy may close an idle connection at any time: as usual clients do, check it before the next request.
+        if let Some((stream, mut received)) = connection.take() {
             let ended =
-                !stream.is_idle() && !matches!(stream.read_with(|part| came.extend(part)).await, Ok(1..));
-            // A last error may say why it ends.
-            if came.first().is_some_and(|kind| *kind != b'E') {
-                let what = format!("{} bytes that nobody asked for", came.len());
-                fleet.checker.borrow_mut().unexpected_reply(w.now(), &format!("client {number}"), &what);
+                !stream.is_idle() && !matches!(stream.read_with(|part| received.extend(part)).await, Ok(1..));
+            // The proxy may send an error that says why it closes the connection.
+            if received.first().is_some_and(|kind| *kind != b'E') {
+                let description = format!("{} bytes received without a request", received.len());
+                fleet.checker.borrow_mut().unexpected_reply(
+                    w.now(),
+                    &format!("client {number}"),
+                    &description,
+                );
             }
-            connection = (!ended && came.is_empty()).then_some((stream, came));
+            connection = (!ended && received.is_empty()).then_some((stream, received));
         }
-        let (mut stream, mut came) = match connection.take() {
+        let (mut stream, mut received) = match connection.take() {
             Some(open) => open,
             None => {
-                target = client.target(&fleet);
+                target = client.draw_target(&fleet);
                 let Some(stream) = connect(target.address).await else {
                     world::after(Duration::from_millis(50 + w.draw_below(100))).await;
                     continue;
@@ -89,62 +94,75 @@
                 (stream, Vec::new())
             }
         };
-        count += 1;
+        request_number += 1;
         target.in_flight.set(target.in_flight.get() + 1);
-        let kept = run_request(&fleet, &target, &mut stream, &mut came, (&client, count), &mut mark).await;
+        let is_usable = run_request(
+            &fleet,
+            &target,
+            &mut stream,
+            &mut received,
+            (&client, request_number),
+            &mut last_write_ms,
+        )
+        .await;
         target.in_flight.set(target.in_flight.get() - 1);
-        if kept && w.draw_below(20) > 0 {
-            connection = Some((stream, came));
+        if is_usable && w.draw_below(20) > 0 {
+            connection = Some((stream, received));
         }
     }
 }
 
-/// Opens a session; nothing where that fails in any way.
+/// Opens a session with the proxy; `None` if the connection or the startup fails or takes longer than two seconds.
 async fn connect(address: SocketAddr) -> Option<Stream> {
     let opened = async {
         let stream = Stream::connect(address).await.ok()?;
         stream.write_all(&wire::startup("web", "orders")).await.ok()?;
-        let mut came = Vec::new();
+        let mut received = Vec::new();
         loop {
-            match read_message(&stream, &mut came).await.ok()?? {
+            match read_message(&stream, &mut received).await.ok()?? {
                 (b'Z', _) => return Some(stream),
                 (b'E', _) => return None,
                 _ => {}
             }
         }
     };
-    let time_is_up = async {
+    let timeout = async {
         world::after(Duration::from_secs(2)).await;
         None
     };
-    future::or(opened, time_is_up).await
+    future::or(opened, timeout).await
 }
 
-/// One request up to its answer; whether the connection may serve another.
+/// Sends one request and checks its answer. Returns whether the connection may carry another request.
 async fn run_request(
-    fleet: &Rc<Fleet>, target: &Target, stream: &mut Stream, came: &mut Vec<u8>,
-    (client, count): (&Client, u64), mark: &mut u64,
+    fleet: &Rc<Fleet>, target: &Target, stream: &mut Stream, received: &mut Vec<u8>,
+    (client, request_number): (&Client, u64), last_write_ms: &mut u64,
 ) -> bool {
     let w = &fleet.world;
     let class = draw_class(fleet);
     let number = client.number;
-    let id = format!("q{number}.{count}");
-    let session = client.session(fleet);
+    let id = format!("q{number}.{request_number}");
+    let session = client.draw_session(fleet);
     let group = session % client.groups as u64;
     let session = format!("s{session}");
-    let is_marked =
+    let carries_write_position =
         class.access == Access::SessionRead && fleet.deployment.tokens == SessionTokens::FromClient;
     let key = if class.idempotency == Idempotency::Idempotent { String::new() } else { format!(",k={id}") };
-    // A mark is of the group that the write was in: clients here keep one of the latest write to any, in time.
-    let after = if is_marked && *mark > 0 { format!(",after={mark}") } else { String::new() };
-    let (name, d) = (&class.name, class.deadline_ms);
-    let verb = match class.access {
+    // Positions belong to the group of the write. As positions are times here, one for all groups is enough: that of
+    // the latest write to any group.
+    let after = if carries_write_position && *last_write_ms > 0 {
+        format!(",after={last_write_ms}")
+    } else {
+        String::new()
+    };
+    let (name, deadline_ms) = (&class.name, class.deadline_ms);
+    let statement = match class.access {
         Access::Write => format!("INSERT INTO e VALUES ('{session}')"),
         _ => format!("SELECT v FROM e WHERE k = '{session}'"),
     };
-    let text = format!("/* id={id},c={name},d={d}{key}{after},cluster={group} */ {verb}");
+    let text = format!("/* id={id},c={name},d={deadline_ms}{key}{after},cluster={group} */ {statement}");
     let sent = w.now();
-    let brought = if is_marked { fleet.position_of_mark(*mark) } else { 0 };
+    let write_position = if carries_write_position { fleet.position_of_mark(*last_write_ms) } else { 0 };
     w.trace(|| format!("client {number} asks {id} of {name} in group {group}, session {session} "));
     fleet.checker.borrow_mut().counts.asked += 1;
     if stream.write_all(&wire::message(b'Q', &[text.as_bytes(), b"\0"].concat())).await.is_err() {
@@ -152,14 +170,14 @@
         return false;
     }
     let (mut value, mut error) = (None, None);
-    // Some give up in the middle of it, and close.
-    let leaves = if w.draw_below(25) == 0 {
+    // One request in 25 on average is given up: the client closes its connection.
+    let gives_up_at = if w.draw_below(25) == 0 {
         sent + 1_000 + w.draw_below(class.deadline_ms * 500)
     } else {
         Micros::MAX
     };
     loop {
-        if w.now() >= leaves {
+        if w.now() >= gives_up_at {
             let mut checker = fleet.checker.borrow_mut();
             checker.client_disconnected(w.now(), &id);
             checker.counts.excused += 1;
@@ -167,13 +185,13 @@
             w.trace(|| format!("client {number} leaves while {id} is open"));
             return false;
         }
-        let message = async { Some(read_message(stream, came).await) };
-        let look = Duration::from_micros(leaves.saturating_sub(w.now()).min(500_000));
-        let late = async {
-            world::after(look).await;
+        let message = async { Some(read_message(stream, received).await) };
+        let wait = Duration::from_micros(gives_up_at.saturating_sub(w.now()).min(500_000));
+        let waited = async {
+            world::after(wait).await;
             None
         };
-        let message = future::or(message, late).await;
+        let message = future::or(message, waited).await;
         let (now, mut checker) = (w.now(), fleet.checker.borrow_mut());
         match message {
             None if target.killed_at.get().is_some_and(|at| at >= sent) => {
@@ -181,24 +199,24 @@
                 return false;
             }
             None => {
-                // Nothing came for a while; the wait goes on while it may.
+                // No message arrived in this time. The client waits on, unless the deadline has passed.
                 checker.check_deadline(now, &id, &class, sent, false);
                 if checker.broken.is_some() {
                     return false;
                 }
             }
             Some(Ok(Some((b'D', body)))) => {
-                let text = body.get(6..).map(|v| String::from_utf8_lossy(v).into_owned());
+                let text = body.get(6..).map(|value| String::from_utf8_lossy(value).into_owned());
                 if value.replace(text.unwrap_or_default()).is_some() {
-                    checker.unexpected_reply(now, &id, "two rows");
+                    checker.unexpected_reply(now, &id, "received two rows");
                 }
             }
             Some(Ok(Some((b'E', body)))) => {
                 let code = String::from_utf8_lossy(&body)
                     .split('\0')
-                    .find_map(|f| f.strip_prefix('C').map(String::from));
+                    .find_map(|field| field.strip_prefix('C').map(String::from));
                 if error.replace(code.unwrap_or_default()).is_some() {
-                    checker.unexpected_reply(now, &id, "two errors");
+                    checker.unexpected_reply(now, &id, "received two errors");
                 }
             }
             Some(Ok(Some((b'Z', _)))) => {
@@ -208,12 +226,12 @@
                         let (id, class, session) = (&id, &*class, &session);
                         checker.value_received(
                             now,
-                            AnsweredRequest { id, class, session, sent, write_position: brought },
+                            AnsweredRequest { id, class, session, sent, write_position },
                             &value,
                         );
                         if class.access == Access::Write {
-                            // It was committed by now.
-                            *mark = w.unix_ms();
+                            // The write was committed by now.
+                            *last_write_ms = w.unix_ms();
                         }
                     }
                     (None, Some(code)) => {
@@ -221,18 +239,19 @@
                         drop(checker);
                         w.trace(|| format!("client {number} has {code} for {id}"));
                     }
-                    _ => checker.unexpected_reply(now, &id, "neither a row nor an error"),
+                    _ => checker.unexpected_reply(now, &id, "received not exactly one row or one error"),
                 }
                 return true;
             }
             Some(Ok(Some(_))) => {}
             Some(Ok(None) | Err(_)) => {
+                // Up to 5 ms after a kill, a client may still send a request over a connection of the killed process.
                 if target.killed_at.get().is_some_and(|at| at + 5_000 >= sent) {
                     checker.counts.excused += 1;
-                } else if error.is_some() || value.is_some() || now > sent + CROSSED {
-                    checker.unexpected_reply(now, &id, "its connection ended before the answer did");
+                } else if error.is_some() || value.is_some() || now > sent + CLOSED_BEFORE_ARRIVAL_US {
+                    checker.unexpected_reply(now, &id, "the connection ended before the answer was complete");
                 } else {
-                    // The proxy closed before the request was there.
+                    // The proxy closed the connection before the request arrived.
                     checker.counts.excused += 1;
                 }
                 return false;
@@ -241,17 +260,18 @@
     }
 }
 
-/// The class of the next request, by lot.
+/// Draws the class of the next request, by the shares of the classes.
 fn draw_class(fleet: &Fleet) -> Rc<Class> {
-    let mut lot = fleet.world.draw_fraction();
-    let class = fleet.classes.iter().find(|c| {
-        lot -= c.share;
-        lot < 0.0
+    let mut draw = fleet.world.draw_fraction();
+    let class = fleet.classes.iter().find(|class| {
+        draw -= class.share;
+        draw < 0.0
     });
     class.unwrap_or(&fleet.classes[0]).clone()
 }
 
-/// A client that does not behave, for so long; what it asks is of no rule's concern but that others are served.
+/// Runs a client that sends broken or incomplete messages until this time. No rule applies to its own requests; it must
+/// only not affect those of other clients.
 pub async fn run_misbehaving_client(fleet: Rc<Fleet>, target: Rc<Target>, until: Micros) {
     let w = fleet.world.clone();
     while w.now() < until {
@@ -275,9 +295,9 @@
         if w.draw_below(3) == 0 {
             let _ = stream.shutdown();
         }
-        let left = until.saturating_sub(w.now()).min(500_000 + w.draw_below(4_000_000));
-        let reads = async { while let Ok(1..) = stream.read_with(|_| ()).await {} };
-        future::or(reads, world::after(Duration::from_micros(left))).await;
+        let remaining_us = until.saturating_sub(w.now()).min(500_000 + w.draw_below(4_000_000));
+        let drained = async { while let Ok(1..) = stream.read_with(|_| ()).await {} };
+        future::or(drained, world::after(Duration::from_micros(remaining_us))).await;
         world::after(Duration::from_millis(10 + w.draw_below(100))).await;
     }
 }
