--- a/crates/lab/src/sim/client.rs
+++ b/crates/lab/src/sim/client.rs
@@ -162,7 +162,7 @@
     };
     let text = format!("/* id={id},c={name},d={deadline_ms}{key}{after},cluster={group} */ {statement}");
     let sent = w.now();
-    let write_position = if carries_write_position { fleet.position_of_mark(*last_write_ms) } else { 0 };
+    let write_position = if carries_write_position { fleet.position_at_unix_ms(*last_write_ms) } else { 0 };
     w.trace(|| format!("client {number} asks {id} of {name} in group {group}, session {session} "));
     fleet.checker.borrow_mut().counts.asked += 1;
     if stream.write_all(&wire::message(b'Q', &[text.as_bytes(), b"\0"].concat())).await.is_err() {
--- a/crates/lab/src/sim/host.rs
+++ b/crates/lab/src/sim/host.rs
@@ -1,6 +1,6 @@
-//! Simulated database hosts: a process of each, what its group replicates, and what it does when it fails. It owns
-//! the state of all hosts. It must never be kinder than the real ones: a replica shows no more than it has applied,
-//! and turns writes away.
+//! Simulates database hosts: their sessions, the replication in their groups, and their faults. [`Fleet`] holds the state
+//! of all hosts and reports to the rule checker what they receive and answer. A simulated host must not be more tolerant
+//! than a real one: a replica shows only what it has applied, and rejects writes.
 
 use super::check::{AttemptOrigin, AttemptState, HostLocation, RuleChecker};
 use super::deployment::{Access, Class, DedupScope, Deployment, Idempotency, LagCheck, SessionTokens};
@@ -14,118 +14,124 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Cores of a host, and sessions that it takes.
+/// The number of cores of a host.
 pub const CORES_PER_HOST: usize = 4;
+/// The number of sessions that a host accepts.
 const MAX_SESSIONS: usize = 100;
-/// Work that waits longer than this for a core is turned away.
-const MAX_CORE_WAIT: Micros = 600_000;
-/// A host that waits for what has not been applied looks again this often.
+/// A host rejects work that would wait longer than this for a core.
+const MAX_CORE_WAIT_US: Micros = 600_000;
+/// How often a host that waits for replication checks what has been applied.
 const REPLICATION_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// A message past this is none.
+/// The limit of the length of a message; a longer one is an error.
 const MAX_MESSAGE_BYTES: usize = 1 << 20;
 
-/// What a host does wrong.
+/// How a host answers requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum HostMode {
-    /// Nothing.
+    /// As it should.
     #[default]
     Healthy,
-    /// It fails requests at once.
+    /// The host fails every request at once.
     Errors,
-    /// It says what is no answer, or half of one.
+    /// The host sends invalid bytes, or a part of an answer, and closes the connection.
     Garbage,
 }
 
-/// What becomes of answers of a host.
+/// A fault in the delivery of an answer of a host.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum AnswerFault {
-    /// Nothing.
+    /// The answer is delivered completely and at once.
     #[default]
     None,
-    /// It is cut behind the end of its command, with its notes or without, and the session is silent from then on.
+    /// The answer ends after the completion of its command, with its status parameters or without; the session sends
+    /// nothing more.
     Cut,
-    /// It is lost, and the session is silent from then on.
+    /// The answer is lost, and the session sends nothing more.
     Lost,
-    /// It takes so much longer on its way.
+    /// The answer is delayed by this time.
     Delayed(Micros),
-    /// It tells the host's role, and nothing more comes.
+    /// Only the role of the host is sent, and the session sends nothing more.
     RoleOnly,
 }
 
-/// An answer to a request, before it is written.
+/// An answer to a request, not yet written to the connection.
 struct Answer {
-    /// The row and the end of its command, or an error.
+    /// The row and the completion of the command, or an error.
     body: Vec<u8>,
-    /// What it tells of its host.
-    notes: Vec<u8>,
-    /// Whether the notes say that the host is the primary.
+    /// The status parameters: the role of the host and, where the deployment sends it, the position of the data.
+    parameters: Vec<u8>,
+    /// Whether the status parameters report the host as the primary; `None` if the answer has none.
     role: Option<bool>,
-    /// What a write has committed.
+    /// The commit, if the request was a write.
     commit: Option<Commit>,
 }
 
-/// What a write has committed.
+/// The commit of a write: the id and the session of its request, and its position in the log.
 struct Commit {
     id: String,
     session: String,
     position: Micros,
 }
 
-/// A host, whatever process runs there.
+/// The state of a host, which outlives the host's processes.
 pub struct Host {
-    /// Its name in the list.
+    /// The name of the host in the list.
     pub name: String,
-    /// Where it listens.
+    /// The address on which the host listens.
     pub address: SocketAddr,
-    /// Its group and room.
+    /// The group of the host.
     pub group: usize,
-    /// See there.
+    /// The zone of the host.
     pub zone: u8,
-    /// Whether it takes writes.
+    /// Whether the host is the primary of its group, which accepts writes.
     pub primary: bool,
-    /// How far behind it applies.
+    /// How far the host applies the log behind the primary.
     pub lag: Micros,
-    /// When its process started; 0 long ago.
+    /// When the process of the host started; 0 if it ran before the simulation began.
     pub started: Micros,
-    /// Its state in the list.
+    /// The status of the host in the list.
     pub status: &'static str,
-    /// What it does wrong, and how many times slower it works.
+    /// How the host answers requests.
     pub mode: HostMode,
-    /// See there.
+    /// The factor by which the work of the host takes longer.
     pub slowdown: u64,
-    /// Some of its sessions come up so late.
+    /// The delay of about half of the new sessions before their welcome.
     pub session_delay: Micros,
-    /// What becomes of so many percent of its answers.
+    /// The fault of the delivery of answers, and the percentage of answers that have it.
     pub answer_fault: (AnswerFault, u64),
-    /// Since when it has its role.
+    /// When the host took its role.
     pub role_since: Micros,
+    /// The position up to which the host has applied the log of its group.
     applied: Micros,
+    /// By core, when the work accepted so far ends.
     busy_until: [Micros; CORES_PER_HOST],
+    /// The number of open sessions.
     sessions: usize,
 }
 
-/// All hosts, and what they share with discovery and clients.
+/// All hosts, and the state that they share with discovery and clients.
 pub struct Fleet {
-    /// The world.
+    /// The simulated world: time, random draws, network and trace.
     pub world: Rc<World>,
-    /// All hosts, by number.
+    /// All hosts; the index is the number of the host.
     pub hosts: RefCell<Vec<Host>>,
-    /// The rules.
+    /// The checker of the rules.
     pub checker: RefCell<RuleChecker>,
-    /// Classes of requests.
+    /// The classes of requests.
     pub classes: Vec<Rc<Class>>,
-    /// What the settings say of hosts.
+    /// The deployment that is simulated.
     pub deployment: Deployment,
-    /// Grows with each change of the list.
+    /// The version of the list of hosts; it grows with each change.
     pub list_version: Cell<u64>,
-    /// Keys of writes, by where their repeats are dropped.
-    keys: RefCell<BTreeMap<(KeyScope, String), KeyedWrite>>,
-    /// The latest commit of each session.
+    /// The first write of each idempotency key, by the hosts that share the key.
+    keyed_writes: RefCell<BTreeMap<(KeyScope, String), KeyedWrite>>,
+    /// The position of the latest commit of each session.
     last_commits: RefCell<BTreeMap<String, Micros>>,
-    serial: Cell<u64>,
+    /// The number of values answered so far; it makes each value unique.
+    answered_values: Cell<u64>,
 }
 
-/// Which hosts share the keys of writes.
+/// The hosts that share the idempotency keys of writes.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum KeyScope {
     All,
@@ -133,15 +139,15 @@
     Group(usize),
 }
 
-/// What a key was first used for.
+/// The first write of an idempotency key: when it ran, the value it returned and the position of its commit.
 #[derive(Clone)]
 struct KeyedWrite {
-    at: Micros,
+    committed_at: Micros,
     value: String,
     position: Micros,
 }
 
-/// A session's place at its host; dropping it gives it back.
+/// Counts an open session of a host until it is dropped.
 struct SessionSlot(Rc<Fleet>, usize);
 
 impl Drop for SessionSlot {
@@ -150,32 +156,44 @@
     }
 }
 
-/// What a host knows of a request.
+/// A request as a host parses it.
 struct HostRequest<'a> {
     id: &'a str,
     class: Rc<Class>,
     group: usize,
     session: &'a str,
+    /// The position that the data must have reached, in Unix milliseconds.
     after: Option<u64>,
+    /// The idempotency key of a write.
     key: Option<&'a str>,
 }
 
 impl Fleet {
-    /// A fleet in this world, of hosts that are well and warm.
+    /// A fleet in this world, without hosts.
     pub fn new(world: Rc<World>, checker: RuleChecker, deployment: Deployment) -> Fleet {
-        let (hosts, keys, last_commits) = Default::default();
+        let (hosts, keyed_writes, last_commits) = Default::default();
         let classes = deployment.classes.iter().cloned().map(Rc::new).collect();
-        let (list_version, serial) = (Cell::new(1), Cell::new(0));
+        let (list_version, answered_values) = (Cell::new(1), Cell::new(0));
         let checker = RefCell::new(checker);
-        Fleet { world, hosts, checker, classes, deployment, list_version, keys, last_commits, serial }
+        Fleet {
+            world,
+            hosts,
+            checker,
+            classes,
+            deployment,
+            list_version,
+            keyed_writes,
+            last_commits,
+            answered_values,
+        }
     }
 
-    /// How far replicas are behind where nothing is wrong.
+    /// How far replicas apply behind the primary while no fault is active.
     pub fn usual_lag(&self) -> Micros {
         self.deployment.replication_delay_ms * 1_000
     }
 
-    /// One more host.
+    /// Adds a host that is healthy and warm.
     pub fn add_host(&self, group: usize, zone: u8, address: SocketAddr, primary: bool) {
         let mut hosts = self.hosts.borrow_mut();
         let name = format!("s-{}", hosts.len());
@@ -199,14 +217,14 @@
         });
     }
 
-    /// Changes a host, and tells discovery where that shows in the list.
-    pub fn change(&self, host: usize, what: impl FnOnce(&mut Host)) {
-        self.applied(host);
-        what(&mut self.hosts.borrow_mut()[host]);
+    /// Changes a host, and gives the list a new version.
+    pub fn change(&self, host: usize, change: impl FnOnce(&mut Host)) {
+        self.applied_position(host);
+        change(&mut self.hosts.borrow_mut()[host]);
         self.list_version.set(self.list_version.get() + 1);
     }
 
-    /// A host becomes the primary of its group, or is it no more.
+    /// Makes a host the primary of its group, or a replica.
     pub fn set_role(&self, host: usize, primary: bool) {
         let now = self.world.now();
         self.change(host, |h| (h.primary, h.role_since) = (primary, now));
@@ -215,71 +233,74 @@
         }
     }
 
-    /// The host's process begins anew, with nothing in hand.
+    /// Resets the work of a host whose process starts anew at this time.
     pub fn start_process(&self, host: usize, started: Micros) {
-        let h = &mut self.hosts.borrow_mut()[host];
-        (h.busy_until, h.started) = ([0; CORES_PER_HOST], started);
+        let host = &mut self.hosts.borrow_mut()[host];
+        (host.busy_until, host.started) = ([0; CORES_PER_HOST], started);
     }
 
-    /// Up to where a host has applied its group's log; it never takes back what it has.
-    fn applied(&self, host: usize) -> Micros {
-        let h = &mut self.hosts.borrow_mut()[host];
-        h.applied = h.applied.max(self.world.now().saturating_sub(if h.primary { 0 } else { h.lag }));
-        h.applied
+    /// The position up to which a host has applied the log of its group; it never decreases.
+    fn applied_position(&self, host: usize) -> Micros {
+        let host = &mut self.hosts.borrow_mut()[host];
+        host.applied =
+            host.applied.max(self.world.now().saturating_sub(if host.primary { 0 } else { host.lag }));
+        host.applied
     }
 
-    /// From now on a host applies so far behind.
+    /// Sets how far a host applies the log behind the primary from now on.
     pub fn set_lag(&self, host: usize, lag: Micros) {
-        self.applied(host);
+        self.applied_position(host);
         self.hosts.borrow_mut()[host].lag = lag;
     }
 
-    /// When so much work, with all before it, is done; nothing where it would wait too long for a core.
+    /// Schedules work, in microseconds of one core, on the core that is free first. Returns when it ends, or `None` if it
+    /// would wait too long for a core.
     fn schedule_work(&self, host: usize, work: f64) -> Option<Micros> {
         let now = self.world.now();
-        let h = &mut self.hosts.borrow_mut()[host];
-        let core = h.busy_until.iter_mut().min()?;
+        let host = &mut self.hosts.borrow_mut()[host];
+        let core = host.busy_until.iter_mut().min()?;
         let begin = (*core).max(now);
-        if begin > now + MAX_CORE_WAIT {
+        if begin > now + MAX_CORE_WAIT_US {
             return None;
         }
-        *core = begin + (work * h.slowdown as f64) as Micros;
+        *core = begin + (work * host.slowdown as f64) as Micros;
         Some(*core)
     }
 
-    /// A host's process, for as long as it lives.
+    /// Runs the process of a host: accepts sessions until the listener fails.
     pub async fn serve(self: Rc<Fleet>, host: usize, listener: Listener, spawner: Spawner) {
         while let Ok(stream) = listener.accept().await {
-            let (peer, number) = self.world.last_accepted();
+            let (peer, connection) = self.world.last_accepted();
             let fleet = self.clone();
             spawner.spawn(async move {
                 fleet.hosts.borrow_mut()[host].sessions += 1;
                 let session = SessionSlot(fleet.clone(), host);
-                let _ = fleet.serve_session(host, &stream, peer, number).await;
+                let _ = fleet.serve_session(host, &stream, peer, connection).await;
                 drop(session);
             });
         }
     }
 
+    /// Serves a session: startup, probes and requests. `peer` is the machine of the proxy process.
     async fn serve_session(
-        self: &Rc<Fleet>, host: usize, stream: &Stream, peer: usize, number: u64,
+        self: &Rc<Fleet>, host: usize, stream: &Stream, peer: usize, connection: u64,
     ) -> std::io::Result<()> {
-        let mut came = Vec::new();
+        let mut received = Vec::new();
         loop {
-            if came.len() >= 4 {
-                let len = u32::from_be_bytes([came[0], came[1], came[2], came[3]]) as usize;
-                if came.len() >= len.max(8) {
-                    came.drain(..len.max(8));
+            if received.len() >= 4 {
+                let len = u32::from_be_bytes([received[0], received[1], received[2], received[3]]) as usize;
+                if received.len() >= len.max(8) {
+                    received.drain(..len.max(8));
                     break;
                 }
             }
-            if stream.read_with(|part| came.extend(part)).await? == 0 {
+            if stream.read_with(|part| received.extend(part)).await? == 0 {
                 return Ok(());
             }
         }
-        let late = self.hosts.borrow()[host].session_delay;
-        if late > 0 && self.world.draw_below(2) == 0 {
-            world::after(Duration::from_micros(late)).await;
+        let delay = self.hosts.borrow()[host].session_delay;
+        if delay > 0 && self.world.draw_below(2) == 0 {
+            world::after(Duration::from_micros(delay)).await;
         }
         if self.hosts.borrow()[host].sessions > MAX_SESSIONS {
             return stream.write_all(&wire::error_response("53300", "too many connections")).await;
@@ -292,33 +313,37 @@
         .concat();
         stream.write_all(&welcome).await?;
         loop {
-            let Some((kind, body)) = read_message(stream, &mut came).await? else { return Ok(()) };
+            let Some((kind, body)) = read_message(stream, &mut received).await? else { return Ok(()) };
             if kind != b'Q' {
                 return Ok(());
             }
             let text = String::from_utf8_lossy(body.strip_suffix(b"\0").unwrap_or(&body)).into_owned();
             if text.trim() == "SHOW usage" {
-                stream.write_all(&self.usage(host)).await?;
+                stream.write_all(&self.usage_answer(host)).await?;
                 continue;
             }
-            let Some(answer) = self.request(host, &text, peer, number, stream).await else { return Ok(()) };
-            if !self.deliver(host, (peer, number), stream, answer).await? {
-                // Silent from now on, until the other side ends it.
+            let Some(answer) = self.handle_request(host, &text, peer, connection, stream).await else {
+                return Ok(());
+            };
+            if !self.deliver(host, (peer, connection), stream, answer).await? {
+                // The session sends nothing more until the proxy closes it.
                 while stream.read_with(|_| ()).await? > 0 {}
                 return Ok(());
             }
         }
     }
 
-    /// The answer to a probe.
-    fn usage(&self, host: usize) -> Vec<u8> {
-        let (x0, x1) = (self.applied(host), u8::from(self.hosts.borrow()[host].primary));
-        let x0 = (x0 as f64 / 1e3 + (self.world.unix_ms() - self.world.now() / 1_000) as f64) / 1e3;
-        let body = row(&format!("x0={x0:.3},x1={x1},util=0.1,queue=0"), "SHOW");
+    /// The answer to a probe: the applied position in Unix seconds, the role, and a fixed load.
+    fn usage_answer(&self, host: usize) -> Vec<u8> {
+        let (position, is_primary) =
+            (self.applied_position(host), u8::from(self.hosts.borrow()[host].primary));
+        let position_s =
+            (position as f64 / 1e3 + (self.world.unix_ms() - self.world.now() / 1_000) as f64) / 1e3;
+        let body = row(&format!("x0={position_s:.3},x1={is_primary},util=0.1,queue=0"), "SHOW");
         [body, wire::ready_for_query()].concat()
     }
 
-    /// Writes an answer, whole unless something is wrong; false where nothing may follow it.
+    /// Writes an answer, subject to the delivery fault of the host. Returns whether the session may send anything after.
     async fn deliver(
         &self, host: usize, (peer, connection): (usize, u64), stream: &Stream, answer: Answer,
     ) -> std::io::Result<bool> {
@@ -326,7 +351,7 @@
         let fault =
             if percent > 0 && self.world.draw_below(100) < percent { fault } else { AnswerFault::None };
         self.record_answer(host, peer, &answer, fault);
-        let Answer { body, notes, commit, .. } = answer;
+        let Answer { body, parameters, commit, .. } = answer;
         if let Some(commit) = commit
             && matches!(fault, AnswerFault::None | AnswerFault::Cut)
             && self.world.is_peer_reachable(connection)
@@ -335,23 +360,23 @@
         }
         match fault {
             AnswerFault::None => {}
-            AnswerFault::Delayed(by) => world::after(Duration::from_micros(by)).await,
+            AnswerFault::Delayed(delay) => world::after(Duration::from_micros(delay)).await,
             AnswerFault::Cut => {
-                let notes = if self.world.draw_below(2) == 0 { notes } else { Vec::new() };
-                stream.write_all(&[body, notes].concat()).await?;
+                let parameters = if self.world.draw_below(2) == 0 { parameters } else { Vec::new() };
+                stream.write_all(&[body, parameters].concat()).await?;
                 return Ok(false);
             }
             AnswerFault::Lost => return Ok(false),
             AnswerFault::RoleOnly => {
-                stream.write_all(&self.role_note(host)).await?;
+                stream.write_all(&self.role_parameter(host)).await?;
                 return Ok(false);
             }
         }
-        stream.write_all(&[body, notes, wire::ready_for_query()].concat()).await?;
+        stream.write_all(&[body, parameters, wire::ready_for_query()].concat()).await?;
         Ok(true)
     }
 
-    /// Tells the book of an answer that is written to a process now, whatever becomes of it on its way.
+    /// Reports an answer that is written to a process now to the rule checker, whether or not it will arrive.
     fn record_answer(&self, host: usize, peer: usize, answer: &Answer, fault: AnswerFault) {
         let now = self.world.now();
         let freshness = &mut self.checker.borrow_mut().freshness;
@@ -361,108 +386,122 @@
         if let Some(commit) = answer.commit.as_ref().filter(|_| fault != AnswerFault::RoleOnly) {
             let Commit { session, position, .. } = commit;
             freshness.commit_reported(now, peer, session, *position);
-            let what =
+            let line =
                 || format!("host {host} tells machine {peer} of a commit of session {session} at {position}");
-            self.world.trace(what);
+            self.world.trace(line);
         }
         if fault != AnswerFault::None {
             self.world.trace(|| format!("host {host} to machine {peer}: {fault:?}"));
         }
     }
 
-    /// One request; nothing where the connection is to end without an answer.
-    async fn request(
+    /// Runs one request. Returns `None` where the connection is to end without an answer.
+    async fn handle_request(
         self: &Rc<Fleet>, host: usize, text: &str, peer: usize, connection: u64, stream: &Stream,
     ) -> Option<Answer> {
         let w = &self.world;
-        let Some(asked) = self.read(text) else {
-            let what = format!("machine {peer} sent host {host} what is no request: {text:?}");
-            self.checker.borrow_mut().record_broken_rule("no answer nobody made", w.now(), what, &[]);
+        let Some(request) = self.parse_request(text) else {
+            let description = format!("machine {peer} sent host {host} an invalid request: {text:?}");
+            self.checker.borrow_mut().record_broken_rule("no answer nobody made", w.now(), description, &[]);
             return None;
         };
-        let (class, id) = (asked.class.clone(), asked.id);
-        w.trace(|| format!("host {host} has {id} from machine {peer}, session {} ", asked.session));
+        let (class, id) = (request.class.clone(), request.id);
+        w.trace(|| format!("host {host} has {id} from machine {peer}, session {} ", request.session));
         let (sent, issued) = w.last_arrival_times(connection);
         let origin = AttemptOrigin { process: peer, connection, sent, issued };
-        let (mode, primary, started, place) = {
-            let h = &self.hosts.borrow()[host];
-            (h.mode, h.primary, h.started, HostLocation { host, group: h.group, zone: h.zone })
+        let (mode, primary, started, location) = {
+            let state = &self.hosts.borrow()[host];
+            (
+                state.mode,
+                state.primary,
+                state.started,
+                HostLocation { host, group: state.group, zone: state.zone },
+            )
         };
-        if place.group != asked.group {
-            let what =
-                format!("{id} is for group {} and came to host {host} of {}", asked.group, place.group);
-            self.checker.borrow_mut().record_broken_rule("no answer nobody made", w.now(), what, &[id]);
+        if location.group != request.group {
+            let description = format!(
+                "{id} is for group {} but arrived at host {host} of group {}",
+                request.group, location.group
+            );
+            self.checker.borrow_mut().record_broken_rule(
+                "no answer nobody made",
+                w.now(),
+                description,
+                &[id],
+            );
         }
-        let held = |n| w.is_peer_end_open(n);
-        let index = self.checker.borrow_mut().attempt_received(w.now(), id, &class, place, origin, held);
-        let ended = |state| self.checker.borrow_mut().attempt_ended(id, index, state);
-        let refuse = |code: &str, why: &str| {
-            ended(AttemptState::Rejected);
-            w.trace(|| format!("host {host} turns {id} away: {why}"));
-            let notes = self.notes(host, self.applied(host), false);
+        let is_open = |connection| w.is_peer_end_open(connection);
+        let index =
+            self.checker.borrow_mut().attempt_received(w.now(), id, &class, location, origin, is_open);
+        let record_end = |state| self.checker.borrow_mut().attempt_ended(id, index, state);
+        let reject = |code: &str, reason: &str| {
+            record_end(AttemptState::Rejected);
+            w.trace(|| format!("host {host} turns {id} away: {reason}"));
+            let parameters = self.status_parameters(host, self.applied_position(host), false);
             let role = Some(self.hosts.borrow()[host].primary);
-            Some(Answer { body: wire::error_response(code, why), notes, role, commit: None })
+            Some(Answer { body: wire::error_response(code, reason), parameters, role, commit: None })
         };
         match mode {
             HostMode::Healthy => {}
             HostMode::Errors => {
-                ended(AttemptState::MayHaveRun);
+                record_end(AttemptState::MayHaveRun);
                 let body = wire::error_response("XX000", "a fast error");
-                return Some(Answer { body, notes: Vec::new(), role: None, commit: None });
+                return Some(Answer { body, parameters: Vec::new(), role: None, commit: None });
             }
             HostMode::Garbage => {
-                ended(AttemptState::MayHaveRun);
-                let whole = [row("half", "SELECT 1"), wire::ready_for_query()].concat();
+                record_end(AttemptState::MayHaveRun);
+                let answer = [row("half", "SELECT 1"), wire::ready_for_query()].concat();
                 let cut = w.draw_below(40) as usize;
-                let bytes = if w.draw_below(2) == 0 { vec![0xff; 1 + cut] } else { whole[..cut].to_vec() };
+                let bytes = if w.draw_below(2) == 0 { vec![0xff; 1 + cut] } else { answer[..cut].to_vec() };
                 let _ = stream.write_all(&bytes).await;
                 return None;
             }
         }
         if class.access == Access::Write && !primary {
-            return refuse("25006", "cannot execute INSERT in a read-only transaction");
+            return reject("25006", "cannot execute INSERT in a read-only transaction");
         }
         let work = -class.work_us * (1.0 - w.draw_fraction()).ln();
         if started > 0 {
             self.checker.borrow_mut().work_received(w.now(), host, started, work);
         }
-        if !self.wait_until_fresh(host, &asked).await {
-            return refuse("72000", "too far behind");
+        if !self.wait_until_fresh(host, &request).await {
+            return reject("72000", "too far behind");
         }
-        let Some(done) = self.schedule_work(host, work) else { return refuse("53300", "no slot is free") };
-        // What was read is as of the beginning of the work.
-        let read_at = self.applied(host);
+        let Some(done) = self.schedule_work(host, work) else { return reject("53300", "no slot is free") };
+        // A read returns the data as of the beginning of its work.
+        let read_at = self.applied_position(host);
         if !self.wait_for_work(stream, done.saturating_sub(w.now())).await {
-            // It ran all the same: where nobody waits any more, its work is done.
-            ended(AttemptState::MayHaveRun);
+            // The request may have run: the host does its work even if the proxy has closed the connection.
+            record_end(AttemptState::MayHaveRun);
             return None;
         }
-        ended(AttemptState::MayHaveRun);
-        self.serial.set(self.serial.get() + 1);
-        let value = format!("v{host}.{}", self.serial.get());
+        record_end(AttemptState::MayHaveRun);
+        self.answered_values.set(self.answered_values.get() + 1);
+        let value = format!("v{host}.{}", self.answered_values.get());
         if class.access != Access::Write {
             self.checker.borrow_mut().answer_created(&value, id, read_at, host, origin);
             w.trace(|| format!("host {host} answers {id} with {value}, as of {read_at}"));
             let role = Some(self.hosts.borrow()[host].primary);
-            let notes = self.notes(host, read_at, false);
-            return Some(Answer { body: row(&value, "SELECT 1"), notes, role, commit: None });
+            let parameters = self.status_parameters(host, read_at, false);
+            return Some(Answer { body: row(&value, "SELECT 1"), parameters, role, commit: None });
         }
-        let KeyedWrite { value, position, .. } = self.commit(host, &asked, value);
+        let KeyedWrite { value, position, .. } = self.commit_write(host, &request, value);
         let replicated = self.wait_for_replication(host, position, stream).await;
         self.checker.borrow_mut().answer_created(&value, id, position, host, origin);
         w.trace(|| format!("host {host} answers {id} with {value}"));
         let role = Some(self.hosts.borrow()[host].primary);
-        let notes = self.notes(host, position, true);
-        let commit = Some(Commit { id: id.to_string(), session: asked.session.to_string(), position });
-        replicated.then(|| Answer { body: row(&value, "INSERT 0 1"), notes, role, commit })
+        let parameters = self.status_parameters(host, position, true);
+        let commit = Some(Commit { id: id.to_string(), session: request.session.to_string(), position });
+        replicated.then(|| Answer { body: row(&value, "INSERT 0 1"), parameters, role, commit })
     }
 
-    /// Whether a host's data is recent enough for a request, where it checks that; it may wait for it.
-    async fn wait_until_fresh(&self, host: usize, asked: &HostRequest<'_>) -> bool {
+    /// Waits until the data of a host are recent enough for a request, as long as the lag check of the deployment allows.
+    /// Returns whether they are; always true where hosts don't check.
+    async fn wait_until_fresh(&self, host: usize, request: &HostRequest<'_>) -> bool {
         let (w, check) = (&self.world, self.deployment.lag_check);
-        let begun = w.now();
-        while check != LagCheck::Unchecked && !self.is_fresh(host, asked) {
-            if w.now() >= begun + check.wait_ms() * 1_000 {
+        let started = w.now();
+        while check != LagCheck::Unchecked && !self.is_fresh(host, request) {
+            if w.now() >= started + check.wait_ms() * 1_000 {
                 return false;
             }
             world::after(REPLICATION_POLL_INTERVAL).await;
@@ -470,55 +509,59 @@
         true
     }
 
-    fn is_fresh(&self, host: usize, asked: &HostRequest) -> bool {
-        let at = self.applied(host);
-        match asked.class.access {
+    /// Whether a host has applied what a request must read.
+    fn is_fresh(&self, host: usize, request: &HostRequest) -> bool {
+        let applied = self.applied_position(host);
+        match request.class.access {
             Access::AnyRead | Access::Write => true,
-            Access::BoundedRead(bound_ms) => at + bound_ms * 1_000 >= self.world.now(),
+            Access::BoundedRead(bound_ms) => applied + bound_ms * 1_000 >= self.world.now(),
             Access::SessionRead if self.deployment.tokens == SessionTokens::FromClient => {
-                asked.after.is_none_or(|ms| at + 1_000 >= self.position_of_mark(ms))
+                // Positions in requests have a resolution of one millisecond.
+                request.after.is_none_or(|ms| applied + 1_000 >= self.position_at_unix_ms(ms))
             }
             Access::SessionRead => {
-                self.last_commits.borrow().get(asked.session).is_none_or(|last| at >= *last)
+                self.last_commits.borrow().get(request.session).is_none_or(|last| applied >= *last)
             }
         }
     }
 
-    /// Commits a write, or finds that it is the repeat of one.
-    fn commit(&self, host: usize, asked: &HostRequest, value: String) -> KeyedWrite {
+    /// Commits a write. If its key was used before, within the window of its class, returns the first write instead.
+    fn commit_write(&self, host: usize, request: &HostRequest, value: String) -> KeyedWrite {
         let now = self.world.now();
-        let new = KeyedWrite { at: now, value, position: self.applied(host) };
-        let mut kept = new.clone();
-        if let (Idempotency::Keyed(scope, window_ms), Some(key)) = (asked.class.idempotency, asked.key) {
+        let new_write = KeyedWrite { committed_at: now, value, position: self.applied_position(host) };
+        let mut effective = new_write.clone();
+        if let (Idempotency::Keyed(scope, window_ms), Some(key)) = (request.class.idempotency, request.key) {
             let scope = match scope {
                 DedupScope::All => KeyScope::All,
                 DedupScope::Zone => KeyScope::Zone(self.hosts.borrow()[host].zone),
-                DedupScope::Group => KeyScope::Group(asked.group),
+                DedupScope::Group => KeyScope::Group(request.group),
             };
-            let mut keys = self.keys.borrow_mut();
-            let first = keys.entry((scope, key.to_string())).or_insert_with(|| new.clone());
-            if now.saturating_sub(first.at) > window_ms * 1_000 {
-                *first = new;
+            let mut keyed_writes = self.keyed_writes.borrow_mut();
+            let first = keyed_writes.entry((scope, key.to_string())).or_insert_with(|| new_write.clone());
+            if now.saturating_sub(first.committed_at) > window_ms * 1_000 {
+                *first = new_write;
             }
-            kept = first.clone();
+            effective = first.clone();
         }
         let mut last_commits = self.last_commits.borrow_mut();
-        let last = last_commits.entry(asked.session.to_string()).or_default();
-        *last = kept.position.max(*last);
-        kept
+        let last = last_commits.entry(request.session.to_string()).or_default();
+        *last = effective.position.max(*last);
+        effective
     }
 
-    /// Waits until another member of the group has a commit, where writes wait for that; false if whoever asked has
-    /// left meanwhile.
+    /// Waits until another member of the group has applied a commit, where the deployment commits synchronously. Returns
+    /// false if the proxy closes the connection before.
     async fn wait_for_replication(&self, host: usize, position: Micros, stream: &Stream) -> bool {
         if !self.deployment.synchronous_commit {
             return true;
         }
         let others: Vec<usize> = {
             let hosts = self.hosts.borrow();
-            (0..hosts.len()).filter(|n| *n != host && hosts[*n].group == hosts[host].group).collect()
+            (0..hosts.len())
+                .filter(|other| *other != host && hosts[*other].group == hosts[host].group)
+                .collect()
         };
-        while !others.is_empty() && !others.iter().any(|n| self.applied(*n) >= position) {
+        while !others.is_empty() && !others.iter().any(|other| self.applied_position(*other) >= position) {
             if !self.wait_for_work(stream, REPLICATION_POLL_INTERVAL.as_micros() as Micros).await {
                 return false;
             }
@@ -526,78 +569,89 @@
         true
     }
 
-    /// Waits as long as the work takes; false if whoever asked has left meanwhile.
+    /// Waits as long as the work takes, in microseconds. Returns false if the proxy closes the connection before.
     async fn wait_for_work(&self, stream: &Stream, work: Micros) -> bool {
         let done = async {
             world::after(Duration::from_micros(work)).await;
             true
         };
-        let left = async {
-            // Nobody asks twice before the answer.
+        let closed = async {
+            // The proxy sends no other request before the answer, so whatever it sends is discarded.
             while let Ok(1..) = stream.read_with(|_| ()).await {}
             false
         };
-        future::or(done, left).await
+        future::or(done, closed).await
     }
 
-    /// A mark in Unix milliseconds as a position.
-    pub fn position_of_mark(&self, ms: u64) -> Micros {
-        let begin = self.world.unix_ms() - self.world.now() / 1_000;
-        ms.saturating_sub(begin) * 1_000
+    /// The position that corresponds to a time in Unix milliseconds.
+    pub fn position_at_unix_ms(&self, ms: u64) -> Micros {
+        let run_start_ms = self.world.unix_ms() - self.world.now() / 1_000;
+        ms.saturating_sub(run_start_ms) * 1_000
     }
 
-    /// What an answer tells of its host: its role, and the position of what was read, or of a write's commit.
-    fn notes(&self, host: usize, position: Micros, commit: bool) -> Vec<u8> {
-        let role = self.role_note(host);
+    /// The status parameters of an answer: the role of the host and the position of the data that were read or committed.
+    /// The position is left out for reads (`commit` is false) where the deployment does not send it.
+    fn status_parameters(&self, host: usize, position: Micros, commit: bool) -> Vec<u8> {
+        let role = self.role_parameter(host);
         if !self.deployment.answer_positions && !commit {
             return role;
         }
-        let begin = self.world.unix_ms() - self.world.now() / 1_000;
-        let position = begin + position / 1_000;
-        [role, wire::parameter_status("commit_clock", &position.to_string())].concat()
+        let run_start_ms = self.world.unix_ms() - self.world.now() / 1_000;
+        let position_ms = run_start_ms + position / 1_000;
+        [role, wire::parameter_status("commit_clock", &position_ms.to_string())].concat()
     }
 
-    fn role_note(&self, host: usize) -> Vec<u8> {
+    /// The status parameter that reports the role of a host.
+    fn role_parameter(&self, host: usize) -> Vec<u8> {
         let primary = self.hosts.borrow()[host].primary;
         wire::parameter_status("server_role", if primary { "writer" } else { "reader" })
     }
 
-    fn read<'a>(&self, text: &'a str) -> Option<HostRequest<'a>> {
+    /// Parses a request: the fields in its leading comment, and the session in its statement.
+    fn parse_request<'a>(&self, text: &'a str) -> Option<HostRequest<'a>> {
         let (comment, statement) = text.strip_prefix("/*")?.split_once("*/")?;
         let session = statement.split('\'').nth(1)?;
-        let get = |name: &str| {
+        let field = |name: &str| {
             comment
                 .split(',')
-                .filter_map(|p| p.split_once('='))
-                .find(|p| p.0.trim() == name)
-                .map(|p| p.1.trim())
+                .filter_map(|pair| pair.split_once('='))
+                .find(|pair| pair.0.trim() == name)
+                .map(|pair| pair.1.trim())
         };
-        let class = self.classes.iter().find(|c| Some(c.name.as_str()) == get("c"))?.clone();
-        let (after, key) = (get("after").and_then(|a| a.parse().ok()), get("k"));
-        Some(HostRequest { id: get("id")?, class, group: get("cluster")?.parse().ok()?, session, after, key })
+        let class = self.classes.iter().find(|class| Some(class.name.as_str()) == field("c"))?.clone();
+        let (after, key) = (field("after").and_then(|text| text.parse().ok()), field("k"));
+        Some(HostRequest {
+            id: field("id")?,
+            class,
+            group: field("cluster")?.parse().ok()?,
+            session,
+            after,
+            key,
+        })
     }
 }
 
-/// The next message, or nothing at the end of the connection.
-pub async fn read_message(stream: &Stream, came: &mut Vec<u8>) -> std::io::Result<Option<(u8, Vec<u8>)>> {
+/// Reads the next message: its type byte and its body; `None` at the end of the connection. `received` holds the bytes
+/// read ahead between calls.
+pub async fn read_message(stream: &Stream, received: &mut Vec<u8>) -> std::io::Result<Option<(u8, Vec<u8>)>> {
     loop {
-        if came.len() >= 5 {
-            let len = u32::from_be_bytes([came[1], came[2], came[3], came[4]]) as usize;
+        if received.len() >= 5 {
+            let len = u32::from_be_bytes([received[1], received[2], received[3], received[4]]) as usize;
             if !(4..MAX_MESSAGE_BYTES).contains(&len) {
-                return Err(std::io::Error::other(format!("a message of {len} bytes")));
+                return Err(std::io::Error::other(format!("invalid length of a message: {len} bytes")));
             }
-            if came.len() > len {
-                let message: Vec<u8> = came.drain(..=len).collect();
+            if received.len() > len {
+                let message: Vec<u8> = received.drain(..=len).collect();
                 return Ok(Some((message[0], message[5..].to_vec())));
             }
         }
-        if stream.read_with(|part| came.extend(part)).await? == 0 {
+        if stream.read_with(|part| received.extend(part)).await? == 0 {
             return Ok(None);
         }
     }
 }
 
-/// One row of one value, and the end of its command.
+/// The messages of a result with one row of one value, up to the completion of the command.
 fn row(value: &str, tag: &str) -> Vec<u8> {
     [wire::row_description(&["v"]), wire::data_row(&[Some(value)]), wire::command_complete(tag)].concat()
 }
