--- a/crates/lab/tests/invariants.rs
+++ b/crates/lab/tests/invariants.rs
@@ -1,5 +1,6 @@
-//! The proxies' own invariants: each catches a wrong line in what decides, on order, and none is broken without one. Run
-//! with `--features mutants`; without it there is nothing to run.
+//! Tests of the proxies' own invariants. Each test activates a mutant, a single wrong line in the code that decides, and
+//! expects that a proxy counts the matching violation; without the mutant no proxy counts any. The tests need
+//! `--features mutants`; without it there is nothing to run.
 #![cfg(feature = "mutants")]
 
 use sillfold::invariants::Violation;
@@ -27,8 +28,8 @@
     }
 }
 
-/// A small fleet in which connections may take long to come up, with writes that must not run twice.
-fn day(seed: u64, faults: Vec<Fault>) -> Plan {
+/// A plan of a small fleet with a long dial timeout and with writes that must not run twice.
+fn small_plan(seed: u64, faults: Vec<Fault>) -> Plan {
     let keyed = Idempotency::Keyed(DedupScope::Group, 300);
     let classes = vec![
         class("read", Access::AnyRead, Idempotency::Idempotent, 2_500, 0.5),
@@ -59,69 +60,84 @@
     }
 }
 
-/// The wrong line makes a proxy count this on one of some seeds; without it none counts anything on any.
-fn counted(name: &'static str, violation: Violation, plan: &Plan) {
-    let mut found = 0;
+/// Checks on eight seeds that with the mutant a proxy counts the violation on at least one, and that without the mutant no
+/// rule is broken and no proxy counts any violation.
+fn assert_violation_counted(name: &'static str, violation: Violation, plan: &Plan) {
+    let mut count = 0;
     for seed in plan.seed * 100..plan.seed * 100 + 8 {
         let plan = Plan { seed, ..plan.clone() };
         mutants::set("");
-        let well = run(&plan, false);
-        assert_eq!((well.broken, well.violations.len()), (None, 0), "{name}: without it, seed {seed}");
-        assert!(well.counts.served > 100, "{name}: {:?}", well.counts);
+        let without_mutant = run(&plan, false);
+        assert_eq!(
+            (without_mutant.broken, without_mutant.violations.len()),
+            (None, 0),
+            "{name}: without the mutant, seed {seed}"
+        );
+        assert!(without_mutant.counts.served > 100, "{name}: {:?}", without_mutant.counts);
         mutants::set(name);
-        let wrong = run(&plan, false);
+        let with_mutant = run(&plan, false);
         mutants::set("");
-        found += wrong.violations.get(&violation).copied().unwrap_or(0);
+        count += with_mutant.violations.get(&violation).copied().unwrap_or(0);
     }
-    assert!(found > 0, "{name}: no proxy counted {violation:?}");
-    eprintln!("{name}: {violation:?} counted {found} times");
+    assert!(count > 0, "{name}: no proxy counted {violation:?}");
+    eprintln!("{name}: {violation:?} counted {count} times");
 }
 
-/// Connections come up late, at proxies that are held up while their clients leave.
+/// Connections to hosts are established late, by proxies whose writes are delayed while their clients disconnect.
 #[test]
-fn an_attempt_that_starts_for_a_client_that_left() {
-    let late = (0..3).map(|host| fault(0, 8_000, FaultKind::LateSessions(host, 400)));
-    let held_up = (0..2).map(|proxy| fault(0, 8_000, FaultKind::WriteDelays(proxy, 8)));
-    let plan = Plan { rest_ms: 20, clients: 40, ..day(101, late.chain(held_up).collect()) };
-    counted("departures are not asked for", Violation::StartedForDeparted, &plan);
+fn attempt_for_a_disconnected_client_is_counted() {
+    let late_sessions = (0..3).map(|host| fault(0, 8_000, FaultKind::LateSessions(host, 400)));
+    let write_delays = (0..2).map(|proxy| fault(0, 8_000, FaultKind::WriteDelays(proxy, 8)));
+    let plan =
+        Plan { rest_ms: 20, clients: 40, ..small_plan(101, late_sessions.chain(write_delays).collect()) };
+    assert_violation_counted("departures are not asked for", Violation::StartedForDeparted, &plan);
 }
 
-/// Connections come up so late that their host has drained for long.
+/// Connections are established so late that their host has been draining for longer than the grace.
 #[test]
-fn an_attempt_that_starts_at_a_host_that_drains() {
-    let late = (0..3).map(|host| fault(0, 8_000, FaultKind::LateSessions(host, 1_500)));
+fn attempt_at_a_draining_host_is_counted() {
+    let late_sessions = (0..3).map(|host| fault(0, 8_000, FaultKind::LateSessions(host, 1_500)));
     let drains = (0..3u64).map(|n| fault(1_500 + 1_500 * n, 1_300, FaultKind::HostDrain(1 + n as usize % 2)));
-    let plan = day(102, late.chain(drains).collect());
-    counted("drains are not asked for", Violation::StartedAtDraining, &plan);
+    let plan = small_plan(102, late_sessions.chain(drains).collect());
+    assert_violation_counted("drains are not asked for", Violation::StartedAtDraining, &plan);
 }
 
-/// The primary says nonsense now and then, and connections for repeats come up when keys are forgotten.
+/// The primary sends invalid answers now and then, and the connections of retries are established after the deduplication
+/// window of their keys.
 #[test]
-fn a_repeat_that_starts_when_its_key_is_forgotten() {
-    let late = fault(0, 8_000, FaultKind::LateSessions(0, 1_200));
-    let nonsense = (0..12u64).map(|n| fault(500 + 600 * n, 100, FaultKind::InvalidAnswers(0)));
-    let plan = Plan { clients: 40, ..day(103, nonsense.chain([late]).collect()) };
-    counted("attempts begin unchecked", Violation::RepeatedTooLate, &plan);
+fn retry_after_the_deduplication_window_is_counted() {
+    let late_sessions = fault(0, 8_000, FaultKind::LateSessions(0, 1_200));
+    let invalid_answers = (0..12u64).map(|n| fault(500 + 600 * n, 100, FaultKind::InvalidAnswers(0)));
+    let plan = Plan { clients: 40, ..small_plan(103, invalid_answers.chain([late_sessions]).collect()) };
+    assert_violation_counted("attempts begin unchecked", Violation::RepeatedTooLate, &plan);
 }
 
 #[test]
-fn an_attempt_that_is_ordered_while_another_is_out() {
-    counted("attempts are ordered twice", Violation::SecondAttempt, &day(104, vec![]));
+fn second_attempt_beside_one_in_flight_is_counted() {
+    assert_violation_counted(
+        "attempts are ordered twice",
+        Violation::SecondAttempt,
+        &small_plan(104, vec![]),
+    );
 }
 
 #[test]
-fn an_attempt_that_tells_more_time_than_its_client_has() {
-    counted("patience grows", Violation::PatienceExceeded, &day(105, vec![]));
+fn attempt_with_a_longer_deadline_than_its_client_is_counted() {
+    assert_violation_counted("patience grows", Violation::PatienceExceeded, &small_plan(105, vec![]));
 }
 
-/// Writes that must not run twice fail, and are refused.
+/// Writes that must not run twice fail at their host, and the proxy refuses them although they may have run.
 #[test]
-fn a_refusal_of_what_may_have_run() {
+fn refusal_of_a_write_that_may_have_run_is_counted() {
     let faults = vec![fault(1_000, 6_000, FaultKind::HostErrors(0))];
-    counted("refusals promise anything", Violation::RefusedAfterRun, &day(106, faults));
+    assert_violation_counted(
+        "refusals promise anything",
+        Violation::RefusedAfterRun,
+        &small_plan(106, faults),
+    );
 }
 
 #[test]
-fn a_connection_that_is_closed_with_a_request_unanswered() {
-    counted("closes unanswered", Violation::ClosedUnanswered, &day(107, vec![]));
+fn close_with_an_unanswered_request_is_counted() {
+    assert_violation_counted("closes unanswered", Violation::ClosedUnanswered, &small_plan(107, vec![]));
 }
--- a/crates/lab/tests/sim.rs
+++ b/crates/lab/tests/sim.rs
@@ -1,4 +1,5 @@
-//! The simulation itself: the same day twice to the byte, days that hold the rules, and plans that shrink.
+//! Tests of the simulation itself: replays are identical, rules hold under combined faults, plans are read back and
+//! shrunk, and the drawn deployments cover all pairs of settings.
 
 use sillfold_lab::sim::deployment::{
     Access, DedupScope, Deployment, Idempotency, LagCheck, ListRole, MAX_CLASSES, MAX_ZONES, SessionTokens,
@@ -9,12 +10,13 @@
 use std::fmt::Debug;
 use std::process::Command;
 
-/// In two processes: an address, a thread or the order of a hash map that leaks in shows.
+/// Replays run in separate processes, so that an address, a thread or the order of a hash map that affects a run shows.
 #[test]
-fn one_seed_is_one_day_to_the_byte() {
+fn replays_of_a_seed_are_identical() {
     let replay = |seed: &str| {
         let program = env!("CARGO_BIN_EXE_sillfold-lab");
-        let done = Command::new(program).args(["sim", "--replay", seed]).output().expect("it runs");
+        let done =
+            Command::new(program).args(["sim", "--replay", seed]).output().expect("sillfold-lab starts");
         assert!(done.status.success(), "{}", String::from_utf8_lossy(&done.stderr));
         done.stdout
     };
@@ -22,10 +24,11 @@
     assert!(first.len() > 10_000 && first == second && first != other);
 }
 
-/// A room that comes back cold while a primary hangs and a proxy is killed in the middle of its work: the hard
-/// cases together, on several seeds, with all that is cut into parts.
+/// Combines the hardest faults on several seeds, with partial reads and writes: the hosts of a zone lose power and return
+/// cold, a primary hangs, a host drains, a primary is handed over, a proxy is killed during its work, another is replaced,
+/// and clients misbehave.
 #[test]
-fn rules_hold_while_a_room_returns_cold_beside_a_hung_primary_and_a_killed_proxy() {
+fn rules_hold_under_combined_faults() {
     for seed in 1..=6 {
         let fault = |at_ms, for_ms, kind| Fault { at_ms, for_ms, kind };
         let faults = vec![
@@ -56,68 +59,74 @@
         };
         let outcome = run(&plan, false);
         assert_eq!(outcome.broken, None, "seed {seed}");
-        let c = outcome.counts;
-        assert!(c.served > 300 && c.errors > 0 && c.attempts > c.served, "seed {seed}: {c:?}");
+        let counts = outcome.counts;
+        assert!(
+            counts.served > 300 && counts.errors > 0 && counts.attempts > counts.served,
+            "seed {seed}: {counts:?}"
+        );
     }
 }
 
 #[test]
-fn a_plan_is_read_back_as_it_was_written_and_shrinks() {
+fn plan_round_trips_through_json_and_shrinks() {
     for seed in 1..50 {
         let plan = Plan::from_seed(seed);
-        let text = serde_json::to_string(&plan).expect("it is written");
+        let text = serde_json::to_string(&plan).expect("a plan is serialised");
         assert_eq!(sillfold_conf::parse::<Plan>("plan", &text), Ok(plan.clone()));
         let size =
             |p: &Plan| p.faults.len() + p.clients + usize::from(p.partial_io) + usize::from(p.peer_messages);
-        assert!(plan.smaller().iter().all(|s| size(s) < size(&plan)));
+        assert!(plan.smaller().iter().all(|smaller| size(smaller) < size(&plan)));
         assert_eq!(Plan::from_seed(seed), plan);
     }
-    let wrong = sillfold_conf::parse::<Plan>("plan", r#"{"seed": 1, "proxies": 0}"#);
-    assert!(wrong.is_err_and(|e| e[0].starts_with("plan:")));
+    let incomplete = sillfold_conf::parse::<Plan>("plan", r#"{"seed": 1, "proxies": 0}"#);
+    assert!(incomplete.is_err_and(|e| e[0].starts_with("plan:")));
 }
 
-/// The seeds whose deployments have to hold every pair of settings.
+/// The seeds whose deployments must together contain every pair of settings.
 const SEEDS: std::ops::Range<u64> = 1..401;
 
-/// How many values, or pairs of values, of the deployments' settings occur.
-fn count<T: Debug>(of: impl Fn(&Deployment) -> T) -> usize {
-    let values: BTreeSet<String> =
-        SEEDS.filter_map(|seed| Plan::from_seed(seed).deployment).map(|d| format!("{:?}", of(&d))).collect();
+/// Counts the distinct values, or pairs of values, that `setting` returns for the deployments of [`SEEDS`].
+fn count_distinct<T: Debug>(setting: impl Fn(&Deployment) -> T) -> usize {
+    let values: BTreeSet<String> = SEEDS
+        .filter_map(|seed| Plan::from_seed(seed).deployment)
+        .map(|d| format!("{:?}", setting(&d)))
+        .collect();
     eprintln!("{values:?}");
     values.len()
 }
 
-/// A check without how long it waits.
-fn check(d: &Deployment) -> &'static str {
+/// The kind of lag check, without its wait.
+fn lag_check(d: &Deployment) -> &'static str {
     d.lag_check.name()
 }
 
-/// A way of listing roles without how late it is.
+/// The way in which the list reports roles, without its delay.
 fn list_role(d: &Deployment) -> &'static str {
     d.list_role.name()
 }
 
 #[test]
-fn every_pair_of_settings_is_drawn() {
-    assert_eq!(count(|d| (d.tokens, check(d))), 2 * 3);
-    assert_eq!(count(|d| (d.tokens, list_role(d))), 2 * 3);
-    assert_eq!(count(|d| (check(d), d.answer_positions)), 3 * 2);
-    assert_eq!(count(|d| (d.probes, d.answer_positions)), 2 * 2);
-    assert_eq!(count(|d| (d.tokens, d.synchronous_commit)), 2 * 2);
-    assert_eq!(count(|d| (check(d), list_role(d))), 3 * 3);
-    assert_eq!(count(|d| (check(d), d.probes)), 3 * 2);
-    assert_eq!(count(|d| (d.cancel, d.max_retry_after_ms > 0)), 2 * 2);
-    assert_eq!(count(|d| d.classes.len()), MAX_CLASSES);
-    assert_eq!(count(|d| d.zones), MAX_ZONES);
-    assert_eq!(count(|d| d.max_attempts), 10);
+fn seeds_cover_every_pair_of_settings() {
+    assert_eq!(count_distinct(|d| (d.tokens, lag_check(d))), 2 * 3);
+    assert_eq!(count_distinct(|d| (d.tokens, list_role(d))), 2 * 3);
+    assert_eq!(count_distinct(|d| (lag_check(d), d.answer_positions)), 3 * 2);
+    assert_eq!(count_distinct(|d| (d.probes, d.answer_positions)), 2 * 2);
+    assert_eq!(count_distinct(|d| (d.tokens, d.synchronous_commit)), 2 * 2);
+    assert_eq!(count_distinct(|d| (lag_check(d), list_role(d))), 3 * 3);
+    assert_eq!(count_distinct(|d| (lag_check(d), d.probes)), 3 * 2);
+    assert_eq!(count_distinct(|d| (d.cancel, d.max_retry_after_ms > 0)), 2 * 2);
+    assert_eq!(count_distinct(|d| d.classes.len()), MAX_CLASSES);
+    assert_eq!(count_distinct(|d| d.zones), MAX_ZONES);
+    assert_eq!(count_distinct(|d| d.max_attempts), 10);
 }
 
-/// Each kind of class and of repeat, under each way in which sessions' writes are known; and tiers of any size.
+/// The seeds cover every access and idempotency of classes with both kinds of session tokens, and small and large numbers
+/// of proxies.
 #[test]
-fn every_kind_of_class_and_every_size_of_tier_is_drawn() {
+fn seeds_cover_every_kind_of_class_and_sizes_of_tiers() {
     let plans: Vec<Plan> = SEEDS.map(Plan::from_seed).collect();
     let named = plans.iter().filter_map(|p| Some(p.deployment.as_ref()?.named_proxies));
-    assert!(named.clone().any(|n| n == 1) && named.clone().any(|n| n > 300));
+    assert!(named.clone().any(|proxies| proxies == 1) && named.clone().any(|proxies| proxies > 300));
     assert!(plans.iter().any(|p| p.proxies > 100) && plans.iter().all(|p| p.proxies < 4 || p.clients == 1));
     let mut kinds = BTreeSet::new();
     for plan in &plans {
@@ -145,13 +154,13 @@
     assert_eq!(kinds.len(), 2 * 4 * 5, "{kinds:?}");
 }
 
-/// Plans of before there were deployments load, and mean what they did.
+/// Plans written before plans had deployments, with the former names of two faults, load with their former meaning.
 #[test]
-fn a_plan_without_a_deployment_is_that_of_six_classes() {
+fn plan_without_deployment_gets_the_standard_one_of_six_classes() {
     let text = r#"{"seed": 7, "family": "bounce", "proxies": 2, "groups": 1, "members": 3, "clients": 4,
         "rest_ms": 60, "for_ms": 3000, "choppy": false, "blind": true,
         "faults": [{"at_ms": 500, "what": "watches_hushed"}, {"at_ms": 600, "for_ms": 9, "what": {"liar": 1}}]}"#;
-    let plan = sillfold_conf::parse::<Plan>("plan", text).expect("it is read");
+    let plan = sillfold_conf::parse::<Plan>("plan", text).expect("the plan is parsed");
     assert_eq!(plan.faults[0].kind, FaultKind::SilentWatches);
     assert_eq!(plan.faults[1].kind, FaultKind::ForgedPeer(1));
     let d = plan.deployment();
@@ -164,10 +173,10 @@
     assert!(sillfold::settings::parse(settings.to_string().as_bytes()).is_ok());
 }
 
-/// A primary that has handed over answers from data that are too old: the answer is not passed on, and the request, which
-/// must not run twice, is not sent again.
+/// Guards against a second attempt at a request that is not idempotent. A former primary answers a read from data that are
+/// too old: the proxy must not pass the answer on, and must not send the request again.
 #[test]
-fn a_read_whose_answer_is_too_old_does_not_run_twice() {
+fn read_with_a_stale_answer_is_not_retried_if_not_idempotent() {
     let handovers = (0..10u64).map(|n| (700 + 700 * n, 500, FaultKind::PrimaryHandover(0)));
     let lags = (0..3).map(|host| (600, 7_000, FaultKind::ReplicaLag(host, 2_000)));
     let faults: Vec<Fault> =
@@ -197,7 +206,8 @@
     }
 }
 
-/// The folder cannot be read for longer than the grace of a drain while a new version starts beside one that has the order.
+/// A manual override binds a new version that starts beside the one that received it, also while the new version cannot
+/// read the folder of overrides for longer than the grace of a drain.
 #[test]
 fn an_order_by_hand_binds_a_version_that_starts_while_the_folder_cannot_be_read() {
     let fault = |at_ms, for_ms, kind| Fault { at_ms, for_ms, kind };
