--- a/crates/lab/src/sim/agent.rs
+++ b/crates/lab/src/sim/agent.rs
@@ -71,7 +71,9 @@
     pub async fn record_list_deadlines(self: Rc<Agent>) {
         let mut off_since: BTreeMap<usize, Micros> = BTreeMap::new();
         loop {
-            let (now, _) = (self.fleet.world.now(), self.list());
+            let now = self.fleet.world.now();
+            // Brings the served list up to date.
+            self.list();
             for (host, off) in self.served.borrow().2.iter().enumerate() {
                 if *off {
                     off_since.entry(host).or_insert(now);
