--- a/crates/plan/src/fleet.rs
+++ b/crates/plan/src/fleet.rs
@@ -1,41 +1,41 @@
-//! The input of the planner: the description of a fleet and of its load, with the bounds of each field. The unit of a
-//! field is in its name or its comment.
+//! The input of the planner: the descriptions of a fleet and of its load, with the bounds of each field, and the checks
+//! of one against the other. The unit of a field is in its name or its comment. The module must compute no answers.
 
 use garde::Validate;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A fleet: what it consists of, and what clients want of it.
+/// A fleet: its hosts and proxies, and the classes of requests that it serves.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
-    /// The machine rooms.
+    /// The zones (machine rooms), by name.
     #[garde(length(min = 1, max = 64))]
     pub rooms: Vec<String>,
-    /// Machine types, by name.
+    /// The machine types, by name.
     #[garde(length(min = 1), dive)]
     pub kinds: BTreeMap<String, HostType>,
-    /// Groups of hosts that hold the same data.
+    /// The groups; the hosts of a group hold the same data.
     #[garde(length(min = 1, max = 10_000), dive)]
     pub groups: Vec<Group>,
-    /// The proxies before them.
+    /// The proxies in front of the hosts.
     #[garde(dive)]
     pub proxies: Proxies,
-    /// What goes between rooms.
+    /// The traffic between zones.
     #[serde(default)]
     #[garde(dive)]
     pub crossing: CrossZoneTraffic,
-    /// Request classes, by name.
+    /// The request classes, by name.
     #[garde(length(min = 1), dive)]
     pub classes: BTreeMap<String, Class>,
-    /// The relative error of figures that are written here or in a load.
-    #[serde(default = "tenth")]
+    /// The relative error of figures that are written by hand, here or in a load.
+    #[serde(default = "default_error")]
     #[garde(range(min = 0.0, max = 1.0))]
     pub error: f64,
 }
 
-fn tenth() -> f64 {
+fn default_error() -> f64 {
     0.1
 }
 
@@ -43,37 +43,37 @@
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct HostType {
-    /// Cores, each of which works on one request at a time.
+    /// Cores of a host. Each core works on one request at a time.
     #[garde(range(min = 1, max = 1_024))]
     pub cores: u32,
-    /// Connections that it holds at most.
-    #[serde(default = "many")]
+    /// The most connections that a host holds.
+    #[serde(default = "default_connections")]
     #[garde(range(min = 1))]
     pub connections: u32,
-    /// How fast a core is beside the one on which the load's times were taken.
+    /// The speed of a core, relative to the core on which the load's times were measured.
     #[serde(default = "one")]
     #[garde(range(min = 0.01, max = 100.0))]
     pub speed: f64,
-    /// What a host that has just started can do, as a share.
-    #[serde(default = "fifth")]
+    /// The capacity of a host that has just started, as a share of its warm capacity.
+    #[serde(default = "default_cold_share")]
     #[garde(range(min = 0.01, max = 1.0))]
     pub cold_share: f64,
-    /// How long it takes to be warm, in seconds.
-    #[serde(default = "quarter_minute")]
+    /// The time from a host's start until it is warm, in seconds.
+    #[serde(default = "default_warm_s")]
     #[garde(range(min = 0.0, max = 86_400.0))]
     pub warm_s: f64,
 }
 
-fn many() -> u32 {
+fn default_connections() -> u32 {
     10_000
 }
 fn one() -> f64 {
     1.0
 }
-fn fifth() -> f64 {
+fn default_cold_share() -> f64 {
     0.2
 }
-fn quarter_minute() -> f64 {
+fn default_warm_s() -> f64 {
     15.0
 }
 
@@ -81,33 +81,33 @@
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Group {
-    /// Its number.
+    /// The group's id.
     #[garde(skip)]
     pub id: u32,
-    /// Its part of the load beside the other groups'; where the load tells shares, those count.
+    /// The group's share of the load, relative to the other groups. Shares in the load take precedence.
     #[serde(default = "one")]
     #[garde(range(min = 0.0, max = 1e6))]
     pub share: f64,
-    /// Its members.
+    /// The group's hosts, in sets of identical ones.
     #[garde(length(min = 1, max = 1_000), dive)]
     pub members: Vec<HostSet>,
 }
 
-/// Hosts of a group that are alike.
+/// Identical hosts of a group.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct HostSet {
-    /// Their machine type.
+    /// The hosts' machine type.
     #[garde(length(min = 1))]
     pub kind: String,
-    /// Their room.
+    /// The hosts' zone.
     #[garde(length(min = 1))]
     pub room: String,
-    /// How many.
+    /// The number of hosts.
     #[serde(default = "single")]
     #[garde(range(min = 1, max = 10_000))]
     pub count: u32,
-    /// Whether this one is the primary; exactly one of a group is.
+    /// Whether this host is the primary. Exactly one host of a group is.
     #[serde(default)]
     #[garde(skip)]
     pub primary: bool,
@@ -121,122 +121,122 @@
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Proxies {
-    /// How many.
+    /// The number of proxies.
     #[garde(range(min = 1, max = 10_000))]
     pub count: u32,
-    /// Cores of each.
+    /// The cores of each proxy.
     #[garde(range(min = 0.01, max = 1_024.0))]
     pub cores: f64,
-    /// Processor time of a request, in microseconds.
+    /// The processor time of a request at a proxy, in microseconds.
     #[garde(range(min = 0.1, max = 1e6))]
     pub cpu_us: f64,
 }
 
-/// What goes between rooms.
+/// The traffic between zones.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize, Serialize, JsonSchema, Validate)]
 #[serde(default, deny_unknown_fields)]
 pub struct CrossZoneTraffic {
-    /// One way, in milliseconds.
+    /// The latency between two zones, one way, in milliseconds.
     #[garde(range(min = 0.0, max = 10_000.0))]
     pub ms: f64,
-    /// The share of requests that cross.
+    /// The share of requests that go to another zone.
     #[garde(range(min = 0.0, max = 1.0))]
     pub share: f64,
-    /// Requests a second that may cross at most; none, no bound.
+    /// The most requests per second that may go to another zone; none for no bound.
     #[garde(inner(range(min = 0.1)))]
     pub most_per_s: Option<f64>,
 }
 
-/// How recent a class's data must be.
+/// The data access of a class: whether it writes, and how recent the data that it reads must be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
 pub enum Access {
-    /// It writes: only the primary takes it.
+    /// A write: only the primary takes it.
     Write,
-    /// Data no older than the bound.
+    /// A read of data no older than the class's bound.
     Bounded,
-    /// Any member's data will do.
+    /// A read from any member of the group, however old its data.
     Any,
 }
 
-/// What clients want of a class.
+/// A request class: what its clients want, and how they retry.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// How recent its data must be.
+    /// The data access of the class.
     #[garde(skip)]
     #[serde(rename = "need")]
     pub access: Access,
-    /// Wanted within so many milliseconds.
+    /// The response time within which a request counts as served in time, in milliseconds.
     #[garde(range(min = 1.0, max = 1e6))]
     pub goal_ms: f64,
-    /// The bound on the age of data, in milliseconds, of a bounded class.
-    #[serde(default = "second")]
+    /// The bound on the age of the data that a bounded class reads, in milliseconds.
+    #[serde(default = "default_bound_ms")]
     #[garde(range(min = 1.0, max = 1e6))]
     pub bound_ms: f64,
-    /// What one in time is worth.
+    /// The worth of a request that is served in time.
     #[serde(default = "one")]
     #[garde(range(min = 0.0, max = 1e6))]
     pub worth: f64,
-    /// How often a client tries again by itself.
+    /// The most retries that a client makes by itself.
     #[serde(default)]
     #[garde(range(max = 10))]
     pub retries: u32,
-    /// The share of failed tries whose work is done nevertheless: 0 where the proxy refuses in time, 1 where
-    /// clients give up and hosts go on.
+    /// The share of failed attempts that hosts work on nevertheless: 0 where the proxy refuses requests in time,
+    /// 1 where clients give up and hosts continue.
     #[serde(default)]
     #[garde(range(min = 0.0, max = 1.0))]
     pub wasted: f64,
 }
 
-fn second() -> f64 {
+fn default_bound_ms() -> f64 {
     1_000.0
 }
 
-/// A load: what comes, and what it takes.
+/// A load: the arrival rate and the service time of each class.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
-    /// For how long it was watched, in seconds; 0 where it was written by hand.
+    /// The time over which the load was captured, in seconds; 0 where it was written by hand.
     #[serde(default)]
     #[garde(range(min = 0.0))]
     pub seconds: f64,
-    /// What comes of each class.
+    /// The load of each class, by class name.
     #[garde(length(min = 1), dive)]
     pub classes: BTreeMap<String, ClassLoad>,
-    /// What applying one write takes at a replica, in milliseconds.
+    /// The time that a replica takes to apply one write, in milliseconds.
     #[serde(default)]
     #[garde(range(min = 0.0, max = 1e6))]
     pub apply_ms: f64,
-    /// Parts of the groups, where they are known.
+    /// The relative shares of the groups, by group id; empty where they are not known.
     #[serde(default)]
     #[garde(skip)]
     pub groups: BTreeMap<u32, f64>,
 }
 
-/// What comes of one class.
+/// The load of one class.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
 pub struct ClassLoad {
-    /// First tries a second, over the whole fleet.
+    /// First attempts per second, over the whole fleet.
     #[garde(range(min = 0.0, max = 1e9))]
     pub per_s: f64,
-    /// The mean time that a core works on one, in milliseconds.
+    /// The mean time that a core works on a request, in milliseconds.
     #[garde(range(min = 0.001, max = 1e6))]
     pub mean_ms: f64,
-    /// The squared coefficient of variation of that time.
+    /// The squared coefficient of variation of the time that a core works on a request.
     #[serde(default)]
     #[garde(range(min = 0.0, max = 1e4))]
     pub cv2: f64,
-    /// How many were seen; 0 where the figures were written by hand.
+    /// The number of requests measured; 0 where the figures were written by hand.
     #[serde(default)]
     #[garde(skip)]
     pub samples: u64,
 }
 
 impl Fleet {
-    /// What contradicts itself, a line each with its key.
-    pub fn faults(&self) -> Vec<String> {
+    /// Contradictions within the description, one line each, which begins with the key.
+    pub fn inconsistencies(&self) -> Vec<String> {
         let mut out = Vec::new();
         let mut ids = BTreeSet::new();
         for (i, g) in self.groups.iter().enumerate() {
@@ -259,8 +259,8 @@
         out
     }
 
-    /// What a load says that this fleet cannot be, and where it is too short to tell.
-    pub fn contradictions(&self, load: &Load) -> Vec<String> {
+    /// Warnings, one line each, where a load contradicts this fleet or has too little data for sound answers.
+    pub fn load_warnings(&self, load: &Load) -> Vec<String> {
         let mut out = Vec::new();
         for name in load.classes.keys().filter(|n| !self.classes.contains_key(*n)) {
             out.push(format!("the load has the class {name:?}, the fleet none of that name"));
@@ -268,14 +268,16 @@
         for id in load.groups.keys().filter(|id| self.groups.iter().all(|g| g.id != **id)) {
             out.push(format!("the load has group {id}, the fleet none of that number"));
         }
-        let work: f64 = load.classes.values().map(|c| c.per_s * c.mean_ms / 1e3).sum();
+        let busy_cores: f64 = load.classes.values().map(|c| c.per_s * c.mean_ms / 1e3).sum();
         let cores: f64 = self.groups.iter().map(|g| self.cores(g, false)).sum();
-        if load.seconds > 0.0 && work > cores {
-            out.push(format!("the load was served with {work:.1} cores busy, the fleet has {cores:.1}"));
+        if load.seconds > 0.0 && busy_cores > cores {
+            out.push(format!(
+                "the load was served with {busy_cores:.1} cores busy, the fleet has {cores:.1}"
+            ));
         }
-        let short = load.classes.iter().filter(|c| (1..100).contains(&c.1.samples));
+        let undersampled = load.classes.iter().filter(|c| (1..100).contains(&c.1.samples));
         out.extend(
-            short.map(|(n, c)| format!("class {n:?} has {} samples only: too few to tell", c.samples)),
+            undersampled.map(|(n, c)| format!("class {n:?} has {} samples only: too few to tell", c.samples)),
         );
         if load.seconds > 0.0 && load.seconds < 30.0 {
             out.push(format!("the load was watched for {:.0} s only: too short to tell", load.seconds));
@@ -283,35 +285,35 @@
         out
     }
 
-    /// Cores of a group in units of the load's; of its replicas alone where wanted.
-    pub fn cores(&self, group: &Group, replicas: bool) -> f64 {
-        let members = group.members.iter().filter(|m| !(replicas && m.primary));
-        let each = |m: &HostSet| {
+    /// The cores of a group, in cores of speed 1; only those of its replicas if `replicas_only`.
+    pub fn cores(&self, group: &Group, replicas_only: bool) -> f64 {
+        let members = group.members.iter().filter(|m| !(replicas_only && m.primary));
+        let cores = |m: &HostSet| {
             self.kinds.get(&m.kind).map_or(0.0, |k| f64::from(k.cores) * k.speed * f64::from(m.count))
         };
-        members.map(each).sum()
+        members.map(cores).sum()
     }
 
-    /// Hosts in all.
+    /// The number of hosts of all groups.
     pub fn hosts(&self) -> u32 {
         self.groups.iter().flat_map(|g| &g.members).map(|m| m.count).sum()
     }
 
-    /// The fleet without some of its members; groups that lose their primary get a replica in its place, if they
-    /// have one. Groups that lose all are gone, and their numbers are returned.
-    pub fn without(&self, lost: impl Fn(&Group, &HostSet) -> bool) -> (Fleet, Vec<u32>) {
+    /// The fleet without the hosts for which `is_lost` holds, and the ids of the groups that lose all hosts: the fleet
+    /// no longer contains those. A group that loses its primary gets a replica in its place, if it has one.
+    pub fn without(&self, is_lost: impl Fn(&Group, &HostSet) -> bool) -> (Fleet, Vec<u32>) {
         let mut left = self.clone();
         for g in &mut left.groups {
-            let whole = g.clone();
-            g.members.retain(|m| !lost(&whole, m));
+            let original = g.clone();
+            g.members.retain(|m| !is_lost(&original, m));
             if !g.members.iter().any(|m| m.primary)
-                && let Some(at) = g.members.iter().position(|m| m.count > 0)
+                && let Some(index) = g.members.iter().position(|m| m.count > 0)
             {
-                let mut heir = g.members[at].clone();
-                (heir.count, heir.primary) = (1, true);
-                g.members[at].count -= 1;
+                let mut new_primary = g.members[index].clone();
+                (new_primary.count, new_primary.primary) = (1, true);
+                g.members[index].count -= 1;
                 g.members.retain(|m| m.count > 0);
-                g.members.insert(0, heir);
+                g.members.insert(0, new_primary);
             }
         }
         let gone = left.groups.iter().filter(|g| g.members.is_empty()).map(|g| g.id).collect();
--- a/crates/plan/src/model.rs
+++ b/crates/plan/src/model.rs
@@ -1,61 +1,64 @@
 //! The model of one group under load: the utilization of its resources, the share of each class served in time, and
-//! the steady state of the loop in which failed requests are retried and add to the load. The loop is solved as a
-//! fixed point; a group may have two, and both are then reported.
+//! the steady state of the feedback loop in which failed requests are retried and add to the load. The module calls
+//! the queueing formulas of [`crate::queue`]. It solves the loop as a fixed point; a group may have two fixed points,
+//! and the module must report both.
 
 use crate::fleet::{Access, ClassLoad, Fleet, Group, Load};
-use crate::queue::{Service, Station, mixed};
+use crate::queue::{ServiceTime, Station, mixed};
 use std::collections::BTreeMap;
 
-/// The utilization from which a station counts as saturated: the queueing formulas end at 1.
+/// The utilization above which a station counts as saturated, because the queueing formulas diverge at 1.
 const MAX_UTILIZATION: f64 = 0.985;
-/// The damped iteration towards the fixed point: its most steps, the part of the way that the first step goes, the
-/// number of steps after which a step is half as long, and the change below which the point counts as reached.
-/// Guards against an iteration that oscillates round a steep point for ever.
+/// The most steps of the damped iteration towards the fixed point. Guards against an iteration that oscillates around
+/// a steep point without end.
 const MAX_ITERATIONS: usize = 400;
+/// The share of the distance to the new value that the first step of the iteration covers.
 const FIRST_STEP: f64 = 0.4;
+/// The number of steps after which a step covers half as much as the first one.
 const STEP_HALVED_AFTER: f64 = 40.0;
+/// The change of a failure share below which the fixed point counts as reached.
 const TOLERANCE: f64 = 1e-6;
-/// Two fixed points whose worth differs by more than this are two states.
+/// Two fixed points count as two states if the shares of the worth that they serve differ by more than this.
 const DISTINCT_STATES: f64 = 0.05;
 
-/// Changes to the fleet and its load, for questions that begin with "what if".
+/// Changes to the fleet and its load, for what-if questions.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scenario {
-    /// All of the load, this many times.
+    /// Multiple of the load of all classes.
     pub load: f64,
-    /// Some classes, this many times.
+    /// Further multiples of the load, by class name.
     pub classes: BTreeMap<String, f64>,
-    /// Applying a write takes this many times as long.
+    /// Multiple of the time that a replica takes to apply a write.
     pub apply: f64,
-    /// What hosts can do, as a share: under 1 while they are cold.
-    pub warmth: f64,
+    /// The share of their capacity that hosts provide: below 1 while they are cold.
+    pub capacity_share: f64,
 }
 
 impl Default for Scenario {
     fn default() -> Scenario {
-        Scenario { load: 1.0, classes: BTreeMap::new(), apply: 1.0, warmth: 1.0 }
+        Scenario { load: 1.0, classes: BTreeMap::new(), apply: 1.0, capacity_share: 1.0 }
     }
 }
 
-/// A resource that may be the first to saturate.
+/// A resource that can saturate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Resource {
-    /// The cores of a group's primary, by its writes.
+    /// The cores of a group's primary, used by writes.
     PrimaryCores,
-    /// All cores of a group.
+    /// The cores of all hosts of a group.
     GroupCores,
-    /// The one thread by which a replica applies the log.
+    /// The single thread by which a replica applies the replication log.
     ApplyThread,
-    /// Connections of a host.
+    /// The connections of a host.
     Connections,
-    /// Cores of the proxies.
+    /// The cores of the proxies.
     ProxyCores,
-    /// What goes between rooms.
-    Crossing,
+    /// The requests between zones.
+    CrossZone,
 }
 
 impl Resource {
-    /// Its name in reports.
+    /// The resource's name in reports.
     pub fn name(self) -> &'static str {
         match self {
             Resource::PrimaryCores => "primary cores",
@@ -63,149 +66,171 @@
             Resource::ApplyThread => "apply thread",
             Resource::Connections => "connections",
             Resource::ProxyCores => "proxy cores",
-            Resource::Crossing => "crossing",
+            Resource::CrossZone => "crossing",
         }
     }
 }
 
-/// The service that one class gets in one group.
+/// The service that one class receives in one group.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Served {
-    /// Its name.
+pub struct ClassService {
+    /// The class's name.
     pub class: String,
-    /// First tries a second.
-    pub asked: f64,
-    /// The share of requests that are served in time, by whichever try.
+    /// First attempts per second.
+    pub rate: f64,
+    /// The share of requests that are served in time, at any attempt.
     pub in_time: f64,
-    /// What each is worth.
+    /// The worth of one request.
     pub worth: f64,
 }
 
 /// One steady state of a group.
 #[derive(Clone, Debug, PartialEq)]
 pub struct State {
-    /// The service that each class gets.
-    pub served: Vec<Served>,
-    /// The utilization of each resource of the group, 1 being its bound.
-    pub busy: Vec<(Resource, f64)>,
-    /// Attempts for each request: 1 where nothing is retried.
+    /// The service of each class.
+    pub classes: Vec<ClassService>,
+    /// The utilization of each resource of the group; 1 is its limit.
+    pub utilizations: Vec<(Resource, f64)>,
+    /// Attempts per request: 1 where nothing is retried.
     pub amplification: f64,
-    /// The share of bounded reads that replicas are too far behind for.
+    /// The share of bounded reads for which replicas lag too far behind.
     pub out_of_bound: f64,
 }
 
 impl State {
-    /// The share of the worth asked for that is served in time.
+    /// The share of the requested worth that is served in time.
     pub fn worth(&self) -> f64 {
-        let asked: f64 = self.served.iter().map(|s| s.asked * s.worth).sum();
-        let got: f64 = self.served.iter().map(|s| s.asked * s.worth * s.in_time).sum();
-        if asked > 0.0 { got / asked } else { 1.0 }
+        let requested: f64 = self.classes.iter().map(|s| s.rate * s.worth).sum();
+        let served: f64 = self.classes.iter().map(|s| s.rate * s.worth * s.in_time).sum();
+        if requested > 0.0 { served / requested } else { 1.0 }
     }
-    /// The lowest share in time of any class that is asked for.
-    pub fn worst(&self) -> f64 {
-        self.served.iter().filter(|s| s.asked > 0.0).map(|s| s.in_time).fold(1.0, f64::min)
+    /// The lowest share served in time among the classes that have any load.
+    pub fn lowest_in_time(&self) -> f64 {
+        self.classes.iter().filter(|s| s.rate > 0.0).map(|s| s.in_time).fold(1.0, f64::min)
     }
 }
 
-/// The steady states of a group: the one reached from no failures, and the one reached from all failing if it differs.
+/// The steady states of a group: the one reached when no request fails at first, and the one reached when all fail at
+/// first, if the two differ.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SteadyStates {
     /// The better state.
     pub better: State,
-    /// The worse one, a metastable state: the group does not leave it by itself.
+    /// The worse state. It is metastable: the group does not leave it by itself.
     pub worse: Option<State>,
 }
 
-/// One class as a group sees it.
+/// The load of one class on a group, and what its clients want.
 struct ClassDemand<'a> {
     name: &'a str,
     access: Access,
-    /// First tries a second in this group.
-    asked: f64,
-    /// Seconds of a core of speed 1.
+    /// First attempts per second in this group.
+    rate: f64,
+    /// Mean time on a core of speed 1, in seconds.
     mean: f64,
     cv2: f64,
+    /// The response time that clients want, in seconds, without the time between zones.
     goal: f64,
+    /// The bound on the age of the data, in seconds.
     bound: f64,
     worth: f64,
+    /// Retries that a client makes.
     retries: u32,
+    /// The share of failed attempts that hosts work on nevertheless.
     wasted: f64,
-    service: Service,
+    /// The time on a core of speed 1.
+    service: ServiceTime,
 }
 
-/// What the hosts of a group can do.
+/// The capacity of a group's hosts, in cores of speed 1 where nothing else is said.
 #[derive(Clone, Copy)]
 struct HostCapacity {
-    primary: f64,
+    /// Cores of the primary that its connections can keep busy.
+    primary_cores: f64,
+    /// Requests that the primary works on at a time.
     primary_servers: u32,
+    /// Number of replicas.
     replicas: u32,
-    /// Cores of all replicas, and the servers of one.
+    /// Cores of all replicas that their connections can keep busy.
     replica_cores: f64,
+    /// Requests that one replica works on at a time.
     replica_servers: u32,
-    /// Speed of a replica's core, for its apply thread.
-    speed: f64,
+    /// Speed of one core of a replica, for its apply thread.
+    replica_speed: f64,
+    /// The fewest connections of any host.
     connections: f64,
-    /// Cores of the primary and of all, however few connections they can be reached by.
-    whole: (f64, f64),
-    /// What the connections of the primary and of all could keep busy.
-    reach: (f64, f64),
+    /// Cores of the primary, whatever its number of connections.
+    primary_all_cores: f64,
+    /// Cores of all hosts, whatever their number of connections.
+    group_all_cores: f64,
+    /// Cores that the connections of the primary could keep busy if it had as many.
+    primary_reachable_cores: f64,
+    /// Cores that the connections of all hosts could keep busy if they had as many.
+    group_reachable_cores: f64,
 }
 
-/// Shares of the groups in the load, by their place.
+/// The share of each group in the load, in the order of `fleet.groups`. The load's own shares take precedence over the
+/// fleet's.
 pub fn group_shares(fleet: &Fleet, load: &Load) -> Vec<f64> {
-    let of =
+    let weight =
         |g: &Group| if load.groups.is_empty() { g.share } else { *load.groups.get(&g.id).unwrap_or(&0.0) };
-    let all: f64 = fleet.groups.iter().map(of).sum();
-    fleet.groups.iter().map(|g| if all > 0.0 { of(g) / all } else { 0.0 }).collect()
+    let total: f64 = fleet.groups.iter().map(weight).sum();
+    fleet.groups.iter().map(|g| if total > 0.0 { weight(g) / total } else { 0.0 }).collect()
 }
 
-fn host_capacity(fleet: &Fleet, group: &Group, warmth: f64) -> HostCapacity {
-    let kind = |name: &str| fleet.kinds.get(name);
-    let mut h = HostCapacity {
-        primary: 0.0,
+fn host_capacity(fleet: &Fleet, group: &Group, capacity_share: f64) -> HostCapacity {
+    let host_type = |name: &str| fleet.kinds.get(name);
+    let mut capacity = HostCapacity {
+        primary_cores: 0.0,
         primary_servers: 1,
         replicas: 0,
         replica_cores: 0.0,
         replica_servers: 1,
-        speed: 1.0,
+        replica_speed: 1.0,
         connections: f64::INFINITY,
-        whole: (0.0, 0.0),
-        reach: (0.0, 0.0),
+        primary_all_cores: 0.0,
+        group_all_cores: 0.0,
+        primary_reachable_cores: 0.0,
+        group_reachable_cores: 0.0,
     };
     for m in &group.members {
-        let Some(k) = kind(&m.kind) else { continue };
-        // A host that holds fewer connections than it has cores keeps only so many busy.
+        let Some(k) = host_type(&m.kind) else { continue };
+        // A host with fewer connections than cores keeps only one core per connection busy.
         let servers = k.cores.min(k.connections);
-        let cores = f64::from(servers) * k.speed * warmth;
-        h.connections = h.connections.min(f64::from(k.connections));
-        let all = |each: u32| f64::from(each) * k.speed * warmth * f64::from(m.count);
-        (h.whole.1, h.reach.1) = (h.whole.1 + all(k.cores), h.reach.1 + all(k.connections));
+        let cores = f64::from(servers) * k.speed * capacity_share;
+        capacity.connections = capacity.connections.min(f64::from(k.connections));
+        let all_hosts = |per_host: u32| f64::from(per_host) * k.speed * capacity_share * f64::from(m.count);
+        capacity.group_all_cores += all_hosts(k.cores);
+        capacity.group_reachable_cores += all_hosts(k.connections);
         if m.primary {
-            (h.whole.0, h.reach.0) = (all(k.cores), all(k.connections));
+            capacity.primary_all_cores = all_hosts(k.cores);
+            capacity.primary_reachable_cores = all_hosts(k.connections);
         }
         if m.primary {
-            (h.primary, h.primary_servers) = (cores, servers);
+            capacity.primary_cores = cores;
+            capacity.primary_servers = servers;
         } else {
-            h.replicas += m.count;
-            h.replica_cores += cores * f64::from(m.count);
-            h.replica_servers = servers;
-            h.speed = k.speed;
+            capacity.replicas += m.count;
+            capacity.replica_cores += cores * f64::from(m.count);
+            capacity.replica_servers = servers;
+            capacity.replica_speed = k.speed;
         }
     }
-    h
+    capacity
 }
 
+/// The demand of each class on a group with this share of the load. Classes that the fleet lacks are left out.
 fn class_demands<'a>(
     fleet: &'a Fleet, load: &'a Load, share: f64, scenario: &Scenario,
 ) -> Vec<ClassDemand<'a>> {
-    let part = |(name, c): (&'a String, &'a ClassLoad)| {
+    let demand = |(name, c): (&'a String, &'a ClassLoad)| {
         let class = fleet.classes.get(name)?;
-        let times = scenario.load * scenario.classes.get(name).copied().unwrap_or(1.0);
+        let multiple = scenario.load * scenario.classes.get(name).copied().unwrap_or(1.0);
         let mean = c.mean_ms / 1e3;
         Some(ClassDemand {
             name,
             access: class.access,
-            asked: c.per_s * share * times,
+            rate: c.per_s * share * multiple,
             mean,
             cv2: c.cv2,
             goal: (class.goal_ms - 2.0 * fleet.crossing.ms * fleet.crossing.share).max(0.1) / 1e3,
@@ -213,177 +238,217 @@
             worth: class.worth,
             retries: class.retries,
             wasted: class.wasted,
-            service: Service::new(mean, c.cv2),
+            service: ServiceTime::new(mean, c.cv2),
         })
     };
-    load.classes.iter().filter_map(part).collect()
+    load.classes.iter().filter_map(demand).collect()
 }
 
 /// The result of one step of the iteration.
 struct Iteration {
-    fails: Vec<f64>,
-    busy: Vec<(Resource, f64)>,
+    /// The share of attempts that fail, by class.
+    failure_shares: Vec<f64>,
+    utilizations: Vec<(Resource, f64)>,
     out_of_bound: f64,
 }
 
-/// The attempts a second of a class where this share of them fails, and those of them that hosts work on: of failed
-/// attempts only the wasted part.
-fn attempt_rates(p: &ClassDemand, fails: f64) -> (f64, f64) {
-    let all: f64 = (0..=p.retries).map(|k| fails.powi(k as i32)).sum();
-    (p.asked * all, p.asked * all * (1.0 - fails + fails * p.wasted))
+/// The attempts per second of a class of whose attempts this share fails, and the attempts per second that hosts work
+/// on: of the failed attempts only the wasted share.
+fn attempt_rates(demand: &ClassDemand, failure_share: f64) -> (f64, f64) {
+    let attempts: f64 = (0..=demand.retries).map(|k| failure_share.powi(k as i32)).sum();
+    (demand.rate * attempts, demand.rate * attempts * (1.0 - failure_share + failure_share * demand.wasted))
 }
 
-fn iterate(parts: &[ClassDemand], h: &HostCapacity, apply: f64, fails: &[f64]) -> Iteration {
-    let worked: Vec<f64> = parts.iter().zip(fails).map(|(p, f)| attempt_rates(p, *f).1).collect();
-    let writes: f64 =
-        parts.iter().zip(&worked).filter(|(p, _)| p.access == Access::Write).map(|(_, r)| *r).sum();
-    // A replica that is cold applies no slower: the thread is one, and the log comes first.
-    let log = Station { servers: 1, rate: writes, mean: apply / h.speed, cv2: 1.0 };
-    let lag = Service::new(log.mean, 0.5);
-    let behind = |p: &ClassDemand| match p.access {
-        Access::Bounded if h.replicas == 0 || log.utilisation() >= MAX_UTILIZATION => 1.0,
-        Access::Bounded if apply > 0.0 => log.late(&lag, p.bound),
+/// One step: the failure shares that follow where attempts fail at the given shares. `apply` is the time that a replica
+/// of speed 1 takes to apply a write, in seconds.
+fn iterate(
+    demands: &[ClassDemand], capacity: &HostCapacity, apply: f64, failure_shares: &[f64],
+) -> Iteration {
+    let worked_rates: Vec<f64> =
+        demands.iter().zip(failure_shares).map(|(p, f)| attempt_rates(p, *f).1).collect();
+    let write_rate: f64 =
+        demands.iter().zip(&worked_rates).filter(|(p, _)| p.access == Access::Write).map(|(_, r)| *r).sum();
+    // A cold replica applies at full speed: a single thread applies the log, and the log has precedence.
+    let log = Station { servers: 1, rate: write_rate, mean: apply / capacity.replica_speed, cv2: 1.0 };
+    let apply_time = ServiceTime::new(log.mean, 0.5);
+    let share_out_of_bound = |p: &ClassDemand| match p.access {
+        Access::Bounded if capacity.replicas == 0 || log.utilization() >= MAX_UTILIZATION => 1.0,
+        Access::Bounded if apply > 0.0 => log.response_exceeds(&apply_time, p.bound),
         _ => 0.0,
     };
-    let out: Vec<f64> = parts.iter().map(behind).collect();
-    // What only the primary may do, and what any may.
-    let (mut bound, mut free) = (0.0, 0.0);
-    for ((p, r), o) in parts.iter().zip(&worked).zip(&out) {
+    let shares_out_of_bound: Vec<f64> = demands.iter().map(share_out_of_bound).collect();
+    // Work, in busy cores of speed 1, that only the primary may do, and work that any host may do.
+    let (mut primary_only, mut any_host) = (0.0, 0.0);
+    for ((p, r), o) in demands.iter().zip(&worked_rates).zip(&shares_out_of_bound) {
         let work = r * p.mean;
         match p.access {
-            Access::Write => bound += work,
+            Access::Write => primary_only += work,
             Access::Bounded | Access::Any => {
-                bound += work * o;
-                free += work * (1.0 - o);
+                primary_only += work * o;
+                any_host += work * (1.0 - o);
             }
         }
     }
-    let (cp, cr) = (h.primary.max(1e-9), h.replica_cores);
-    // Replicas first; the primary takes what makes both equally busy.
-    let at_primary = if cr > 0.0 { ((free * cp - cr * bound) / (cr + cp)).clamp(0.0, free) } else { free };
-    let split = if free > 0.0 { at_primary / free } else { 0.0 };
+    let (primary_cores, replica_cores) = (capacity.primary_cores.max(1e-9), capacity.replica_cores);
+    // Replicas take this work first; the primary takes the part that makes both equally busy.
+    let at_primary = if replica_cores > 0.0 {
+        ((any_host * primary_cores - replica_cores * primary_only) / (replica_cores + primary_cores))
+            .clamp(0.0, any_host)
+    } else {
+        any_host
+    };
+    let split = if any_host > 0.0 { at_primary / any_host } else { 0.0 };
     let primary_share =
         |p: &ClassDemand, o: f64| if p.access == Access::Write { 1.0 } else { o + (1.0 - o) * split };
     let speed = |cores: f64, servers: u32| cores / f64::from(servers.max(1));
-    let (sp, sr) =
-        (speed(cp, h.primary_servers), speed(cr / f64::from(h.replicas.max(1)), h.replica_servers).max(1e-9));
-    let each = || parts.iter().zip(&worked).zip(&out);
+    let (primary_server_speed, replica_server_speed) = (
+        speed(primary_cores, capacity.primary_servers),
+        speed(replica_cores / f64::from(capacity.replicas.max(1)), capacity.replica_servers).max(1e-9),
+    );
+    let each_class = || demands.iter().zip(&worked_rates).zip(&shares_out_of_bound);
     let primary = mixed(
-        h.primary_servers,
-        each().map(|((p, r), &o)| (r * primary_share(p, o), p.mean / sp.max(1e-9), p.cv2)),
+        capacity.primary_servers,
+        each_class()
+            .map(|((p, r), &o)| (r * primary_share(p, o), p.mean / primary_server_speed.max(1e-9), p.cv2)),
     );
     let replica = mixed(
-        h.replica_servers,
-        each().map(|((p, r), &o)| {
-            (r * (1.0 - primary_share(p, o)) / f64::from(h.replicas.max(1)), p.mean / sr, p.cv2)
+        capacity.replica_servers,
+        each_class().map(|((p, r), &o)| {
+            (
+                r * (1.0 - primary_share(p, o)) / f64::from(capacity.replicas.max(1)),
+                p.mean / replica_server_speed,
+                p.cv2,
+            )
         }),
     );
-    let late = |station: &Station, p: &ClassDemand, speed: f64| {
-        let rho = station.utilisation();
-        // Beyond what it can do the newest go first, so that what it does is in time, and the rest is not.
-        let (kept, station) = if rho > MAX_UTILIZATION {
+    let failure_share = |station: &Station, p: &ClassDemand, speed: f64| {
+        let rho = station.utilization();
+        // An overloaded host serves the newest requests first: those that it serves are in time, the others fail.
+        let (served_share, station) = if rho > MAX_UTILIZATION {
             (MAX_UTILIZATION / rho, Station { rate: station.rate * MAX_UTILIZATION / rho, ..*station })
         } else {
             (1.0, *station)
         };
-        // A slower core stretches the service: the goal shrinks instead.
-        let on_time = 1.0 - late_share(&station, p, speed);
-        1.0 - kept * on_time
+        // A slower core lengthens the service time; `late_share` shortens the goal instead, which is the same.
+        let in_time = 1.0 - late_share(&station, p, speed);
+        1.0 - served_share * in_time
     };
-    let fails = each()
+    let failure_shares = each_class()
         .map(|((p, _), &o)| {
             let share = primary_share(p, o);
-            let at_replica = if share < 1.0 { late(&replica, p, sr) } else { 0.0 };
-            share * late(&primary, p, sp) + (1.0 - share) * at_replica
+            let at_replica = if share < 1.0 { failure_share(&replica, p, replica_server_speed) } else { 0.0 };
+            share * failure_share(&primary, p, primary_server_speed) + (1.0 - share) * at_replica
         })
         .collect();
-    let written: f64 =
-        parts.iter().zip(&worked).filter(|(p, _)| p.access == Access::Write).map(|(p, r)| p.mean * r).sum();
-    let in_host = |s: &Station| {
+    let write_work: f64 = demands
+        .iter()
+        .zip(&worked_rates)
+        .filter(|(p, _)| p.access == Access::Write)
+        .map(|(p, r)| p.mean * r)
+        .sum();
+    // The mean number of requests that wait or are in service at a host, by Little's law.
+    let requests_in_host = |s: &Station| {
         let s = Station {
-            rate: s.rate.min(s.rate * MAX_UTILIZATION / s.utilisation().max(MAX_UTILIZATION)),
+            rate: s.rate.min(s.rate * MAX_UTILIZATION / s.utilization().max(MAX_UTILIZATION)),
             ..*s
         };
         s.rate * (s.mean_wait().min(1e6) + s.mean)
     };
-    let mut busy = vec![
-        (Resource::PrimaryCores, written / cp),
-        (Resource::GroupCores, (bound + free) / (cp + cr)),
-        (Resource::Connections, in_host(&primary).max(in_host(&replica)) / h.connections),
+    let mut utilizations = vec![
+        (Resource::PrimaryCores, write_work / primary_cores),
+        (Resource::GroupCores, (primary_only + any_host) / (primary_cores + replica_cores)),
+        (
+            Resource::Connections,
+            requests_in_host(&primary).max(requests_in_host(&replica)) / capacity.connections,
+        ),
     ];
-    if h.replicas > 0 {
-        busy.push((Resource::ApplyThread, log.utilisation()));
+    if capacity.replicas > 0 {
+        utilizations.push((Resource::ApplyThread, log.utilization()));
     }
-    let bounded: Vec<f64> =
-        parts.iter().zip(&out).filter(|(p, _)| p.access == Access::Bounded).map(|(_, o)| *o).collect();
+    let bounded: Vec<f64> = demands
+        .iter()
+        .zip(&shares_out_of_bound)
+        .filter(|(p, _)| p.access == Access::Bounded)
+        .map(|(_, o)| *o)
+        .collect();
     let out_of_bound = bounded.iter().copied().fold(0.0, f64::max);
-    Iteration { fails, busy, out_of_bound }
+    Iteration { failure_shares, utilizations, out_of_bound }
 }
 
-fn late_share(station: &Station, p: &ClassDemand, speed: f64) -> f64 {
-    // In units of this host's core.
-    let unit = Station { mean: station.mean * speed, rate: station.rate / speed, ..*station };
-    unit.late(&p.service, p.goal * speed)
+/// The share of responses of a class that exceed its goal at a station whose cores have this speed.
+fn late_share(station: &Station, demand: &ClassDemand, speed: f64) -> f64 {
+    // Times are converted to those of a core of speed 1, in which the class's service time is given.
+    let unit_speed = Station { mean: station.mean * speed, rate: station.rate / speed, ..*station };
+    unit_speed.response_exceeds(&demand.service, demand.goal * speed)
 }
 
-fn find_fixed_point(parts: &[ClassDemand], h: &HostCapacity, apply: f64, from: f64) -> State {
-    let mut fails = vec![from; parts.len()];
-    let mut last = iterate(parts, h, apply, &fails);
+/// The steady state that a damped iteration reaches from this failure share of all classes.
+fn find_fixed_point(demands: &[ClassDemand], capacity: &HostCapacity, apply: f64, initial: f64) -> State {
+    let mut failure_shares = vec![initial; demands.len()];
+    let mut last = iterate(demands, capacity, apply, &failure_shares);
     for step in 0..MAX_ITERATIONS {
-        let part = FIRST_STEP / (1.0 + step as f64 / STEP_HALVED_AFTER);
-        let moved = fails.iter().zip(&last.fails).map(|(a, b)| (a - b).abs()).fold(0.0, f64::max);
-        fails.iter_mut().zip(&last.fails).for_each(|(a, b)| *a += part * (b - *a));
-        last = iterate(parts, h, apply, &fails);
-        if moved < TOLERANCE {
+        let damping = FIRST_STEP / (1.0 + step as f64 / STEP_HALVED_AFTER);
+        let largest_change =
+            failure_shares.iter().zip(&last.failure_shares).map(|(a, b)| (a - b).abs()).fold(0.0, f64::max);
+        failure_shares.iter_mut().zip(&last.failure_shares).for_each(|(a, b)| *a += damping * (b - *a));
+        last = iterate(demands, capacity, apply, &failure_shares);
+        if largest_change < TOLERANCE {
             break;
         }
     }
-    let (mut first, mut all) = (0.0, 0.0);
-    let served = parts.iter().zip(&fails).map(|(p, f)| {
-        first += p.asked;
-        all += attempt_rates(p, *f).0;
+    let (mut first_attempts, mut attempts) = (0.0, 0.0);
+    let classes = demands.iter().zip(&failure_shares).map(|(p, f)| {
+        first_attempts += p.rate;
+        attempts += attempt_rates(p, *f).0;
         let in_time = 1.0 - f.powi(p.retries as i32 + 1);
-        Served { class: p.name.to_string(), asked: p.asked, in_time, worth: p.worth }
+        ClassService { class: p.name.to_string(), rate: p.rate, in_time, worth: p.worth }
     });
-    let served = served.collect();
-    let amplification = if first > 0.0 { all / first } else { 1.0 };
-    State { served, busy: last.busy, amplification, out_of_bound: last.out_of_bound }
+    let classes = classes.collect();
+    let amplification = if first_attempts > 0.0 { attempts / first_attempts } else { 1.0 };
+    State { classes, utilizations: last.utilizations, amplification, out_of_bound: last.out_of_bound }
 }
 
 /// The steady states of a group under its share of a load.
 pub fn steady_states(
     fleet: &Fleet, group: &Group, load: &Load, share: f64, scenario: &Scenario,
 ) -> SteadyStates {
-    let parts = class_demands(fleet, load, share, scenario);
-    let h = host_capacity(fleet, group, scenario.warmth);
+    let demands = class_demands(fleet, load, share, scenario);
+    let capacity = host_capacity(fleet, group, scenario.capacity_share);
     let apply = load.apply_ms / 1e3 * scenario.apply;
-    let better = find_fixed_point(&parts, &h, apply, 0.0);
-    let worse = find_fixed_point(&parts, &h, apply, 1.0);
-    let apart = (better.worth() - worse.worth()).abs() > DISTINCT_STATES;
-    SteadyStates { better, worse: apart.then_some(worse) }
+    let better = find_fixed_point(&demands, &capacity, apply, 0.0);
+    let worse = find_fixed_point(&demands, &capacity, apply, 1.0);
+    let distinct = (better.worth() - worse.worth()).abs() > DISTINCT_STATES;
+    SteadyStates { better, worse: distinct.then_some(worse) }
 }
 
-/// The utilization of each resource without queues, failures or retries: what is in proportion to the load.
+/// The utilization of each resource without queues, failures or retries. It is proportional to the load.
 pub fn utilizations(
     fleet: &Fleet, group: &Group, load: &Load, share: f64, scenario: &Scenario,
 ) -> Vec<(Resource, f64)> {
-    let parts = class_demands(fleet, load, share, scenario);
-    let h = host_capacity(fleet, group, scenario.warmth);
-    let work = |wanted: fn(Access) -> bool| -> f64 {
-        parts.iter().filter(|p| wanted(p.access)).map(|p| p.asked * p.mean).sum()
+    let demands = class_demands(fleet, load, share, scenario);
+    let capacity = host_capacity(fleet, group, scenario.capacity_share);
+    let work = |selected: fn(Access) -> bool| -> f64 {
+        demands.iter().filter(|p| selected(p.access)).map(|p| p.rate * p.mean).sum()
     };
-    let written = work(|n| n == Access::Write);
-    let writes: f64 = parts.iter().filter(|p| p.access == Access::Write).map(|p| p.asked).sum();
-    let all = work(|_| true);
-    let part = |work: f64, of: f64| work / of.max(1e-9);
+    let write_work = work(|n| n == Access::Write);
+    let write_rate: f64 = demands.iter().filter(|p| p.access == Access::Write).map(|p| p.rate).sum();
+    let all_work = work(|_| true);
+    let utilization = |work: f64, cores: f64| work / cores.max(1e-9);
     let mut out = vec![
-        (Resource::PrimaryCores, part(written, h.whole.0)),
-        (Resource::GroupCores, part(all, h.whole.1)),
-        // All in service and none waiting: a host cannot hold fewer.
-        (Resource::Connections, part(written, h.reach.0).max(part(all, h.reach.1))),
+        (Resource::PrimaryCores, utilization(write_work, capacity.primary_all_cores)),
+        (Resource::GroupCores, utilization(all_work, capacity.group_all_cores)),
+        // Each request in service holds a connection, and none waits: a host cannot use fewer connections.
+        (
+            Resource::Connections,
+            utilization(write_work, capacity.primary_reachable_cores)
+                .max(utilization(all_work, capacity.group_reachable_cores)),
+        ),
     ];
-    if h.replicas > 0 {
-        out.push((Resource::ApplyThread, writes * load.apply_ms / 1e3 * scenario.apply / h.speed));
+    if capacity.replicas > 0 {
+        out.push((
+            Resource::ApplyThread,
+            write_rate * load.apply_ms / 1e3 * scenario.apply / capacity.replica_speed,
+        ));
     }
     out
 }
--- a/crates/plan/src/queue.rs
+++ b/crates/plan/src/queue.rs
@@ -1,93 +1,98 @@
-//! Queues of several servers: how long work waits and how likely it is late. It owns the formulas and names where
-//! they are from. It must never be asked about more load than the servers can do: then the wait has no end.
+//! Formulas for queues with several servers: the mean wait, and the probability that a response is late. Each formula
+//! names its source. The module calls only the normal distribution of `statrs`. It must not be asked for waiting times
+//! at a load above the servers' capacity, where the wait is unbounded.
 
 use statrs::distribution::{ContinuousCDF, Normal};
 use std::sync::LazyLock;
 
-/// Quantiles of the service time over which a response time's tail is summed.
+/// Number of quantiles of the service time over which the tail of the response time is averaged.
 const QUANTILES: usize = 32;
 
-/// The standard normal's quantiles at the middles of equal parts: made once, since inverting takes longer than all
-/// else here.
-static NORMAL: LazyLock<[f64; QUANTILES]> = LazyLock::new(|| {
+/// Quantiles of the standard normal distribution at the midpoints of `QUANTILES` equal parts. Computed once, because
+/// the inversion takes longer than everything else in this module.
+static NORMAL_QUANTILES: LazyLock<[f64; QUANTILES]> = LazyLock::new(|| {
     let normal = Normal::standard();
     std::array::from_fn(|i| normal.inverse_cdf((i as f64 + 0.5) / QUANTILES as f64))
 });
 
-/// Work that comes at random to servers that share one queue. Times are in seconds.
+/// Several servers that share one queue, with random (Poisson) arrivals. Times are in seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Station {
-    /// How many servers.
+    /// Number of servers.
     pub servers: u32,
-    /// Arrivals a second.
+    /// Arrivals per second.
     pub rate: f64,
-    /// The mean service time.
+    /// Mean service time.
     pub mean: f64,
-    /// The squared coefficient of variation of service times: 0 where all are alike, 1 where exponential.
+    /// Squared coefficient of variation of the service time: 0 for constant times, 1 for exponential ones.
     pub cv2: f64,
 }
 
 impl Station {
-    /// The share of the servers that is busy; over 1 where work comes faster than it goes.
-    pub fn utilisation(&self) -> f64 {
+    /// The utilization of the servers; above 1 where work arrives faster than they complete it.
+    pub fn utilization(&self) -> f64 {
         self.rate * self.mean / f64::from(self.servers.max(1))
     }
 
-    /// The chance that work has to wait, by Erlang's C formula (Erlang 1917), from his B by recursion.
-    pub fn waits(&self) -> f64 {
-        let (offered, rho) = (self.rate * self.mean, self.utilisation());
+    /// The probability that an arrival has to wait, by Erlang's C formula (Erlang 1917). C is computed from Erlang's B,
+    /// the blocking probability, which is computed by recursion over the number of servers.
+    pub fn wait_probability(&self) -> f64 {
+        let (offered, rho) = (self.rate * self.mean, self.utilization());
         if rho >= 1.0 {
             return 1.0;
         }
-        let blocked = (1..=self.servers.max(1)).fold(1.0, |b, k| offered * b / (f64::from(k) + offered * b));
-        blocked / (1.0 - rho * (1.0 - blocked))
+        let blocking = (1..=self.servers.max(1)).fold(1.0, |b, k| offered * b / (f64::from(k) + offered * b));
+        blocking / (1.0 - rho * (1.0 - blocking))
     }
 
-    /// The mean wait: that of M/M/c times (1 + cv^2) / 2, after Lee and Longton (1959); exact for one server
+    /// The mean wait: that of M/M/c multiplied by (1 + cv^2) / 2, after Lee and Longton (1959). Exact for one server
     /// (Pollaczek and Khinchine).
     pub fn mean_wait(&self) -> f64 {
-        let rho = self.utilisation();
+        let rho = self.utilization();
         if rho >= 1.0 {
             return f64::INFINITY;
         }
-        let exponential = self.waits() * self.mean / (f64::from(self.servers.max(1)) * (1.0 - rho));
+        let exponential =
+            self.wait_probability() * self.mean / (f64::from(self.servers.max(1)) * (1.0 - rho));
         exponential * (1.0 + self.cv2) / 2.0
     }
 
-    /// The chance to wait longer than this: exponential for those who wait at all, with their mean.
-    pub fn waits_longer(&self, t: f64) -> f64 {
+    /// The probability of a wait longer than `t`. The wait of those arrivals that wait at all is taken as exponential
+    /// with their mean.
+    pub fn wait_exceeds(&self, t: f64) -> f64 {
         if t < 0.0 {
             return 1.0;
         }
-        let waits = self.waits();
-        if waits <= 0.0 {
+        let wait_probability = self.wait_probability();
+        if wait_probability <= 0.0 {
             return 0.0;
         }
-        if self.utilisation() >= 1.0 {
+        if self.utilization() >= 1.0 {
             return 1.0;
         }
-        waits * (-t * waits / self.mean_wait()).exp()
+        wait_probability * (-t * wait_probability / self.mean_wait()).exp()
     }
 
-    /// The chance that a response to work of this service time takes longer than `t`.
-    pub fn late(&self, service: &Service, t: f64) -> f64 {
-        let each = service.quantiles();
-        each.iter().map(|s| self.waits_longer(t - s)).sum::<f64>() / each.len() as f64
+    /// The probability that a response to work with this service time takes longer than `t`: the mean over the
+    /// quantiles of the service time.
+    pub fn response_exceeds(&self, service: &ServiceTime, t: f64) -> f64 {
+        let quantiles = service.quantiles();
+        quantiles.iter().map(|s| self.wait_exceeds(t - s)).sum::<f64>() / quantiles.len() as f64
     }
 }
 
-/// The service times of one kind of work, lognormal.
+/// The lognormal service time of one kind of work, as quantiles in seconds.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Service {
+pub struct ServiceTime {
     quantiles: [f64; QUANTILES],
 }
 
-impl Service {
-    /// Service times with this mean, in seconds, and squared coefficient of variation.
-    pub fn new(mean: f64, cv2: f64) -> Service {
+impl ServiceTime {
+    /// A service time with this mean, in seconds, and this squared coefficient of variation.
+    pub fn new(mean: f64, cv2: f64) -> ServiceTime {
         let sigma2 = (1.0 + cv2.max(0.0)).ln();
         let (mu, sigma) = (mean.max(1e-9).ln() - sigma2 / 2.0, sigma2.sqrt());
-        Service { quantiles: NORMAL.map(|z| (mu + sigma * z).exp()) }
+        ServiceTime { quantiles: NORMAL_QUANTILES.map(|z| (mu + sigma * z).exp()) }
     }
 
     fn quantiles(&self) -> &[f64] {
@@ -95,15 +100,16 @@
     }
 }
 
-/// Two or more kinds of work as one: rates add, means weigh by rate, second moments too.
+/// Combines several kinds of work, each given as (rate, mean, cv2), into one station: the rates add up, and the first
+/// and second moments of the service time are weighted by rate.
 pub fn mixed(servers: u32, parts: impl Iterator<Item = (f64, f64, f64)>) -> Station {
-    let (mut rate, mut first, mut second) = (0.0, 0.0, 0.0);
-    for (r, mean, cv2) in parts.filter(|p| p.0 > 0.0) {
-        rate += r;
-        first += r * mean;
-        second += r * mean * mean * (1.0 + cv2);
+    let (mut rate, mut first_moment, mut second_moment) = (0.0, 0.0, 0.0);
+    for (part_rate, mean, cv2) in parts.filter(|p| p.0 > 0.0) {
+        rate += part_rate;
+        first_moment += part_rate * mean;
+        second_moment += part_rate * mean * mean * (1.0 + cv2);
     }
-    let mean = if rate > 0.0 { first / rate } else { 0.0 };
-    let cv2 = if mean > 0.0 { (second / rate / (mean * mean) - 1.0).max(0.0) } else { 0.0 };
+    let mean = if rate > 0.0 { first_moment / rate } else { 0.0 };
+    let cv2 = if mean > 0.0 { (second_moment / rate / (mean * mean) - 1.0).max(0.0) } else { 0.0 };
     Station { servers, rate, mean, cv2 }
 }
