--- a/crates/plan/src/answers.rs
+++ b/crates/plan/src/answers.rs
@@ -21,7 +21,7 @@
     pub low: f64,
     /// The upper end of the interval.
     pub high: f64,
-    /// The input to which it is most sensitive.
+    /// The input to which the figure is most sensitive.
     pub hangs_on: String,
 }
 
@@ -100,8 +100,8 @@
     classes.chain([Input::ApplyTime, Input::CoreSpeed, Input::ProxyTime]).collect()
 }
 
-/// Computes a figure with its interval. Each input is scaled by its error on its own; the interval's ends are the roots
-/// of the sums of the squared changes.
+/// Computes a figure with its interval. Each input is scaled up and down by its error on its own. The interval
+/// reaches below and above the value by the root of the sum of the squared decreases and increases.
 fn figure(fleet: &Fleet, load: &Load, compute: impl Fn(&Fleet, &Load) -> f64) -> Figure {
     let value = compute(fleet, load);
     let (mut down_squares, mut up_squares) = (0.0, 0.0);
@@ -190,8 +190,8 @@
 /// none. `group` is an index into `fleet.groups`.
 pub fn max_load_multiple(fleet: &Fleet, load: &Load, group: usize, goal: f64, scenario: &Scenario) -> f64 {
     let share = group_shares(fleet, load)[group];
-    let met = |times: f64| {
-        let scenario = Scenario { load: scenario.load * times, ..scenario.clone() };
+    let met = |multiple: f64| {
+        let scenario = Scenario { load: scenario.load * multiple, ..scenario.clone() };
         steady_states(fleet, &fleet.groups[group], load, share, &scenario).better.lowest_in_time() >= goal
     };
     if !met(1e-3) {
@@ -277,7 +277,7 @@
     pub high: Option<u32>,
     /// Where no number of replicas meets the goal: the reason.
     pub bound_by: Option<String>,
-    /// The input to which it is most sensitive.
+    /// The input to which `needs` is most sensitive.
     pub hangs_on: String,
 }
 
--- a/crates/planner/src/main.rs
+++ b/crates/planner/src/main.rs
@@ -181,7 +181,7 @@
         seconds = if side_by_side { seconds.max(sum.seconds) } else { seconds + sum.seconds };
         for (name, t) in sum.classes {
             let c = classes.entry(name).or_default();
-            // The number of arrivals, the first and second moments weighted by samples, and the number of samples.
+            // The arrivals, the first and second moments of the service time (weighted by samples), and the samples.
             c.0 += t.arrived as f64;
             c.1 += t.mean_us * t.samples as f64;
             c.2 += t.mean_us * t.mean_us * (1.0 + t.cv2) * t.samples as f64;
@@ -190,14 +190,16 @@
         sum.groups.iter().for_each(|(g, n)| *groups.entry(*g).or_default() += *n as f64);
     }
     if seconds <= 0.0 {
-        return Err(one_error("the captures hold no time at all"));
+        return Err(one_error("the captures cover no time"));
     }
-    let load = classes.into_iter().filter(|c| c.1.3 > 0).map(|(name, (count, first, second, samples))| {
-        let n = samples as f64;
-        let mean = first / n;
-        let cv2 = (second / n / (mean * mean) - 1.0).max(0.0);
-        (name, ClassLoad { per_s: count / seconds, mean_ms: mean / 1e3, cv2, samples })
-    });
+    let load = classes.into_iter().filter(|c| c.1.3 > 0).map(
+        |(name, (arrivals, first_moment, second_moment, samples))| {
+            let n = samples as f64;
+            let mean = first_moment / n;
+            let cv2 = (second_moment / n / (mean * mean) - 1.0).max(0.0);
+            (name, ClassLoad { per_s: arrivals / seconds, mean_ms: mean / 1e3, cv2, samples })
+        },
+    );
     Ok(Load { seconds, classes: load.collect(), apply_ms: 0.0, groups })
 }
 
@@ -226,7 +228,7 @@
         for text in &self.class {
             let parsed = text.split_once('=').and_then(|(n, t)| Some((n, t.parse::<f64>().ok()?)));
             let (name, times) =
-                parsed.ok_or_else(|| one_error(format!("--class {text:?} is no NAME=TIMES")))?;
+                parsed.ok_or_else(|| one_error(format!("--class {text:?}: expected NAME=TIMES")))?;
             if !load.classes.contains_key(name) {
                 return Err(one_error(format!("--class {text:?}: the load has no such class")));
             }
@@ -234,7 +236,9 @@
         }
         let is_valid = |x: f64| x.is_finite() && x > 0.0;
         if !is_valid(self.times) || !is_valid(self.apply) || !(0.0..1.0).contains(&self.goal) {
-            return Err(one_error("--times and --apply are over 0, --goal is under 1"));
+            return Err(one_error(
+                "--times and --apply must be greater than 0, and --goal must be at least 0 and below 1",
+            ));
         }
         Ok(Input { fleet, load, scenario, notes })
     }
@@ -448,7 +452,10 @@
     }
     match fault {
         Some(fault) => {
-            eprintln!("sillfold-plan: {}: {fault}; what is before is whole", file.display());
+            eprintln!(
+                "sillfold-plan: {}: {fault}; the summary covers the records before the damage",
+                file.display()
+            );
             Ok(ExitCode::FAILURE)
         }
         None => Ok(ExitCode::SUCCESS),
