--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Build, test, lint, run and measure; `make run` wants LB_CONFIG to name a configuration file.
+# Targets to build, test, lint, run, fuzz and measure. `make run` needs a configuration file, which LB_CONFIG names.
 .PHONY: build test lint run demo fuzz measure
 
 build:
@@ -14,14 +14,15 @@
 run: build
 	exec target/release/sillfold
 
-# Stand-in hosts, discovery and the proxy, and a line to ask it by.
+# Starts stand-in hosts, discovery and the proxy, and prints how to query it.
 demo:
 	cargo build --release --locked --workspace
 	exec target/release/sillfold-lab demo
 
-# Any bytes as a statement, for so many seconds; coverage by the compiler's own pass.
+# Fuzzes the parser of statements with arbitrary bytes for FUZZ_SECONDS seconds. The coverage instrumentation is the
+# compiler's own pass.
 FUZZ_SECONDS ?= 60
-# Naming the target keeps the flags off build scripts.
+# With an explicit --target, Cargo does not apply the flags to build scripts.
 HOST = $(shell rustc -vV | sed -n 's/^host: //p')
 FUZZ_FLAGS = -Cpasses=sancov-module -Cllvm-args=-sanitizer-coverage-level=4 \
 	-Cllvm-args=-sanitizer-coverage-inline-8bit-counters -Cllvm-args=-sanitizer-coverage-pc-table
@@ -31,7 +32,7 @@
 	grep -v '^#' crates/sql/tests/corpus.txt | sed 's/^[a-z]* | [^|]* | //' | split -l 1 - target/fuzz/corpus/s
 	target/fuzz/$(HOST)/release/sillfold-sql-fuzz -max_total_time=$(FUZZ_SECONDS) -max_len=4096 target/fuzz/corpus
 
-# What docs/statements.md quotes.
+# Measures the figures that docs/statements.md quotes.
 measure:
 	cargo build --release --locked --workspace
 	target/release/sillfold-lab statements
