--- a/src/net/admission.rs
+++ b/src/net/admission.rs
@@ -78,9 +78,9 @@
     ended: (Sender<()>, Receiver<()>),
 }
 
-/// The connections without an open request: since when each is idle, and how it is told to end. Connections that never sent
-/// a request that a host could answer are kept apart. Guards against many clients that open sessions, send one message and
-/// stay, and would count as normal clients between requests.
+/// The connections without an open request: since when each is idle, and the sender that notifies it to end. Connections
+/// that never sent a request that a host could answer are kept apart. Guards against many clients that open sessions, send
+/// one message and stay, and would count as normal clients between requests.
 #[derive(Default)]
 struct IdleConnections {
     without_request: BTreeMap<(Instant, u64), Sender<()>>,
@@ -279,7 +279,7 @@
             longest_idle_since(true).filter(|&since| world::since(since) >= IDLE_TIMEOUT_CROWDED);
         let had_request = match longest_idle_since(false) {
             Some(since) if world::since(since) >= NO_REQUEST_TIMEOUT || between_requests.is_none() => {
-                // The wait is short even for a crowd of such connections: their times run out together.
+                // The wait is short even for a crowd of such connections: their timeouts end at the same time.
                 world::at(since + NO_REQUEST_TIMEOUT).await;
                 false
             }
@@ -362,7 +362,7 @@
         let admission = self.clone();
         let close_idle = async move {
             world::at(since + DRAIN_CLOSE_IDLE).await;
-            // Unless the drain was called off, or started anew, meanwhile.
+            // The drain may have been called off, or started anew, meanwhile.
             if admission.draining.get() == Some(since) {
                 admission.closing_idle.borrow().0.close();
             }
@@ -394,7 +394,8 @@
         self.replaced.set(true);
     }
 
-    /// Ends the stop's time: open requests, and requests on open connections, get their final answers at once.
+    /// Records that the time allowed for the stop is over: open requests, and requests on open connections, get their final
+    /// answers at once.
     pub fn cut_off(&self) {
         self.cut_off.0.close();
     }
--- a/src/net/client.rs
+++ b/src/net/client.rs
@@ -187,7 +187,7 @@
     Some(retry_in.div_ceil(1_000)).filter(|&ms| ms > 0)
 }
 
-/// Whether the text holds no statement.
+/// Whether the text holds no statement, only surrounding white space and trailing semicolons.
 fn is_empty(text: &str) -> bool {
     text.trim().trim_end_matches(';').is_empty()
 }
@@ -238,6 +238,7 @@
     own_writes: OwnWrites,
     /// Whether the session is in a transaction block that was refused.
     transaction: TransactionState,
+    /// Of the plain statement that was served last.
     commit_and_duration: CommitAndDuration,
 }
 
--- a/src/net/core.rs
+++ b/src/net/core.rs
@@ -173,7 +173,7 @@
 /// The decision module, and what its events and actions are translated with.
 struct Inner {
     router: Router,
-    /// Kept empty between events, for its allocation.
+    /// Empty between events; kept so that its allocation is reused.
     actions: Vec<Action>,
     open: BTreeMap<RequestId, OpenRequest>,
     last_id: RequestId,
@@ -537,7 +537,7 @@
     }
 
     /// Forgets the hosts that left the list long ago, and returns their ids. Guards against memory that grows without
-    /// bound where hosts are replaced by new ones again and again.
+    /// bound where hosts are often replaced by new ones.
     pub fn forget_removed_hosts(&self) -> Vec<HostId> {
         let now = self.clock.now();
         let mut inner = self.inner.borrow_mut();
@@ -652,7 +652,7 @@
 }
 
 impl Inner {
-    /// Keeps since when hosts have been missing from the list.
+    /// Records when hosts left the list, and removes the record of hosts that are listed again.
     fn track_removed(&mut self, entries: &[HostEntry], full: bool, now: Micros) {
         let named: BTreeSet<HostId> = entries.iter().map(|e| e.host).collect();
         let missing = self.names.keys().filter(|id| full && !named.contains(id));
--- a/src/net/request.rs
+++ b/src/net/request.rs
@@ -196,8 +196,9 @@
     host: HostId,
     number: u8,
     deadline: Micros,
-    /// When the attempt started, for the latency that the module is told.
+    /// The start of the latency that the module receives. Set again after an upload, even a partial one.
     started: Instant,
+    /// When the attempt started, in the module's time.
     started_at: Micros,
 }
 
@@ -239,7 +240,7 @@
         &mut self, request: &Request, statement: &Statement, plain: Option<&PlainRoute>,
     ) -> Option<PendingAnswer> {
         let (core, hosts) = (self.core, self.hosts);
-        // First, so that nothing waits after the stop's time is over.
+        // Checked first, so that no request waits once the time allowed for the stop is over.
         if self.admission.is_cut_off() {
             return self.refuse(&statement.id, RefusalReason::Stopping, core.retry_in);
         }
@@ -408,36 +409,36 @@
     ) -> NextStep {
         let CompletedAttempt {
             mut outcome,
-            report: note,
+            report,
             mut row,
-            statement_error: rejected,
-            long_value: long,
-            plain_answer: plain,
-            plain_stream: stream,
+            statement_error,
+            long_value,
+            plain_answer,
+            plain_stream,
         } = attempted;
-        if let Some(error) = rejected {
+        if let Some(error) = statement_error {
             handle.mark_answered();
-            attempt.ended(handle, outcome, note);
+            attempt.ended(handle, outcome, report);
             return NextStep::Done(complete(FinalAnswer::Rejected(error)));
         }
-        if let Some(mut long) = long {
-            long.write = self.core.begin_streamed_write(request);
+        if let Some(mut value) = long_value {
+            value.write = self.core.begin_streamed_write(request);
             // The attempt ends here for the module: a client that reads slowly must not count as a slow host.
-            attempt.ended(handle, outcome, note);
-            return NextStep::Done(Some(PendingAnswer::StreamedRow(long)));
+            attempt.ended(handle, outcome, report);
+            return NextStep::Done(Some(PendingAnswer::StreamedRow(value)));
         }
-        if let Some(stream) = stream {
+        if let Some(stream) = plain_stream {
             // As for a long row: the rest is as fast as the client reads it.
-            self.commit_and_duration = Some((note.position, world::since(attempt.started)));
-            attempt.ended(handle, outcome, note);
+            self.commit_and_duration = Some((report.position, world::since(attempt.started)));
+            attempt.ended(handle, outcome, report);
             return NextStep::Done(Some(PendingAnswer::StreamedResult(stream)));
         }
-        if let Some(bytes) = plain {
-            self.commit_and_duration = Some((note.position, world::since(attempt.started)));
-            attempt.ended(handle, outcome, note);
+        if let Some(bytes) = plain_answer {
+            self.commit_and_duration = Some((report.position, world::since(attempt.started)));
+            attempt.ended(handle, outcome, report);
             return NextStep::Done(complete(FinalAnswer::Plain(bytes)));
         }
-        let stale_outcome = || handle.stale_outcome(attempt.host, &note, attempt.started_at);
+        let stale_outcome = || handle.stale_outcome(attempt.host, &report, attempt.started_at);
         if let Some(stale) = row.as_ref().filter(|_| !not_repeatable).and_then(|_| stale_outcome()) {
             outcome = stale;
             row = None;
@@ -445,7 +446,7 @@
         if not_repeatable {
             handle.mark_answered();
         }
-        attempt.ended(handle, outcome, note);
+        attempt.ended(handle, outcome, report);
         match row {
             Some(row) => NextStep::Done(complete(FinalAnswer::Served(row))),
             None if not_repeatable && outcome.never_ran() => {
@@ -576,16 +577,16 @@
 
 /// Streams a value to the client as fast as the client reads it.
 pub async fn stream_value(
-    connection: &mut ClientConnection<'_>, hosts: &Hosts, mut long: Box<StreamedValue>,
+    connection: &mut ClientConnection<'_>, hosts: &Hosts, mut value: Box<StreamedValue>,
 ) -> StreamResult {
     let length_before = connection.out.len();
-    pg::put_long_row(&mut connection.out, &long.column, long.value_bytes);
+    pg::put_long_row(&mut connection.out, &value.column, value.value_bytes);
     let mut any_sent = false;
     loop {
-        match long.read_piece(&mut connection.out).await {
+        match value.read_piece(&mut connection.out).await {
             Ok(0) => break,
             Ok(_) => {}
-            Err(_) if any_sent => return StreamResult::BrokenOff { missing: long.remaining_bytes() },
+            Err(_) if any_sent => return StreamResult::BrokenOff { missing: value.remaining_bytes() },
             Err(_) => {
                 connection.out.truncate(length_before);
                 return StreamResult::NothingSent;
@@ -596,7 +597,7 @@
             return StreamResult::ClientFailed;
         }
     }
-    match hosts.finish_value(long).await {
+    match hosts.finish_value(value).await {
         Some(tag) => {
             pg::put_command_complete(&mut connection.out, &tag);
             StreamResult::Complete
--- a/src/net/upgrade.rs
+++ b/src/net/upgrade.rs
@@ -46,7 +46,8 @@
 const SHARED_FOLDER_INTERVAL: Duration = Duration::from_secs(1);
 /// The wait before another accept or connect after this machine lacked a resource for one.
 const SHORTAGE_WAIT: Duration = Duration::from_millis(20);
-/// The maximum number of such connects to the process that may run already.
+/// The maximum number of retries of a connect to the process that may run already, while this machine lacks a resource for
+/// the connect.
 const MAX_CONNECTS: u32 = 100;
 
 /// What a process sends to another one, as one line of JSON. Later versions may add keys.
@@ -81,15 +82,15 @@
 
 /// The state of a connection to another process.
 struct OtherProcess {
-    /// What it holds, together with all processes that it knows except this one.
+    /// What the other process holds, together with all processes that it knows except this one.
     held: ResourceUsage,
-    /// When its last message came.
+    /// When the last message of the other process was received.
     last_message: Instant,
-    /// Whether it ran before this one. This process then waits for its introduction.
+    /// Whether the other process ran before this one. This process then waits for its introduction.
     is_earlier: bool,
-    /// Whether it has sent everything that it holds and knows.
+    /// Whether the other process has sent everything that it holds and knows.
     is_introduced: bool,
-    /// Whether its version sends manual overrides.
+    /// Whether the version of the other process sends manual overrides.
     sends_overrides: bool,
 }
 
@@ -108,11 +109,12 @@
     next_connection: Cell<u64>,
     /// Whether a later process has replaced this one's socket by its own.
     is_superseded: Cell<bool>,
-    /// Replaced, and thereby closed, once this process listens at a new socket.
+    /// Held while this process listens at a socket. A replacement closes the channel, which ends the task that accepts at the
+    /// earlier socket.
     listening: RefCell<Option<Sender<()>>>,
     /// Notified when another process has ended.
     ended: (Sender<()>, Receiver<()>),
-    /// Notified when the first message of another process has come, or another process has ended.
+    /// Notified at each message of another process up to its introduction, and when another process has ended.
     introduced: (Sender<()>, Receiver<()>),
     /// Notified when the folder must be read.
     folder_due: (Sender<()>, Receiver<()>),
@@ -197,7 +199,7 @@
                     this process", own_path.display());
             }
         };
-        // The listener of an earlier socket of this process is out of reach, so its task ends.
+        // No process can find an earlier socket of this process any more, so the task that accepts there ends.
         let (listening, replaced) = async_channel::bounded(1);
         self.listening.replace(Some(listening));
         let (upgrade, spawner) = (self.clone(), executor.clone());
