--- a/crates/lab/src/soaks.rs
+++ b/crates/lab/src/soaks.rs
@@ -1,7 +1,7 @@
 //! The command `soak`: runs a range of seeds, prints a line for each run, and then the sums. The logs of a run that broke a
 //! rule are kept.
 
-use crate::days::range;
+use crate::days::parse_seed_range;
 use sillfold_lab::soak::{self, Options, Report};
 use std::collections::BTreeMap;
 use std::io;
@@ -15,7 +15,7 @@
 
 /// Runs all seeds of a range such as `1..4`, `jobs` at a time. Returns an error if a run broke a rule.
 pub fn many(seeds: &str, jobs: usize, options: &Options) -> io::Result<()> {
-    let (first, end) = range(seeds)?;
+    let (first, end) = parse_seed_range(seeds)?;
     let next_seed = AtomicU64::new(first);
     let reports = Mutex::new(Vec::new());
     let started = Instant::now();
