--- a/crates/plan/src/model.rs
+++ b/crates/plan/src/model.rs
@@ -193,27 +193,28 @@
         primary_reachable_cores: 0.0,
         group_reachable_cores: 0.0,
     };
-    for m in &group.members {
-        let Some(k) = host_type(&m.kind) else { continue };
+    for hosts in &group.members {
+        let Some(kind) = host_type(&hosts.kind) else { continue };
         // A host with fewer connections than cores keeps only one core per connection busy.
-        let servers = k.cores.min(k.connections);
-        let cores = f64::from(servers) * k.speed * capacity_share;
-        capacity.connections = capacity.connections.min(f64::from(k.connections));
-        let all_hosts = |per_host: u32| f64::from(per_host) * k.speed * capacity_share * f64::from(m.count);
-        capacity.group_all_cores += all_hosts(k.cores);
-        capacity.group_reachable_cores += all_hosts(k.connections);
-        if m.primary {
-            capacity.primary_all_cores = all_hosts(k.cores);
-            capacity.primary_reachable_cores = all_hosts(k.connections);
+        let servers = kind.cores.min(kind.connections);
+        let cores = f64::from(servers) * kind.speed * capacity_share;
+        capacity.connections = capacity.connections.min(f64::from(kind.connections));
+        let all_hosts =
+            |per_host: u32| f64::from(per_host) * kind.speed * capacity_share * f64::from(hosts.count);
+        capacity.group_all_cores += all_hosts(kind.cores);
+        capacity.group_reachable_cores += all_hosts(kind.connections);
+        if hosts.primary {
+            capacity.primary_all_cores = all_hosts(kind.cores);
+            capacity.primary_reachable_cores = all_hosts(kind.connections);
         }
-        if m.primary {
+        if hosts.primary {
             capacity.primary_cores = cores;
             capacity.primary_servers = servers;
         } else {
-            capacity.replicas += m.count;
-            capacity.replica_cores += cores * f64::from(m.count);
+            capacity.replicas += hosts.count;
+            capacity.replica_cores += cores * f64::from(hosts.count);
             capacity.replica_servers = servers;
-            capacity.replica_speed = k.speed;
+            capacity.replica_speed = kind.speed;
         }
     }
     capacity
@@ -265,27 +266,31 @@
     demands: &[ClassDemand], capacity: &HostCapacity, apply: f64, failure_shares: &[f64],
 ) -> Iteration {
     let worked_rates: Vec<f64> =
-        demands.iter().zip(failure_shares).map(|(p, f)| attempt_rates(p, *f).1).collect();
-    let write_rate: f64 =
-        demands.iter().zip(&worked_rates).filter(|(p, _)| p.access == Access::Write).map(|(_, r)| *r).sum();
+        demands.iter().zip(failure_shares).map(|(demand, f)| attempt_rates(demand, *f).1).collect();
+    let write_rate: f64 = demands
+        .iter()
+        .zip(&worked_rates)
+        .filter(|(demand, _)| demand.access == Access::Write)
+        .map(|(_, rate)| *rate)
+        .sum();
     // A cold replica applies at full speed: a single thread applies the log, and the log has precedence.
     let log = Station { servers: 1, rate: write_rate, mean: apply / capacity.replica_speed, cv2: 1.0 };
     let apply_time = ServiceTime::new(log.mean, 0.5);
-    let share_out_of_bound = |p: &ClassDemand| match p.access {
+    let share_out_of_bound = |demand: &ClassDemand| match demand.access {
         Access::Bounded if capacity.replicas == 0 || log.utilization() >= MAX_UTILIZATION => 1.0,
-        Access::Bounded if apply > 0.0 => log.response_exceeds(&apply_time, p.bound),
+        Access::Bounded if apply > 0.0 => log.response_exceeds(&apply_time, demand.bound),
         _ => 0.0,
     };
     let shares_out_of_bound: Vec<f64> = demands.iter().map(share_out_of_bound).collect();
     // Work, in busy cores of speed 1, that only the primary may do, and work that any host may do.
     let (mut primary_only, mut any_host) = (0.0, 0.0);
-    for ((p, r), o) in demands.iter().zip(&worked_rates).zip(&shares_out_of_bound) {
-        let work = r * p.mean;
-        match p.access {
+    for ((demand, rate), lagging_share) in demands.iter().zip(&worked_rates).zip(&shares_out_of_bound) {
+        let work = rate * demand.mean;
+        match demand.access {
             Access::Write => primary_only += work,
             Access::Bounded | Access::Any => {
-                primary_only += work * o;
-                any_host += work * (1.0 - o);
+                primary_only += work * lagging_share;
+                any_host += work * (1.0 - lagging_share);
             }
         }
     }
@@ -298,8 +303,9 @@
         any_host
     };
     let split = if any_host > 0.0 { at_primary / any_host } else { 0.0 };
-    let primary_share =
-        |p: &ClassDemand, o: f64| if p.access == Access::Write { 1.0 } else { o + (1.0 - o) * split };
+    let primary_share = |demand: &ClassDemand, lagging_share: f64| {
+        if demand.access == Access::Write { 1.0 } else { lagging_share + (1.0 - lagging_share) * split }
+    };
     let speed = |cores: f64, servers: u32| cores / f64::from(servers.max(1));
     let (primary_server_speed, replica_server_speed) = (
         speed(primary_cores, capacity.primary_servers),
@@ -308,20 +314,25 @@
     let each_class = || demands.iter().zip(&worked_rates).zip(&shares_out_of_bound);
     let primary = mixed(
         capacity.primary_servers,
-        each_class()
-            .map(|((p, r), &o)| (r * primary_share(p, o), p.mean / primary_server_speed.max(1e-9), p.cv2)),
+        each_class().map(|((demand, rate), &lagging_share)| {
+            (
+                rate * primary_share(demand, lagging_share),
+                demand.mean / primary_server_speed.max(1e-9),
+                demand.cv2,
+            )
+        }),
     );
     let replica = mixed(
         capacity.replica_servers,
-        each_class().map(|((p, r), &o)| {
+        each_class().map(|((demand, rate), &lagging_share)| {
             (
-                r * (1.0 - primary_share(p, o)) / f64::from(capacity.replicas.max(1)),
-                p.mean / replica_server_speed,
-                p.cv2,
+                rate * (1.0 - primary_share(demand, lagging_share)) / f64::from(capacity.replicas.max(1)),
+                demand.mean / replica_server_speed,
+                demand.cv2,
             )
         }),
     );
-    let failure_share = |station: &Station, p: &ClassDemand, speed: f64| {
+    let failure_share = |station: &Station, demand: &ClassDemand, speed: f64| {
         let rho = station.utilization();
         // An overloaded host serves the newest requests first: those that it serves are in time, the others fail.
         let (served_share, station) = if rho > MAX_UTILIZATION {
@@ -330,21 +341,22 @@
             (1.0, *station)
         };
         // A slower core lengthens the service time; `late_share` shortens the goal instead, which is the same.
-        let in_time = 1.0 - late_share(&station, p, speed);
+        let in_time = 1.0 - late_share(&station, demand, speed);
         1.0 - served_share * in_time
     };
     let failure_shares = each_class()
-        .map(|((p, _), &o)| {
-            let share = primary_share(p, o);
-            let at_replica = if share < 1.0 { failure_share(&replica, p, replica_server_speed) } else { 0.0 };
-            share * failure_share(&primary, p, primary_server_speed) + (1.0 - share) * at_replica
+        .map(|((demand, _), &lagging_share)| {
+            let share = primary_share(demand, lagging_share);
+            let at_replica =
+                if share < 1.0 { failure_share(&replica, demand, replica_server_speed) } else { 0.0 };
+            share * failure_share(&primary, demand, primary_server_speed) + (1.0 - share) * at_replica
         })
         .collect();
     let write_work: f64 = demands
         .iter()
         .zip(&worked_rates)
-        .filter(|(p, _)| p.access == Access::Write)
-        .map(|(p, r)| p.mean * r)
+        .filter(|(demand, _)| demand.access == Access::Write)
+        .map(|(demand, rate)| demand.mean * rate)
         .sum();
     // The mean number of requests that wait or are in service at a host, by Little's law.
     let requests_in_host = |s: &Station| {
@@ -368,8 +380,8 @@
     let bounded: Vec<f64> = demands
         .iter()
         .zip(&shares_out_of_bound)
-        .filter(|(p, _)| p.access == Access::Bounded)
-        .map(|(_, o)| *o)
+        .filter(|(demand, _)| demand.access == Access::Bounded)
+        .map(|(_, lagging_share)| *lagging_share)
         .collect();
     let out_of_bound = bounded.iter().copied().fold(0.0, f64::max);
     Iteration { failure_shares, utilizations, out_of_bound }
@@ -397,11 +409,11 @@
         }
     }
     let (mut first_attempts, mut attempts) = (0.0, 0.0);
-    let classes = demands.iter().zip(&failure_shares).map(|(p, f)| {
-        first_attempts += p.rate;
-        attempts += attempt_rates(p, *f).0;
-        let in_time = 1.0 - f.powi(p.retries as i32 + 1);
-        ClassService { class: p.name.to_string(), rate: p.rate, in_time, worth: p.worth }
+    let classes = demands.iter().zip(&failure_shares).map(|(demand, f)| {
+        first_attempts += demand.rate;
+        attempts += attempt_rates(demand, *f).0;
+        let in_time = 1.0 - f.powi(demand.retries as i32 + 1);
+        ClassService { class: demand.name.to_string(), rate: demand.rate, in_time, worth: demand.worth }
     });
     let classes = classes.collect();
     let amplification = if first_attempts > 0.0 { attempts / first_attempts } else { 1.0 };
@@ -428,10 +440,11 @@
     let demands = class_demands(fleet, load, share, scenario);
     let capacity = host_capacity(fleet, group, scenario.capacity_share);
     let work = |selected: fn(Access) -> bool| -> f64 {
-        demands.iter().filter(|p| selected(p.access)).map(|p| p.rate * p.mean).sum()
+        demands.iter().filter(|demand| selected(demand.access)).map(|demand| demand.rate * demand.mean).sum()
     };
-    let write_work = work(|n| n == Access::Write);
-    let write_rate: f64 = demands.iter().filter(|p| p.access == Access::Write).map(|p| p.rate).sum();
+    let write_work = work(|access| access == Access::Write);
+    let write_rate: f64 =
+        demands.iter().filter(|demand| demand.access == Access::Write).map(|demand| demand.rate).sum();
     let all_work = work(|_| true);
     let utilization = |work: f64, cores: f64| work / cores.max(1e-9);
     let mut out = vec![
