--- a/crates/lab/src/sim/mod.rs
+++ b/crates/lab/src/sim/mod.rs
@@ -16,10 +16,10 @@
 use agent::Agent;
 use async_channel::Sender;
 use async_executor::LocalExecutor;
-use check::{Book, Broken, Counts, Figures};
+use check::{BrokenRule, Counts, RuleChecker, RuleLimits};
 use client::{Client, Target};
 use deployment::Deployment;
-use host::{AnswerFault, Fleet, Mode};
+use host::{AnswerFault, Fleet, HostMode};
 use plan::{Fault, FaultKind, Plan};
 use sillfold::config::Config;
 use sillfold::invariants::Violation;
@@ -57,21 +57,21 @@
 const READY_TIMEOUT_US: Micros = 10_000_000;
 
 /// The bounds of the rules for a run of this plan and deployment.
-fn rule_figures(plan: &Plan, deployment: &Deployment) -> Figures {
+fn rule_limits(plan: &Plan, deployment: &Deployment) -> RuleLimits {
     let has_write_delays = plan.faults.iter().any(|f| matches!(f.kind, FaultKind::WriteDelays(..)));
-    Figures {
-        held_up: if has_write_delays { world::MAX_WRITE_DELAY_US } else { 0 },
-        grace: deployment::DRAIN_GRACE_US,
-        start_capacity: deployment::COLD_START_CAPACITY,
-        cold: deployment::COLD_DURATION_US,
-        tip_multiple: deployment::OVERLOAD_MULTIPLE,
-        overload_for: deployment::OVERLOAD_DURATION_US,
+    RuleLimits {
+        max_write_delay: if has_write_delays { world::MAX_WRITE_DELAY_US } else { 0 },
+        drain_grace: deployment::DRAIN_GRACE_US,
+        cold_start_capacity: deployment::COLD_START_CAPACITY,
+        cold_duration: deployment::COLD_DURATION_US,
+        overload_multiple: deployment::OVERLOAD_MULTIPLE,
+        overload_duration: deployment::OVERLOAD_DURATION_US,
         max_attempts: deployment.max_attempts,
         tokens: deployment.tokens,
         answer_positions: deployment.answer_positions,
-        gone: 100_000,
-        way: 20_000,
-        cores: host::CORES as f64,
+        disconnect_grace: 100_000,
+        network_delay: 20_000,
+        cores: host::CORES_PER_HOST as f64,
     }
 }
 
@@ -89,7 +89,7 @@
     /// Violations that the proxies themselves reported, with their number.
     pub violations: BTreeMap<Violation, u64>,
     /// The first violated rule, the step at which it was violated, and the lines of the trace about it.
-    pub broken: Option<(Broken, u64, Vec<String>)>,
+    pub broken: Option<(BrokenRule, u64, Vec<String>)>,
     /// The whole trace, if it was requested.
     pub trace: Vec<String>,
 }
@@ -195,8 +195,8 @@
 pub fn run(plan: &Plan, whole_trace: bool) -> Outcome {
     let world = World::new(plan.seed, plan.partial_io, whole_trace);
     let deployment = plan.deployment();
-    let book = Book::new(rule_figures(plan, &deployment));
-    let fleet = Rc::new(Fleet::new(world.clone(), book, deployment));
+    let checker = RuleChecker::new(rule_limits(plan, &deployment));
+    let fleet = Rc::new(Fleet::new(world.clone(), checker, deployment));
     let machine = world.add_machine(MACHINE_DESCRIPTORS);
     let agent = Rc::new(Agent::new(fleet.clone(), machine));
     let mut simulation = Simulation {
@@ -220,12 +220,12 @@
     };
     simulation.set_up();
     simulation.run();
-    let broken = simulation.fleet.book.borrow_mut().broken.take();
+    let broken = simulation.fleet.checker.borrow_mut().broken.take();
     let broken = broken.map(|b| {
-        let about = simulation.world.trace_tail(&b.about);
+        let about = simulation.world.trace_tail(&b.trace_terms);
         (b, simulation.steps, about)
     });
-    let ((hash, lines), counts) = (simulation.world.trace_hash(), simulation.fleet.book.borrow().counts);
+    let ((hash, lines), counts) = (simulation.world.trace_hash(), simulation.fleet.checker.borrow().counts);
     let violations = simulation.violations();
     Outcome {
         hash,
@@ -290,12 +290,12 @@
         for host in 0..groups * members {
             let at = address(2, host, 5432);
             let zone = self.fleet.deployment.zone_of(host);
-            self.fleet.add(host / members, zone, at, host % members == 0);
+            self.fleet.add_host(host / members, zone, at, host % members == 0);
         }
         let agent = self.agent.clone();
         let (machine, at) = self.agent_at;
         self.start_server(machine, at, |listener, spawner| {
-            spawner.spawn(agent.clone().counts());
+            spawner.spawn(agent.clone().record_list_deadlines());
             agent.serve(listener, spawner)
         });
         for host in 0..groups * members {
@@ -305,8 +305,13 @@
         }
         for proxy in 0..self.plan.proxies {
             let until = self.plan.for_ms * 1_000;
-            let (killed, out) = (Cell::new(None), Cell::new(0));
-            self.targets.push(Rc::new(Target { address: address(3, proxy, 5433), killed, until, out }));
+            let (killed_at, in_flight) = (Cell::new(None), Cell::new(0));
+            self.targets.push(Rc::new(Target {
+                address: address(3, proxy, 5433),
+                killed_at,
+                until,
+                in_flight,
+            }));
             self.proxies.push(None);
             self.replaced.push(Vec::new());
             self.overridden.push(BTreeSet::new());
@@ -318,7 +323,7 @@
             let (_, executor) = self.add_process(machine);
             for _ in 0..self.plan.clients {
                 let client = self.new_client(proxy);
-                executor.spawn(client::asks(self.fleet.clone(), client)).detach();
+                executor.spawn(client::run_client(self.fleet.clone(), client)).detach();
             }
         }
     }
@@ -371,7 +376,7 @@
         self.events.push(core.events.clone());
         // Manual overrides of hosts outlast the process that received them.
         for host in &self.overridden[ordinal] {
-            self.fleet.book.borrow_mut().by_hand(machine, *host, true, self.world.now());
+            self.fleet.checker.borrow_mut().record_override(machine, *host, true, self.world.now());
         }
         let has_stopped = done.clone();
         let run = async move {
@@ -379,7 +384,7 @@
             has_stopped.set(true);
         };
         executor.spawn(run).detach();
-        self.agent.serves(machine);
+        self.agent.proxy_started(machine);
         let unready_since = Cell::new(Some(self.world.now()));
         self.proxies[ordinal] =
             Some(RunningProxy { process, machine, unready_since, core, upgrade, clients, hosts, stop, done });
@@ -387,21 +392,22 @@
 
     /// Records the violation of a rule.
     fn report_violation(&self, rule: &'static str, what: String) {
-        self.fleet.book.borrow_mut().breaks(rule, self.world.now(), what, &[]);
+        self.fleet.checker.borrow_mut().record_broken_rule(rule, self.world.now(), what, &[]);
     }
 
     /// Whether a rule was violated.
     fn is_broken(&self) -> bool {
-        self.fleet.book.borrow().broken.is_some()
+        self.fleet.checker.borrow().broken.is_some()
     }
 
     /// Runs the simulation until a rule is violated or the time is over.
     fn run(&mut self) {
         // The begin and the end of each fault, by time and order; the flag is true for the begin.
-        let mut script: BTreeMap<(Micros, usize), (Fault, bool)> = BTreeMap::new();
-        for (i, f) in self.plan.faults.iter().enumerate() {
-            script.insert((f.at_ms * 1_000, 2 * i), (f.clone(), true));
-            script.insert(((f.at_ms + f.for_ms) * 1_000, 2 * i + 1), (f.clone(), false));
+        let mut fault_schedule: BTreeMap<(Micros, usize), (Fault, bool)> = BTreeMap::new();
+        for (number, fault) in self.plan.faults.iter().enumerate() {
+            fault_schedule.insert((fault.at_ms * 1_000, 2 * number), (fault.clone(), true));
+            fault_schedule
+                .insert(((fault.at_ms + fault.for_ms) * 1_000, 2 * number + 1), (fault.clone(), false));
         }
         let last_request = self.plan.for_ms * 1_000;
         let stop_time = last_request + ANSWER_TIMEOUT_US;
@@ -410,12 +416,12 @@
         while !self.is_broken() {
             self.run_tasks();
             self.check_world();
-            let next = script.first_key_value().map_or(end, |(key, _)| key.0.min(end));
-            let next = if are_stopped { next } else { next.min(stop_time) };
-            if self.world.step(next) {
+            let next_time = fault_schedule.first_key_value().map_or(end, |(key, _)| key.0.min(end));
+            let next_time = if are_stopped { next_time } else { next_time.min(stop_time) };
+            if self.world.step(next_time) {
                 continue;
             }
-            if let Some(entry) = script.first_entry().filter(|e| e.key().0 <= next) {
+            if let Some(entry) = fault_schedule.first_entry().filter(|e| e.key().0 <= next_time) {
                 let (fault, begins) = entry.remove();
                 self.apply_fault(&fault, begins);
             } else if !are_stopped {
@@ -519,14 +525,14 @@
             .collect();
         self.world.trace(|| format!("the process on machine {machine} is killed"));
         for n in killed {
-            self.targets[n].killed.set(Some(self.world.now()));
+            self.targets[n].killed_at.set(Some(self.world.now()));
             self.proxies[n] = None;
         }
         for n in 0..self.replaced.len() {
             let before = self.replaced[n].len();
             self.replaced[n].retain(|r| r.process != process);
             if self.replaced[n].len() < before {
-                self.targets[n].killed.set(Some(self.world.now()));
+                self.targets[n].killed_at.set(Some(self.world.now()));
             }
         }
         self.killed.insert(machine);
@@ -571,18 +577,18 @@
             }
             FaultKind::ReplicaLag(host, ms) => {
                 let lag = if begins { ms * 1_000 } else { self.fleet.usual_lag() };
-                self.fleet.lags(host_index(host), lag);
+                self.fleet.set_lag(host_index(host), lag);
             }
             FaultKind::HostErrors(host) | FaultKind::InvalidAnswers(host) => {
                 let mode = match fault.kind {
-                    _ if !begins => Mode::Well,
-                    FaultKind::HostErrors(_) => Mode::Errors,
-                    _ => Mode::Garbage,
+                    _ if !begins => HostMode::Healthy,
+                    FaultKind::HostErrors(_) => HostMode::Errors,
+                    _ => HostMode::Garbage,
                 };
                 self.fleet.hosts.borrow_mut()[host_index(host)].mode = mode;
             }
             FaultKind::SlowHost(host, times) => {
-                self.fleet.hosts.borrow_mut()[host_index(host)].slow = if begins { times } else { 1 };
+                self.fleet.hosts.borrow_mut()[host_index(host)].slowdown = if begins { times } else { 1 };
             }
             FaultKind::HostDrain(host) if begins => {
                 self.fleet.change(host_index(host), |h| h.status = "DRAINING")
@@ -612,9 +618,11 @@
                 // The proxy may or may not receive what is held back, so the rules assume nothing about what it knows
                 // until it receives a list again.
                 let after = if begins { self.world.now() } else { 0 };
-                self.fleet.book.borrow_mut().untells(proxy_machine, after);
+                self.fleet.checker.borrow_mut().discard_reports_after(proxy_machine, after);
+            }
+            FaultKind::DiscoveryStale => {
+                self.agent.stale_version.set(begins.then(|| self.fleet.list_version.get()))
             }
-            FaultKind::DiscoveryStale => self.agent.stale.set(begins.then(|| self.fleet.index.get())),
             FaultKind::ClockStep(proxy, ms) => {
                 let by = if begins { ms } else { -ms } * 1_000;
                 self.world.step_clock(proxy % proxies, by);
@@ -666,10 +674,11 @@
                     self.stop_proxy(old);
                 }
             }
-            FaultKind::SilentWatches if begins => self.agent.silence(),
+            FaultKind::SilentWatches if begins => self.agent.silence_watches(),
             FaultKind::SilentWatches => {}
             FaultKind::LateSessions(host, ms) => {
-                self.fleet.hosts.borrow_mut()[host_index(host)].late = if begins { ms * 1_000 } else { 0 };
+                self.fleet.hosts.borrow_mut()[host_index(host)].session_delay =
+                    if begins { ms * 1_000 } else { 0 };
             }
             FaultKind::CutAnswers(host, percent) => {
                 self.set_answer_fault(host_index(host), begins, (AnswerFault::Cut, percent));
@@ -700,7 +709,7 @@
                 let until = (fault.at_ms + fault.for_ms) * 1_000;
                 for _ in 0..count {
                     let (fleet, target) = (self.fleet.clone(), self.targets[proxy % proxies].clone());
-                    executor.spawn(client::rude(fleet, target, until)).detach();
+                    executor.spawn(client::run_misbehaving_client(fleet, target, until)).detach();
                 }
             }
             FaultKind::MisbehavingClients(..) => {}
@@ -719,7 +728,7 @@
 
     /// Applies or ends a fault of a percentage of a host's answers.
     fn set_answer_fault(&self, host: usize, begins: bool, fault: (AnswerFault, u64)) {
-        self.fleet.hosts.borrow_mut()[host].answers = if begins { fault } else { Default::default() };
+        self.fleet.hosts.borrow_mut()[host].answer_fault = if begins { fault } else { Default::default() };
     }
 
     /// Operators leave a host out at a proxy, or use it again. Both versions of the proxy must follow.
@@ -737,18 +746,18 @@
         if result.is_err() {
             return;
         }
-        let (now, mut book) = (self.world.now(), self.fleet.book.borrow_mut());
-        book.by_hand(running.machine, host, out, now);
+        let (now, mut checker) = (self.world.now(), self.fleet.checker.borrow_mut());
+        checker.record_override(running.machine, host, out, now);
         for other in &self.replaced[proxy] {
             // Connected versions look for each other's overrides every 50 ms, so the other one counts as notified after
             // 60 ms.
             if !out || other.upgrade.has_other_process() {
-                book.by_hand(other.machine, host, out, now + 60_000);
+                checker.record_override(other.machine, host, out, now + 60_000);
             }
         }
         // A stopping process learns that a host is used again for as long as it runs.
         for (other, _) in self.stopping.iter().filter(|_| !out) {
-            book.by_hand(other.machine, host, false, now);
+            checker.record_override(other.machine, host, false, now);
         }
         if out {
             self.overridden[proxy].insert(host);
@@ -773,7 +782,7 @@
         }
         self.world.set_powered(machine, true);
         let now = self.world.now();
-        self.fleet.begins(host, now);
+        self.fleet.start_process(host, now);
         self.fleet.change(host, |_| {});
         self.hosts[host] = self.start_host_process(host, machine);
     }
@@ -833,7 +842,7 @@
     /// Stops all proxies once clients send no requests and all answers are due, and checks what the proxies hold.
     fn stop_all(&mut self) {
         for proxy in 0..self.proxies.len() {
-            let out = self.targets[proxy].out.get();
+            let out = self.targets[proxy].in_flight.get();
             if out > 0 {
                 self.report_violation(
                     "nothing waits for ever",
@@ -868,7 +877,7 @@
         if self.events.iter().any(|events| events.is_violated()) {
             self.report_violation("the proxies' own invariants hold", format!("{:?}", self.violations()));
         }
-        let counts = self.fleet.book.borrow().counts;
+        let counts = self.fleet.checker.borrow().counts;
         if counts.asked != counts.served + counts.errors + counts.excused {
             self.report_violation(
                 "one final answer in time",
