--- a/crates/plan/src/fleet.rs
+++ b/crates/plan/src/fleet.rs
@@ -42,6 +42,7 @@
 /// A machine type.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
+#[schemars(rename = "Kind")]
 pub struct HostType {
     /// Cores of a host. Each core works on one request at a time.
     #[garde(range(min = 1, max = 1_024))]
@@ -96,6 +97,7 @@
 /// Identical hosts of a group.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
+#[schemars(rename = "Member")]
 pub struct HostSet {
     /// The hosts' machine type.
     #[garde(length(min = 1))]
@@ -135,6 +137,7 @@
 /// The traffic between zones.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize, Serialize, JsonSchema, Validate)]
 #[serde(default, deny_unknown_fields)]
+#[schemars(rename = "Crossing")]
 pub struct CrossZoneTraffic {
     /// The latency between two zones, one way, in milliseconds.
     #[garde(range(min = 0.0, max = 10_000.0))]
@@ -150,6 +153,7 @@
 /// The data access of a class: whether it writes, and how recent the data that it reads must be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
+#[schemars(rename = "Need")]
 pub enum Access {
     /// A write: only the primary takes it.
     Write,
