--- a/crates/lab/src/sim/world.rs
+++ b/crates/lab/src/sim/world.rs
@@ -39,7 +39,8 @@
 const MAX_PENDING_CONNECTIONS: usize = 128;
 /// While calls are interrupted (`CallFaults::interrupted`), one read or write in this many is interrupted.
 const INTERRUPTED_ONE_IN: u64 = 12;
-/// While calls are interrupted, one accept in this many fails because the client aborted its connection.
+/// While calls are interrupted, one accept in this many fails with `ConnectionAborted`, as if the client had given up its
+/// connection before it was accepted.
 const ABORTED_ONE_IN: u64 = 6;
 /// Upper bound of the delay between a process's look at the clock and its write, in microseconds.
 pub const MAX_WRITE_DELAY_US: Micros = 150_000;
@@ -144,7 +145,8 @@
 /// Faults of system calls, for all processes that share a disk.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CallFaults {
-    /// Signals interrupt some reads and writes, and some accepts fail because the client aborted its connection.
+    /// Signals interrupt some reads and writes, and some accepts fail as if the client had given up its connection
+    /// before it was accepted. The connection that waits is kept for a later accept.
     pub interrupted: bool,
     /// Percentage of dials and accepts that fail because the machine lacks a resource.
     pub shortage_percent: u64,
