--- a/src/net/hosts.rs
+++ b/src/net/hosts.rs
@@ -105,20 +105,20 @@
 
     /// Appends the next piece of the value and returns its length, 0 at the value's end. Fails if the value breaks off.
     pub async fn read_piece(&mut self, out: &mut Vec<u8>) -> io::Result<usize> {
-        let c = &mut self.attempt.connection;
-        if self.remaining > 0 && c.read_buffer.is_empty() {
+        let connection = &mut self.attempt.connection;
+        if self.remaining > 0 && connection.read_buffer.is_empty() {
             let stall_deadline = world::now() + STALL_TIMEOUT;
             let deadline = if self.remaining == self.value_bytes {
                 stall_deadline.min(self.first_byte_deadline)
             } else {
                 stall_deadline
             };
-            let read = timeout_at(deadline, read_into(&c.stream, &mut c.read_buffer)).await;
+            let read = timeout_at(deadline, read_into(&connection.stream, &mut connection.read_buffer)).await;
             if read.unwrap_or_else(|| Err(ErrorKind::TimedOut.into()))? == 0 {
                 return Err(ErrorKind::UnexpectedEof.into());
             }
         }
-        let n = c.read_buffer.move_to(out, self.remaining);
+        let n = connection.read_buffer.move_to(out, self.remaining);
         self.remaining -= n;
         Ok(n)
     }
@@ -154,16 +154,22 @@
 
     /// Appends what has arrived of the answer, up to `max_bytes` in `out`. Waits only if nothing has arrived.
     async fn read_step(&mut self, out: &mut Vec<u8>, max_bytes: usize) -> Result<AnswerStep, ReadError> {
-        let c = &mut self.attempt.connection;
+        let connection = &mut self.attempt.connection;
         let mut has_progress = false;
         while out.len() < max_bytes {
-            match self.forwarder.forward(&mut c.read_buffer, out).map_err(|e| ReadError::Protocol(e.0))? {
+            match self
+                .forwarder
+                .forward(&mut connection.read_buffer, out)
+                .map_err(|e| ReadError::Protocol(e.0))?
+            {
                 ForwardStep::Forwarded => has_progress = true,
                 ForwardStep::NeedsInput if has_progress => break,
-                ForwardStep::NeedsInput => match read_into(&c.stream, &mut c.read_buffer).await {
-                    Ok(1..) => has_progress = true,
-                    _ => return Err(ReadError::Disconnected),
-                },
+                ForwardStep::NeedsInput => {
+                    match read_into(&connection.stream, &mut connection.read_buffer).await {
+                        Ok(1..) => has_progress = true,
+                        _ => return Err(ReadError::Disconnected),
+                    }
+                }
                 ForwardStep::ParameterStatus { name, value } => {
                     self.is_session_changed |= !apply_parameter(&mut self.report, &name, &value);
                 }
@@ -260,8 +266,8 @@
                 pool.idle.clear();
             }
         }
-        for (&id, e) in ids.iter().zip(&listing.entries) {
-            if let Some(address) = e.socket.filter(|_| e.status != Status::Deleted) {
+        for (&id, entry) in ids.iter().zip(&listing.entries) {
+            if let Some(address) = entry.socket.filter(|_| entry.status != Status::Deleted) {
                 let pool = pools.entry(id).or_insert_with(|| HostPool {
                     address,
                     idle: Vec::new(),
@@ -273,10 +279,10 @@
                 }
             }
             let Some(pool) = pools.get_mut(&id) else { continue };
-            if pool.unavailable_since.is_some() != (e.status != Status::Serving) {
-                debug!(target: "hosts", host = %e.name, status = ?e.status, "the host's status in the list changed");
+            if pool.unavailable_since.is_some() != (entry.status != Status::Serving) {
+                debug!(target: "hosts", host = %entry.name, status = ?entry.status, "the host's status in the list changed");
             }
-            match e.status {
+            match entry.status {
                 Status::Serving => pool.unavailable_since = None,
                 Status::Draining => drop(pool.unavailable_since.get_or_insert(now)),
                 Status::Deleted => {
@@ -565,16 +571,16 @@
 
     /// Parses the answer to `SHOW usage`, such as `x0=1767225600.123,x1=1,util=0.61`. The settings name the fields.
     fn parse_report(&self, text: &str) -> HostReport {
-        let d = &self.core.program_settings;
+        let settings = &self.core.program_settings;
         let get = |index: Option<usize>| {
-            let name = d.report_fields.get(index?)?;
+            let name = settings.report_fields.get(index?)?;
             let value = text.split(',').filter_map(|p| p.split_once('=')).find(|p| p.0.trim() == name)?.1;
             value.trim().parse::<f64>().ok().filter(|v| v.is_finite() && *v >= 0.0)
         };
         HostReport {
-            position: get(d.position_index).map(Clock::from_unix_s),
-            role: get(d.role_index).map(|r| if r > 0.5 { Role::Primary } else { Role::Replica }),
-            in_flight: get(d.in_flight_index),
+            position: get(settings.position_index).map(Clock::from_unix_s),
+            role: get(settings.role_index).map(|r| if r > 0.5 { Role::Primary } else { Role::Replica }),
+            in_flight: get(settings.in_flight_index),
         }
     }
 
--- a/src/net/listing.rs
+++ b/src/net/listing.rs
@@ -73,12 +73,12 @@
 
     fn checked(raw: RawListing) -> Result<Listing, String> {
         let mut entries = raw.endpoints;
-        for e in &mut entries {
-            e.writer = e.access == "writer";
-            e.status = if mutants::on("deaf to drains") { Status::Serving } else { e.status };
-            e.socket = e.address.parse().ok();
-            if e.socket.is_none() && e.status != Status::Deleted {
-                return Err(format!("{}: address {:?} is no address and port", e.name, e.address));
+        for entry in &mut entries {
+            entry.writer = entry.access == "writer";
+            entry.status = if mutants::on("deaf to drains") { Status::Serving } else { entry.status };
+            entry.socket = entry.address.parse().ok();
+            if entry.socket.is_none() && entry.status != Status::Deleted {
+                return Err(format!("{}: address {:?} is no address and port", entry.name, entry.address));
             }
         }
         Ok(Listing { index: raw.index, full: raw.snapshot, entries })
--- a/src/net/world.rs
+++ b/src/net/world.rs
@@ -311,9 +311,9 @@
         match self {
             Stream::Tcp(s) => s.read_with(|s| read_once(s, &mut take)).await,
             Stream::Unix(s) => s.read_with(|s| read_once(s, &mut take)).await,
-            Stream::Simulated(w) => {
+            Stream::Simulated(connection) => {
                 let mut buffer = vec![0; READ_BYTES];
-                let n = poll_fn(|cx| poll_uninterrupted(|| w.poll_read(cx, &mut buffer))).await?;
+                let n = poll_fn(|cx| poll_uninterrupted(|| connection.poll_read(cx, &mut buffer))).await?;
                 take(&buffer[..n]);
                 Ok(n)
             }
@@ -326,7 +326,9 @@
         match self {
             Stream::Tcp(s) => s.write_with(|s| write_once(s, bytes)).await,
             Stream::Unix(s) => s.write_with(|s| write_once(s, bytes)).await,
-            Stream::Simulated(w) => poll_fn(|cx| poll_uninterrupted(|| w.poll_write(cx, bytes))).await,
+            Stream::Simulated(connection) => {
+                poll_fn(|cx| poll_uninterrupted(|| connection.poll_write(cx, bytes))).await
+            }
         }
     }
 
@@ -347,7 +349,7 @@
         let write = || match self {
             Stream::Tcp(s) => write_once(s.get_ref(), bytes).map(drop),
             Stream::Unix(s) => write_once(s.get_ref(), bytes).map(drop),
-            Stream::Simulated(w) => match w.poll_write(context, bytes) {
+            Stream::Simulated(connection) => match connection.poll_write(context, bytes) {
                 Poll::Ready(written) => written.map(drop),
                 Poll::Pending => Ok(()),
             },
@@ -365,7 +367,7 @@
             }
             // No caller checks this for a socket in the file system.
             Stream::Unix(_) => true,
-            Stream::Simulated(w) => w.is_idle(),
+            Stream::Simulated(connection) => connection.is_idle(),
         }
     }
 
@@ -383,7 +385,7 @@
                 uninterrupted(check).is_ok() && polled[0].revents().intersects(ends)
             }
             Stream::Unix(_) => false,
-            Stream::Simulated(w) => w.is_hung_up(),
+            Stream::Simulated(connection) => connection.is_hung_up(),
         }
     }
 
@@ -392,7 +394,7 @@
         uninterrupted(|| match self {
             Stream::Tcp(s) => s.get_ref().shutdown(Shutdown::Write),
             Stream::Unix(s) => s.get_ref().shutdown(Shutdown::Write),
-            Stream::Simulated(w) => w.shutdown(),
+            Stream::Simulated(connection) => connection.shutdown(),
         })
     }
 }
@@ -530,7 +532,7 @@
                     Ok(()) => s.recv_from(into).await,
                     Err(e) => Err(e),
                 },
-                DatagramSocket::Simulated(m) => poll_fn(|cx| m.poll_receive(cx, into)).await,
+                DatagramSocket::Simulated(socket) => poll_fn(|cx| socket.poll_receive(cx, into)).await,
             };
             match received {
                 Err(e) if is_interruption(&e) => {}
@@ -546,7 +548,7 @@
                 faults::before(Call::Send)?;
                 s.get_ref().send_to(bytes, to).map(|_| ())
             }
-            DatagramSocket::Simulated(m) => m.send_now(bytes, to),
+            DatagramSocket::Simulated(socket) => socket.send_now(bytes, to),
         })
     }
 }
